--- a/sim/cluster.c
+++ b/sim/cluster.c
@@ -128,7 +128,7 @@
                                 .hold_max_ms = HOLD_MAX_MS,
                                 .stop_timeout_ms = STOP_MS,
                                 .grace_ms = 6000,
-                                .by_beat = c->by_beat,
+                                .orders_by_heartbeat = c->orders_by_heartbeat,
                                 .codec = &cluster_api_codec,
                                 .executor_codec = &cluster_executor_codec};
     h->agent = agent_new(&h->base, &setup);
--- a/sim/cluster.h
+++ b/sim/cluster.h
@@ -193,7 +193,7 @@
     int64_t n, controllers, disks, agents;
     uint8_t cut[CLUSTER_HOSTS][CLUSTER_HOSTS]; /* [from][to], enum link_cut */
     struct link_faults links;
-    int64_t by_beat; /* 1: executors take their orders in the answers to their heartbeats */
+    int64_t orders_by_heartbeat; /* 1: executors take their orders in the answers to their heartbeats */
     int64_t loss_pct, slow_link_ms;
     struct cluster_log log;
     int64_t machines_lost;      /* that may be lost at once, as the controllers are told */
@@ -229,7 +229,7 @@
 void cluster_start_bearing(struct cluster *c, uint64_t seed, int machines_lost, int disks, int diskless, int agents);
 /* A deployment; members that are 0 are as cluster_start() has them. */
 struct cluster_options {
-    int disks, diskless, agents, machines_lost, by_beat;
+    int disks, diskless, agents, machines_lost, orders_by_heartbeat;
     struct cluster_log log;
 };
 void cluster_start_as(struct cluster *c, uint64_t seed, const struct cluster_options *options);
--- a/sim/cluster_beats.c
+++ b/sim/cluster_beats.c
@@ -82,12 +82,12 @@
     if (tag / 2 != s->generation || !s->up)
         return;
     if (status != 200) {
-        s->beat_due_us = c->now_us + (c->by_beat ? BEAT_AFTER_FAILURE_MS : BEAT_RETRY_MS) * 1000LL;
+        s->beat_due_us = c->now_us + (c->orders_by_heartbeat ? BEAT_AFTER_FAILURE_MS : BEAT_RETRY_MS) * 1000LL;
         return;
     }
     if (tag % 2 && s->drain_ack_us < 0)
         drain_acknowledged(c, s);
-    if (c->by_beat)
+    if (c->orders_by_heartbeat)
         take_answer(c, s, s->beat_sent_us, body);
 }
 
@@ -95,7 +95,7 @@
 {
     struct cluster *c = s->host->cluster;
     int64_t left = s->draining && s->leaves_us ? (s->leaves_us - c->now_us) / 1000 : 0;
-    json_t *beat = c->by_beat ? standin_lists(s) : json_object();
+    json_t *beat = c->orders_by_heartbeat ? standin_lists(s) : json_object();
     json_t *state = json_pack("{s:s,s:I,s:s,s:s,s:s,s:[s,s],s:I,s:I,s:I,s:i,s:I,s:i}", "life", s->incarnation, "seq",
                               (json_int_t)++s->beat_seq, "service", s->service, "zone", s->host->zone, "rack",
                               s->host->rack, "labels", s->label, s->rack, "cpuMilli", (json_int_t)s->cpu_milli,
--- a/sim/cluster_codec.c
+++ b/sim/cluster_codec.c
@@ -89,7 +89,7 @@
 }
 
 /* Takes out of a heartbeat what an executor that takes its orders by heartbeats reports: its clock and its lists. */
-static void take_account(struct executor_account *account, json_t *beat)
+static void take_account(struct heartbeat_report *account, json_t *beat)
 {
     const json_t *clock = json_object_get(beat, "clock");
     account->clock_ms = clock ? json_integer_value(clock) : -1;
@@ -103,7 +103,7 @@
                      struct validation_error *validation_error)
 {
     struct beat_body body = {0};
-    struct executor_account account = {0};
+    struct heartbeat_report account = {0};
     json_t *beat = json_loadb(web->body ? web->body : "", (size_t)web->len, 0, NULL);
     take_account(&account, beat);
     int rc = beat ? schema_from_json(&beat_schema, &body, beat, 0, validation_error) : ERROR_BAD_JSON;
@@ -113,22 +113,22 @@
         return rc;
     }
     *api_request_make_beat(request) =
-        (struct executor_beat){.kind = strcmp(web->method, "DELETE") ? BEAT_ALIVE : BEAT_LEFT,
-                               .seq = body.seq,
-                               .address = must_dup(""),
-                               .account = account,
-                               .state = {.incarnation = body.incarnation,
-                                         .service = body.service,
-                                         .zone = body.zone,
-                                         .rack = body.rack,
-                                         .labels = body.labels,
-                                         .n_labels = body.n_labels,
-                                         .cpu_milli = body.cpu_milli,
-                                         .memory_mb = body.memory_mb,
-                                         .gpus = body.gpus,
-                                         .draining = body.draining,
-                                         .departure_ms = body.departure_ms,
-                                         .warmup_ms = body.warmup_ms}};
+        (struct executor_heartbeat){.kind = strcmp(web->method, "DELETE") ? HEARTBEAT_ALIVE : HEARTBEAT_LEAVING,
+                                    .seq = body.seq,
+                                    .address = must_dup(""),
+                                    .account = account,
+                                    .state = {.incarnation = body.incarnation,
+                                              .service = body.service,
+                                              .zone = body.zone,
+                                              .rack = body.rack,
+                                              .labels = body.labels,
+                                              .n_labels = body.n_labels,
+                                              .cpu_milli = body.cpu_milli,
+                                              .memory_mb = body.memory_mb,
+                                              .gpus = body.gpus,
+                                              .draining = body.draining,
+                                              .departure_ms = body.departure_ms,
+                                              .warmup_ms = body.warmup_ms}};
     return ERROR_NONE;
 }
 
@@ -339,7 +339,7 @@
     return list;
 }
 
-static char *encode_beat_response(const struct beat_orders *orders)
+static char *encode_beat_response(const struct heartbeat_orders *orders)
 {
     json_t *body =
         json_pack("{s:I,s:I,s:I,s:I,s:o,s:o}", "epoch", (json_int_t)orders->epoch, "seen", (json_int_t)orders->seen,
@@ -354,4 +354,4 @@
                                                       .stop = say_stop,
                                                       .poll = say_poll,
                                                       .read = executor_read,
-                                                      .beat_response = encode_beat_response};
+                                                      .heartbeat_response = encode_beat_response};
--- a/sim/cluster_net.c
+++ b/sim/cluster_net.c
@@ -132,7 +132,7 @@
     else if (event->kind == CEV_FRAME && h->controller)
         controller_take(h->controller, event->frame->bytes.at, event->frame->bytes.len);
     else if (event->kind == CEV_FRAME)
-        agent_take(h->agent, event->frame->bytes.at, event->frame->bytes.len);
+        agent_on_frame(h->agent, event->frame->bytes.at, event->frame->bytes.len);
     else if (event->kind == CEV_REQUEST)
         h->controller ? controller_request(h->controller, event->call, &web)
                       : agent_request(h->agent, event->call, &web);
--- a/sim/cluster_run.c
+++ b/sim/cluster_run.c
@@ -8,7 +8,7 @@
 {
     memset(c, 0, sizeof *c);
     c->machines_lost = options->machines_lost ? options->machines_lost : 1;
-    c->by_beat = options->by_beat;
+    c->orders_by_heartbeat = options->orders_by_heartbeat;
     c->log = options->log;
     c->state = hash_mix(seed, 0xc1057e);
     c->calm = 1;
--- a/sim/sim.c
+++ b/sim/sim.c
@@ -63,7 +63,7 @@
                                .incarnation = m->generation};
     executor_start(&m->core.executor, &m->base, &setup);
     /* it trusts every order, so the oracle sees what the nodes do, not what it would refuse */
-    m->core.executor.naive = 1;
+    m->core.executor.accepts_all = 1;
     m->core.executor.journal = oracle_executor;
     m->core.executor.journal_arg = m;
 }
--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -22,7 +22,7 @@
 {
     agent->incarnation.beat.open = 0; /* the HTTP server has ended the request */
     agent_incarnation_end(agent);
-    schema_free(&executor_beat_schema, &agent->candidate);
+    schema_free(&executor_heartbeat_schema, &agent->candidate);
     for (int64_t i = 0; i < ENDED_INCARNATIONS_MAX; i++)
         free(agent->ended_incarnations[i]);
     for (int64_t i = 0; i < agent->n_lost_incarnations; i++)
@@ -85,7 +85,7 @@
     agent_calls_step(agent, now);
 }
 
-void agent_take(struct agent *agent, const uint8_t *at, int64_t len)
+void agent_on_frame(struct agent *agent, const uint8_t *at, int64_t len)
 {
     struct frame frame;
     if (frame_parse(&frame, at, len, agent->cluster)) {
@@ -136,7 +136,7 @@
 
 int agent_left(const struct agent *agent) { return (int)agent->left; }
 
-void agent_reread(struct agent *agent, const int64_t *seeds, int64_t n_seeds)
+void agent_set_seeds(struct agent *agent, const int64_t *seeds, int64_t n_seeds)
 {
     directory_seeds(&agent->directory, seeds, n_seeds);
 }
--- a/src/agent/agent_beats.c
+++ b/src/agent/agent_beats.c
@@ -16,8 +16,8 @@
 
 static void drop_candidate(struct agent *agent)
 {
-    schema_free(&executor_beat_schema, &agent->candidate);
-    agent->candidate = (struct executor_beat){0};
+    schema_free(&executor_heartbeat_schema, &agent->candidate);
+    agent->candidate = (struct executor_heartbeat){0};
     agent->candidate_due_ms = agent->candidate_retry_ms = 0;
 }
 
@@ -51,7 +51,7 @@
     free(incarnation);
 }
 
-static void incarnation_begin(struct agent *agent, struct executor_beat *beat)
+static void incarnation_begin(struct agent *agent, struct executor_heartbeat *beat)
 {
     agent->incarnation = (struct agent_incarnation){.present = 1, .beat_seq = beat->seq, .state = beat->state};
     beat->state = (struct executor_state){0};
@@ -60,16 +60,16 @@
 
 void agent_candidate_answered(struct agent *agent)
 {
-    struct executor_beat beat = agent->candidate;
-    agent->candidate = (struct executor_beat){0};
+    struct executor_heartbeat beat = agent->candidate;
+    agent->candidate = (struct executor_heartbeat){0};
     if (agent->incarnation.present)
         agent_incarnation_over(agent, agent->incarnation.state.incarnation);
     incarnation_begin(agent, &beat);
-    schema_free(&executor_beat_schema, &beat);
+    schema_free(&executor_heartbeat_schema, &beat);
     drop_candidate(agent);
 }
 
-static int renew_state(struct agent *agent, struct executor_state *state, int64_t *seq, struct executor_beat *beat)
+static int renew_state(struct agent *agent, struct executor_state *state, int64_t *seq, struct executor_heartbeat *beat)
 {
     if (beat->seq <= *seq)
         return 0;
@@ -95,19 +95,20 @@
 }
 
 /* Returns whether it is the newest heartbeat of the current incarnation. */
-static int take_beat(struct agent *agent, struct executor_beat *beat, int64_t now)
+static int take_beat(struct agent *agent, struct executor_heartbeat *beat, int64_t now)
 {
     const char *incarnation = beat->state.incarnation;
     int newest = 0;
     if (!incarnation || is_ended(agent, incarnation))
         return 0;
-    if (beat->kind == BEAT_LEFT) {
+    if (beat->kind == HEARTBEAT_LEAVING) {
         left(agent, incarnation, now);
     } else if (agent->incarnation.present && !strcmp(agent->incarnation.state.incarnation, incarnation)) {
         int64_t has_left = agent->incarnation.left;
         newest = renew_state(agent, &agent->incarnation.state, &agent->incarnation.beat_seq, beat);
         agent->incarnation.state.draining |= has_left;
-    } else if (agent->setup.by_beat || (!agent->incarnation.present && !agent->candidate.state.incarnation)) {
+    } else if (agent->setup.orders_by_heartbeat ||
+               (!agent->incarnation.present && !agent->candidate.state.incarnation)) {
         /* only the executor itself sends heartbeats here: an incarnation that does has taken the place */
         if (agent->incarnation.present)
             agent_incarnation_over(agent, agent->incarnation.state.incarnation);
@@ -118,7 +119,7 @@
     } else {
         drop_candidate(agent);
         agent->candidate = *beat;
-        *beat = (struct executor_beat){0};
+        *beat = (struct executor_heartbeat){0};
     }
     return newest;
 }
@@ -132,7 +133,7 @@
     int error = codec->read(&request, web, &validation_error);
     if (!error && request.kind != REQUEST_BEAT)
         error = ERROR_NO_SUCH;
-    if (!error && take_beat(agent, api_request_beat(&request), now) && agent->setup.by_beat) {
+    if (!error && take_beat(agent, api_request_beat(&request), now) && agent->setup.orders_by_heartbeat) {
         agent_beat_taken(agent, slot, &api_request_beat(&request)->account, now);
         schema_free(&api_request_schema, &request);
         return;
--- a/src/agent/agent_by_beat.c
+++ b/src/agent/agent_by_beat.c
@@ -52,7 +52,7 @@
                : BEAT_IDLE_MS;
 }
 
-void agent_beat_taken(struct agent *agent, int64_t slot, struct executor_account *account, int64_t now)
+void agent_beat_taken(struct agent *agent, int64_t slot, struct heartbeat_report *account, int64_t now)
 {
     struct agent_incarnation *incarnation = &agent->incarnation;
     agent_beat_close(agent);
@@ -88,7 +88,7 @@
 {
     if (agent->incarnation.beat.clock_ms < 0)
         return 0;
-    int64_t taken_ms = agent->incarnation.beat.taken_ms + BEAT_TAKEN_MS;
+    int64_t taken_ms = agent->incarnation.beat.taken_ms + HEARTBEAT_RESPONSE_MAX_MS;
     int64_t hold = (agent->grant_until_ms - (taken_ms > now ? taken_ms : now)) * SLOW_PCT / 100;
     return hold < 0 ? 0 : hold < agent->setup.hold_max_ms ? hold : agent->setup.hold_max_ms;
 }
@@ -120,7 +120,7 @@
 static void beat_respond(struct agent *agent, int64_t now)
 {
     struct agent_incarnation *incarnation = &agent->incarnation;
-    struct beat_orders orders = {.epoch = agent->epoch, .seen = incarnation->seen, .retry_ms = BEAT_RETRY_MS};
+    struct heartbeat_orders orders = {.epoch = agent->epoch, .seen = incarnation->seen, .retry_ms = BEAT_RETRY_MS};
     const struct run_start **runs = must_alloc(sizeof *runs * 2 * ((size_t)agent->n_works + 1));
     int64_t starts = may_start(agent, now);
     orders.starts = runs;
@@ -139,9 +139,10 @@
     }
     if (!incarnation->left && incarnation->ready && (incarnation->lists.n_active || orders.n_starts))
         orders.hold_ms = best_hold(agent, now);
-    if (orders.hold_ms && incarnation->beat.clock_ms + BEAT_TAKEN_MS + orders.hold_ms > incarnation->sent_expiry_ms)
-        incarnation->sent_expiry_ms = incarnation->beat.clock_ms + BEAT_TAKEN_MS + orders.hold_ms;
-    char *body = agent->setup.executor_codec->beat_response(&orders);
+    if (orders.hold_ms &&
+        incarnation->beat.clock_ms + HEARTBEAT_RESPONSE_MAX_MS + orders.hold_ms > incarnation->sent_expiry_ms)
+        incarnation->sent_expiry_ms = incarnation->beat.clock_ms + HEARTBEAT_RESPONSE_MAX_MS + orders.hold_ms;
+    char *body = agent->setup.executor_codec->heartbeat_response(&orders);
     agent->number++;
     agent->world->calls->answer(agent->world, incarnation->beat.slot, 200, 0, body);
     free(body);
@@ -172,7 +173,7 @@
         return;
     }
     int64_t last_ms = beat->answered ? beat->answered_ms : beat->taken_ms;
-    if (incarnation->left && !incarnation->left_silent_ms && now - incarnation->left_ms >= BEAT_TAKEN_MS &&
+    if (incarnation->left && !incarnation->left_silent_ms && now - incarnation->left_ms >= HEARTBEAT_RESPONSE_MAX_MS &&
         beat->taken_ms <= incarnation->left_ms)
         incarnation->left_silent_ms = incarnation->left_ms;
     if (!incarnation->silent_since_ms && beat->answered && now - last_ms >= BEAT_RETRY_MS + BEAT_SILENT_MS)
--- a/src/agent/agent_calls.c
+++ b/src/agent/agent_calls.c
@@ -175,7 +175,7 @@
 void agent_calls_step(struct agent *agent, int64_t now)
 {
     struct agent_incarnation *incarnation = &agent->incarnation;
-    if (agent->setup.by_beat) {
+    if (agent->setup.orders_by_heartbeat) {
         agent_beat_step(agent, now);
         return;
     }
--- a/src/agent/agent_lease.c
+++ b/src/agent/agent_lease.c
@@ -30,7 +30,7 @@
         over_ms = left > 0 ? left * 100 / SLOW_PCT + 1 + OVER_MARGIN_MS : 0;
     }
     /* leases sent by a former process of this agent expire at the latest the longest hold after this one began */
-    int64_t taken_ms = agent->setup.by_beat ? BEAT_TAKEN_MS : 0;
+    int64_t taken_ms = agent->setup.orders_by_heartbeat ? HEARTBEAT_RESPONSE_MAX_MS : 0;
     int64_t inherited = agent->started_ms + taken_ms + agent->setup.hold_max_ms * 100 / SLOW_PCT + OVER_MARGIN_MS - now;
     return inherited > over_ms ? inherited : over_ms;
 }
--- a/src/agent/agent_state.h
+++ b/src/agent/agent_state.h
@@ -142,7 +142,7 @@
     int64_t grant_stamp_ms;   /* and stamp_ms of the report that it was granted for */
     int64_t last_stamp_ms;
     struct agent_incarnation incarnation;
-    struct executor_beat candidate; /* a new incarnation that claims the place; incarnation NULL: none */
+    struct executor_heartbeat candidate; /* a new incarnation that claims the place; incarnation NULL: none */
     int64_t candidate_due_ms, candidate_retry_ms;
     char *ended_incarnations[ENDED_INCARNATIONS_MAX]; /* incarnations known to be over, a ring */
     int64_t n_ended_incarnations;
@@ -236,7 +236,7 @@
 
 /* agent_by_beat.c: executors that take orders in the responses to heartbeats */
 /* Takes in the newest heartbeat; slot: of its response. */
-void agent_beat_taken(struct agent *agent, int64_t slot, struct executor_account *account, int64_t now);
+void agent_beat_taken(struct agent *agent, int64_t slot, struct heartbeat_report *account, int64_t now);
 /* Responds to the open heartbeat once there are orders, or it has been open for long enough. */
 void agent_beat_step(struct agent *agent, int64_t now);
 /* Responds to the open heartbeat, if there is one, without orders. */
--- a/src/agent/codec_schemas.c
+++ b/src/agent/codec_schemas.c
@@ -18,21 +18,21 @@
 
 /* Goes over the wire within requests; older versions had two numbers after the clock. */
 static const struct field account_fields[] = {
-    INT_NAMED(executor_account, clock_ms, "clockMs"),
-    INT_NAMED(executor_account, clock_ms, "refusal", .kinds = KINDS_NONE),
-    INT_NAMED(executor_account, clock_ms, "otherLife", .kinds = KINDS_NONE),
-    LIST_NAMED(executor_account, lists.active, "active", lists.n_active, run_active_schema),
-    LIST_NAMED(executor_account, lists.ended, "ended", lists.n_ended, run_ended_schema)};
-static SCHEMA_TAGGED(executor_account_schema, executor_account, account_fields);
+    INT_NAMED(heartbeat_report, clock_ms, "clockMs"),
+    INT_NAMED(heartbeat_report, clock_ms, "refusal", .kinds = KINDS_NONE),
+    INT_NAMED(heartbeat_report, clock_ms, "otherLife", .kinds = KINDS_NONE),
+    LIST_NAMED(heartbeat_report, lists.active, "active", lists.n_active, run_active_schema),
+    LIST_NAMED(heartbeat_report, lists.ended, "ended", lists.n_ended, run_ended_schema)};
+static SCHEMA_TAGGED(executor_account_schema, heartbeat_report, account_fields);
 
 static const struct field beat_fields[] = {
-    INT(executor_beat, kind), INT(executor_beat, seq), STR(executor_beat, address),
-    SUB(executor_beat, state, executor_state_schema), SUB(executor_beat, account, executor_account_schema)};
-SCHEMA(executor_beat_schema, executor_beat, beat_fields);
+    INT(executor_heartbeat, kind), INT(executor_heartbeat, seq), STR(executor_heartbeat, address),
+    SUB(executor_heartbeat, state, executor_state_schema), SUB(executor_heartbeat, account, executor_account_schema)};
+SCHEMA(executor_heartbeat_schema, executor_heartbeat, beat_fields);
 
 void run_lists_free(struct run_lists *lists)
 {
-    struct executor_account account = {.lists = *lists};
+    struct heartbeat_report account = {.lists = *lists};
     schema_free(&executor_account_schema, &account);
     *lists = (struct run_lists){0};
 }
--- a/src/agent/executor_codec.h
+++ b/src/agent/executor_codec.h
@@ -43,11 +43,11 @@
 int64_t executor_response_refusal(const struct executor_response *response);
 
 /* An executor takes the response to a heartbeat only within so long after it sent the heartbeat. */
-enum { BEAT_TAKEN_MS = 1000 };
+enum { HEARTBEAT_RESPONSE_MAX_MS = 1000 };
 
 /* Orders in the response to a heartbeat. hold_ms: length of the lease from when the executor takes the response, 0: not
  * renewed; retry_ms: delay of its next heartbeat. Lists are borrowed. */
-struct beat_orders {
+struct heartbeat_orders {
     int64_t epoch, seen, hold_ms, retry_ms;
     const struct run_start **starts;
     const struct run_start **stops;
@@ -69,23 +69,24 @@
      * clock_ms. */
     int (*read)(struct executor_response *response, int status, const char *body, int64_t len);
     /* The body of a response to a heartbeat, the caller's to free(). */
-    char *(*beat_response)(const struct beat_orders *orders);
+    char *(*heartbeat_response)(const struct heartbeat_orders *orders);
 };
 
-enum beat_kind { BEAT_ALIVE, BEAT_LEFT };
+enum heartbeat_kind { HEARTBEAT_ALIVE, HEARTBEAT_LEAVING };
 /* What a heartbeat says beyond the executor's state. clock_ms: its clock, 0 or -1: not given; lists: only of executors
  * that take orders by heartbeats. */
-struct executor_account {
+struct heartbeat_report {
     int64_t clock_ms;
     struct run_lists lists;
 };
-/* A heartbeat: an executor reports that it is there, or that it leaves. Of BEAT_LEFT only state.incarnation counts. */
-struct executor_beat {
-    int64_t kind;  /* enum beat_kind */
+/* A heartbeat: an executor reports that it is there, or that it leaves. Of HEARTBEAT_LEAVING only state.incarnation
+ * counts. */
+struct executor_heartbeat {
+    int64_t kind;  /* enum heartbeat_kind */
     int64_t seq;   /* rises with every heartbeat of one incarnation */
     char *address; /* that it listens at */
     struct executor_state state;
-    struct executor_account account;
+    struct heartbeat_report account;
 };
-extern const struct schema executor_beat_schema;
+extern const struct schema executor_heartbeat_schema;
 #endif
--- a/src/controller/api_message.c
+++ b/src/controller/api_message.c
@@ -4,7 +4,7 @@
 #include <stddef.h>
 #include <stdlib.h>
 
-_Static_assert(sizeof(struct executor_beat) == sizeof(((struct api_request *)NULL)->body), "the largest is first");
+_Static_assert(sizeof(struct executor_heartbeat) == sizeof(((struct api_request *)NULL)->body), "the largest is first");
 
 /* The schemas describe members that several kinds share once, so they must lie at the same place. */
 _Static_assert(offsetof(struct api_response, body.state) == offsetof(struct api_response, body.explanation.state),
@@ -30,7 +30,7 @@
     INT_NAMED(api_request, body.config.base, "base", .kinds = CONFIG_KINDS),
     SUB_NAMED(api_request, body.job, "spec", submission_schema, .kinds = KIND_BIT(REQUEST_JOB)),
     SUB_NAMED(api_request, body.config.config, "config", config_schema, .kinds = CONFIG_KINDS),
-    SUB_NAMED(api_request, body.beat, "beat", executor_beat_schema, .kinds = KIND_BIT(REQUEST_BEAT)),
+    SUB_NAMED(api_request, body.beat, "beat", executor_heartbeat_schema, .kinds = KIND_BIT(REQUEST_BEAT)),
     PTR_NAMED(api_request, body.rules, "rules", rules_change_schema, .kinds = RULES_KINDS)};
 SCHEMA_TAGGED(api_request_schema, api_request, api_request_fields);
 
@@ -110,7 +110,7 @@
 
 void api_request_make_ready(struct api_request *request) { set_kind(request, REQUEST_READY); }
 
-struct executor_beat *api_request_make_beat(struct api_request *request)
+struct executor_heartbeat *api_request_make_beat(struct api_request *request)
 {
     set_kind(request, REQUEST_BEAT);
     return &request->body.beat;
@@ -154,7 +154,7 @@
     return &request->body.config;
 }
 
-struct executor_beat *api_request_beat(struct api_request *request)
+struct executor_heartbeat *api_request_beat(struct api_request *request)
 {
     check_kind(request->kind, KIND_BIT(REQUEST_BEAT));
     return &request->body.beat;
--- a/src/controller/api_message.h
+++ b/src/controller/api_message.h
@@ -33,11 +33,11 @@
     int64_t wait_ms;   /* how long the caller waits, 0: it does not say */
     char *host, *path; /* as sent; of requests about jobs and queues they decide the queue */
     union {
-        struct executor_beat beat;   /* REQUEST_BEAT; the largest member is first, so that {0} clears them all */
-        struct job_spec job;         /* REQUEST_JOB */
-        int64_t job_id;              /* REQUEST_STATE, REQUEST_CANCEL, REQUEST_WHY, REQUEST_RULES_JOB */
-        struct config_change config; /* REQUEST_CONFIG_PUT, REQUEST_CONFIG_PATCH */
-        struct rules_change *rules;  /* REQUEST_RULES_PUT; REQUEST_RULES_GET: only its outlet is used */
+        struct executor_heartbeat beat; /* REQUEST_BEAT; the largest member is first, so that {0} clears them all */
+        struct job_spec job;            /* REQUEST_JOB */
+        int64_t job_id;                 /* REQUEST_STATE, REQUEST_CANCEL, REQUEST_WHY, REQUEST_RULES_JOB */
+        struct config_change config;    /* REQUEST_CONFIG_PUT, REQUEST_CONFIG_PATCH */
+        struct rules_change *rules;     /* REQUEST_RULES_PUT; REQUEST_RULES_GET: only its outlet is used */
     } body;
 };
 
@@ -50,7 +50,7 @@
 struct config_change *api_request_make_config_patch(struct api_request *request);
 void api_request_make_config_get(struct api_request *request);
 void api_request_make_ready(struct api_request *request);
-struct executor_beat *api_request_make_beat(struct api_request *request);
+struct executor_heartbeat *api_request_make_beat(struct api_request *request);
 void api_request_make_why(struct api_request *request, int64_t job_id);
 /* outlet: copied; NULL: head office's rules. The change has the defaults of its schema. */
 struct rules_change *api_request_make_rules_put(struct api_request *request, const char *outlet);
@@ -61,7 +61,7 @@
 const struct job_spec *api_request_job(const struct api_request *request);
 int64_t api_request_job_id(const struct api_request *request);                     /* of all four kinds that have it */
 const struct config_change *api_request_config(const struct api_request *request); /* of both kinds */
-struct executor_beat *api_request_beat(struct api_request *request);
+struct executor_heartbeat *api_request_beat(struct api_request *request);
 const struct rules_change *api_request_rules(const struct api_request *request);
 const char *api_request_outlet(const struct api_request *request); /* REQUEST_RULES_GET; NULL: head office */
 
--- a/src/executor/executor.c
+++ b/src/executor/executor.c
@@ -235,7 +235,7 @@
     struct exec_task task = {.job = s->job, .no = s->no, .attempt = s->attempt, .cores = s->cores, .mem_mb = s->mem_mb};
     if (known(e, s->job, s->no, s->attempt) || now_ms >= ticket_ms + s->lease_ms)
         return;
-    const char *why = e->naive ? NULL : refuses(e, s);
+    const char *why = e->accepts_all ? NULL : refuses(e, s);
     if (why) {
         end_add(e, &task, "unstarted", why);
         return;
--- a/src/executor/executor.h
+++ b/src/executor/executor.h
@@ -42,7 +42,7 @@
     /* faults */
     int64_t fail_pct, stall_pct, slow_pct, stop_ms;
     int64_t other_cores; /* taken by work that is not ours */
-    int64_t naive;       /* takes every order; only tests want that */
+    int64_t accepts_all; /* takes every order; only tests want that */
     exec_journal *journal;
     void *journal_arg;
 };
--- a/src/proc/disk.c
+++ b/src/proc/disk.c
@@ -10,35 +10,35 @@
 #include "base/error.h"
 #include "proc/real.h"
 
-static struct real *real_of(struct world *w) { return (struct real *)w; }
+static struct runtime *real_of(struct world *w) { return (struct runtime *)w; }
 
-static const char *path_of(struct real *real, const char *name)
+static const char *path_of(struct runtime *runtime, const char *name)
 {
     static char paths[2][1200];
     static int turn;
     char *path = paths[turn++ & 1];
-    snprintf(path, sizeof paths[0], "%s/%s", real->folder, name);
+    snprintf(path, sizeof paths[0], "%s/%s", runtime->folder, name);
     return path;
 }
 
-static void forget(struct real *real, const char *name)
+static void forget(struct runtime *runtime, const char *name)
 {
-    for (int i = 0; i < COUNT_OF(real->files); i++)
-        if (!strcmp(real->files[i].name, name)) {
-            close(real->files[i].fd);
-            real->files[i].name[0] = 0;
+    for (int i = 0; i < COUNT_OF(runtime->files); i++)
+        if (!strcmp(runtime->files[i].name, name)) {
+            close(runtime->files[i].fd);
+            runtime->files[i].name[0] = 0;
         }
 }
 
-static int open_for_add(struct real *real, const char *name)
+static int open_for_add(struct runtime *runtime, const char *name)
 {
-    for (int i = 0; i < COUNT_OF(real->files); i++)
-        if (!strcmp(real->files[i].name, name))
-            return real->files[i].fd;
-    int fd = open(path_of(real, name), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0640);
+    for (int i = 0; i < COUNT_OF(runtime->files); i++)
+        if (!strcmp(runtime->files[i].name, name))
+            return runtime->files[i].fd;
+    int fd = open(path_of(runtime, name), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0640);
     if (fd < 0)
         return -1;
-    struct disk_file *file = &real->files[real->next_file++ % COUNT_OF(real->files)];
+    struct disk_file *file = &runtime->files[runtime->next_file++ % COUNT_OF(runtime->files)];
     if (*file->name)
         close(file->fd);
     snprintf(file->name, sizeof file->name, "%s", name);
@@ -123,21 +123,21 @@
     return unlink(path_of(real_of(w), name)) && errno != ENOENT ? ERROR_DISK : ERROR_NONE;
 }
 
-enum sagehitch_error folder_start(struct real *real, const char *folder)
+enum sagehitch_error folder_start(struct runtime *runtime, const char *folder)
 {
     struct stat st;
-    real->folder = must_dup(folder);
+    runtime->folder = must_dup(folder);
     if (mkdir(folder, 0750) && errno != EEXIST)
         return ERROR_DISK;
     return stat(folder, &st) || !S_ISDIR(st.st_mode) ? ERROR_DISK : ERROR_NONE;
 }
 
-void folder_end(struct real *real)
+void folder_end(struct runtime *runtime)
 {
-    for (int i = 0; i < COUNT_OF(real->files); i++)
-        if (*real->files[i].name)
-            close(real->files[i].fd);
-    free(real->folder);
+    for (int i = 0; i < COUNT_OF(runtime->files); i++)
+        if (*runtime->files[i].name)
+            close(runtime->files[i].fd);
+    free(runtime->folder);
 }
 
 void folder_calls(struct world_calls *calls) { WORLD_TAKE_DISK(calls); }
--- a/src/proc/http_in.c
+++ b/src/proc/http_in.c
@@ -25,7 +25,7 @@
 /* A request. begun_ms: when its head was there. Invariant: slot is its cell in real->requests from when the whole body
  * was received until the connection is done with it. */
 struct request {
-    struct real *real;
+    struct runtime *runtime;
     struct MHD_Connection *connection;
     char *path, *answer;
     struct bytes body;
@@ -37,21 +37,21 @@
     struct request *request;
 };
 
-void api_flush(struct real *real)
+void api_flush(struct runtime *runtime)
 {
-    if (real->answers_due)
-        api_poke(real);
+    if (runtime->answers_due)
+        api_poke(runtime);
 }
 
-void api_poke(struct real *real)
+void api_poke(struct runtime *runtime)
 {
-    real->answers_due = 0;
-    MHD_run(real->daemon);
+    runtime->answers_due = 0;
+    MHD_run(runtime->daemon);
     MHD_UNSIGNED_LONG_LONG wait_ms;
-    ev_timer_stop(real->loop, &real->daemon_timer);
-    if (MHD_get_timeout(real->daemon, &wait_ms) == MHD_YES) {
-        ev_timer_set(&real->daemon_timer, wait_ms < 1 ? 0.001 : (double)wait_ms / 1000., 0.);
-        ev_timer_start(real->loop, &real->daemon_timer);
+    ev_timer_stop(runtime->loop, &runtime->daemon_timer);
+    if (MHD_get_timeout(runtime->daemon, &wait_ms) == MHD_YES) {
+        ev_timer_set(&runtime->daemon_timer, wait_ms < 1 ? 0.001 : (double)wait_ms / 1000., 0.);
+        ev_timer_start(runtime->loop, &runtime->daemon_timer);
     }
 }
 
@@ -77,7 +77,7 @@
         snprintf(seconds, sizeof seconds, "%lld", (long long)((request->retry_ms + 999) / 1000));
         MHD_add_response_header(response, "Retry-After", seconds);
     }
-    if (request->real->role.web && request->real->leaving_ms)
+    if (request->runtime->role.on_request && request->runtime->leaving_ms)
         MHD_add_response_header(response, "Connection", "close");
     enum MHD_Result result = MHD_queue_response(request->connection, (unsigned)request->status, response);
     MHD_destroy_response(response);
@@ -86,8 +86,8 @@
 
 void api_reply(struct world *w, int64_t slot, int status, int64_t retry_ms, const char *body)
 {
-    struct real *real = (struct real *)w;
-    struct request_cell *cell = slab_at(&real->requests, slot);
+    struct runtime *runtime = (struct runtime *)w;
+    struct request_cell *cell = slab_at(&runtime->requests, slot);
     if (!cell || cell->request->answer)
         return;
     struct request *request = cell->request;
@@ -97,43 +97,43 @@
     if (request->suspended) {
         request->suspended = 0;
         MHD_resume_connection(request->connection);
-        real->answers_due = 1;
-        ev_timer_stop(real->loop, &real->daemon_timer);
-        ev_timer_set(&real->daemon_timer, 0., 0.);
-        ev_timer_start(real->loop, &real->daemon_timer);
+        runtime->answers_due = 1;
+        ev_timer_stop(runtime->loop, &runtime->daemon_timer);
+        ev_timer_set(&runtime->daemon_timer, 0., 0.);
+        ev_timer_start(runtime->loop, &runtime->daemon_timer);
     }
 }
 
-static const char *header_of(const struct http_request *web, const char *name)
+static const char *header_of(const struct http_request *on_request, const char *name)
 {
-    return MHD_lookup_connection_value(web->arg, MHD_HEADER_KIND, name);
+    return MHD_lookup_connection_value(on_request->arg, MHD_HEADER_KIND, name);
 }
 
 static void request_dispatch(struct request *request, const char *method)
 {
-    struct real *real = request->real;
+    struct runtime *runtime = request->runtime;
     const char *body = request->body.len ? (char *)request->body.at : "";
-    if (!real->role.web) {
-        real->role.request(real->role.arg, request->slot, method, request->path, body, request->body.len);
+    if (!runtime->role.on_request) {
+        runtime->role.request(runtime->role.arg, request->slot, method, request->path, body, request->body.len);
         return;
     }
     const union MHD_ConnectionInfo *info =
         MHD_get_connection_info(request->connection, MHD_CONNECTION_INFO_SOCKET_CONTEXT);
     const struct web_listener *at = info->socket_context;
-    struct http_request web = {.entry = at->entry,
-                               .method = method,
-                               .path = request->path,
-                               .body = body,
-                               .len = request->body.len,
-                               .header = header_of,
-                               .arg = request->connection};
-    real->role.web(real->role.arg, request->slot, &web);
+    struct http_request on_request = {.entry = at->entry,
+                                      .method = method,
+                                      .path = request->path,
+                                      .body = body,
+                                      .len = request->body.len,
+                                      .header = header_of,
+                                      .arg = request->connection};
+    runtime->role.on_request(runtime->role.arg, request->slot, &on_request);
 }
 
 /* Takes a part of a body. MHD_NO ends the connection. */
 static enum MHD_Result body_add(struct request *request, const char *data, size_t size)
 {
-    struct world *w = &request->real->base;
+    struct world *w = &request->runtime->base;
     if (world_ms(w) - request->begun_ms > BODY_MS) {
         world_note(w, EV_REQUEST_DROPPED, "slow path=%.100s bytes=%lld", request->path, (long long)request->body.len);
         return MHD_NO;
@@ -151,14 +151,14 @@
 static enum MHD_Result handle(void *arg, struct MHD_Connection *connection, const char *url, const char *method,
                               const char *version, const char *data, size_t *size, void **cls)
 {
-    struct real *real = arg;
+    struct runtime *runtime = arg;
     struct request *request = *cls;
     (void)url, (void)version;
     if (!request)
         return MHD_NO;
     if (!request->connection) {
         request->connection = connection;
-        request->begun_ms = world_ms(&real->base);
+        request->begun_ms = world_ms(&runtime->base);
         return MHD_YES;
     }
     if (*size) {
@@ -171,12 +171,12 @@
     if (request->asked)
         return MHD_YES;
     request->asked = 1;
-    request->slot = slab_take(&real->requests, sizeof(struct request_cell));
-    ((struct request_cell *)slab_at(&real->requests, request->slot))->request = request;
-    if (real->closing)
-        world_answer(&real->base, request->slot, ERROR_UNAVAILABLE, "this process is stopping");
+    request->slot = slab_take(&runtime->requests, sizeof(struct request_cell));
+    ((struct request_cell *)slab_at(&runtime->requests, request->slot))->request = request;
+    if (runtime->closing)
+        world_answer(&runtime->base, request->slot, ERROR_UNAVAILABLE, "this process is stopping");
     else if (request->too_large)
-        world_answer(&real->base, request->slot, ERROR_TOO_LARGE, "the body is over %d bytes", BODY_MAX);
+        world_answer(&runtime->base, request->slot, ERROR_TOO_LARGE, "the body is over %d bytes", BODY_MAX);
     else
         request_dispatch(request, method);
     if (request->answer)
@@ -190,7 +190,7 @@
 {
     struct request *request = must_alloc(sizeof *request);
     (void)connection;
-    request->real = arg;
+    request->runtime = arg;
     request->path = must_dup(uri);
     return request;
 }
@@ -202,7 +202,7 @@
     (void)arg, (void)connection, (void)code;
     if (!request)
         return;
-    slab_free(&request->real->requests, request->slot);
+    slab_free(&request->runtime->requests, request->slot);
     free(request->path);
     free(request->answer);
     bytes_free(&request->body);
@@ -210,17 +210,17 @@
     *cls = NULL;
 }
 
-static enum sagehitch_error watch_daemon(struct real *real)
+static enum sagehitch_error watch_daemon(struct runtime *runtime)
 {
-    if (!real->daemon)
+    if (!runtime->daemon)
         return ERROR_BAD_SETTING;
-    const union MHD_DaemonInfo *info = MHD_get_daemon_info(real->daemon, MHD_DAEMON_INFO_EPOLL_FD);
-    ev_io_init(&real->daemon_io, daemon_event, info->epoll_fd, EV_READ);
-    real->daemon_io.data = real;
-    ev_io_start(real->loop, &real->daemon_io);
-    ev_timer_init(&real->daemon_timer, daemon_timer, 0.01, 0.);
-    real->daemon_timer.data = real;
-    ev_timer_start(real->loop, &real->daemon_timer);
+    const union MHD_DaemonInfo *info = MHD_get_daemon_info(runtime->daemon, MHD_DAEMON_INFO_EPOLL_FD);
+    ev_io_init(&runtime->daemon_io, daemon_event, info->epoll_fd, EV_READ);
+    runtime->daemon_io.data = runtime;
+    ev_io_start(runtime->loop, &runtime->daemon_io);
+    ev_timer_init(&runtime->daemon_timer, daemon_timer, 0.01, 0.);
+    runtime->daemon_timer.data = runtime;
+    ev_timer_start(runtime->loop, &runtime->daemon_timer);
     return ERROR_NONE;
 }
 
@@ -231,14 +231,14 @@
     return at;
 }
 
-int api_start(struct real *real)
+int api_start(struct runtime *runtime)
 {
-    struct sockaddr_in at = address(real->base.http_addr);
-    real->daemon = MHD_start_daemon(MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, handle, real,
-                                    MHD_OPTION_SOCK_ADDR, &at, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u,
-                                    MHD_OPTION_URI_LOG_CALLBACK, request_begin, real, MHD_OPTION_NOTIFY_COMPLETED,
-                                    request_completed, real, MHD_OPTION_CONNECTION_TIMEOUT, 60u, MHD_OPTION_END);
-    return watch_daemon(real);
+    struct sockaddr_in at = address(runtime->base.http_addr);
+    runtime->daemon = MHD_start_daemon(MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, handle, runtime,
+                                       MHD_OPTION_SOCK_ADDR, &at, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u,
+                                       MHD_OPTION_URI_LOG_CALLBACK, request_begin, runtime, MHD_OPTION_NOTIFY_COMPLETED,
+                                       request_completed, runtime, MHD_OPTION_CONNECTION_TIMEOUT, 60u, MHD_OPTION_END);
+    return watch_daemon(runtime);
 }
 
 /* --- one server behind several listeners ---------------------------------------- */
@@ -246,41 +246,41 @@
 static void connection_event(void *arg, struct MHD_Connection *connection, void **context,
                              enum MHD_ConnectionNotificationCode code)
 {
-    struct real *real = arg;
+    struct runtime *runtime = arg;
     (void)connection;
     if (code == MHD_CONNECTION_NOTIFY_STARTED)
-        *context = &real->listeners[real->entry];
+        *context = &runtime->listeners[runtime->entry];
 }
 
 static void listener_event(struct ev_loop *loop, ev_io *io, int events)
 {
     struct web_listener *at = io->data;
-    struct real *real = at->real;
+    struct runtime *runtime = at->runtime;
     struct sockaddr_in from;
     socklen_t len = sizeof from;
     int fd, on = 1, taken = 0;
     (void)loop, (void)events;
     while ((fd = accept4(at->fd, (struct sockaddr *)&from, &len, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0) {
         setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-        real->entry = at - real->listeners;
-        MHD_add_connection(real->daemon, fd, (struct sockaddr *)&from, len); /* closes fd where it fails */
+        runtime->entry = at - runtime->listeners;
+        MHD_add_connection(runtime->daemon, fd, (struct sockaddr *)&from, len); /* closes fd where it fails */
         len = sizeof from;
         taken = 1;
     }
     if (taken)
-        api_poke(real);
+        api_poke(runtime);
 }
 
-static enum sagehitch_error listen_at(struct real *real, int64_t entry, uint64_t addr)
+static enum sagehitch_error listen_at(struct runtime *runtime, int64_t entry, uint64_t addr)
 {
-    struct web_listener *at = &real->listeners[real->n_listeners];
+    struct web_listener *at = &runtime->listeners[runtime->n_listeners];
     struct sockaddr_in in = address(addr);
     int on = 1;
-    *at = (struct web_listener){.real = real, .entry = entry};
+    *at = (struct web_listener){.runtime = runtime, .entry = entry};
     at->fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (at->fd < 0)
         return ERROR_BAD_SETTING;
-    real->n_listeners++;
+    runtime->n_listeners++;
     setsockopt(at->fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
     if (bind(at->fd, (struct sockaddr *)&in, sizeof in) || listen(at->fd, BACKLOG)) {
         fprintf(stderr, "sagehitch: cannot listen on %s\n", addr_text(addr));
@@ -288,39 +288,39 @@
     }
     ev_io_init(&at->io, listener_event, at->fd, EV_READ);
     at->io.data = at;
-    ev_io_start(real->loop, &at->io);
+    ev_io_start(runtime->loop, &at->io);
     return ERROR_NONE;
 }
 
-enum sagehitch_error web_open(struct real *real, const int64_t addrs[LISTENERS])
+enum sagehitch_error http_server_start_listeners(struct runtime *runtime, const int64_t addrs[LISTENERS_MAX])
 {
-    _Static_assert((int)LISTENERS == (int)ENTRY_COUNT, "a listener for each entry");
-    real->daemon = MHD_start_daemon(
+    _Static_assert((int)LISTENERS_MAX == (int)ENTRY_COUNT, "a listener for each entry");
+    runtime->daemon = MHD_start_daemon(
         MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME | MHD_USE_NO_LISTEN_SOCKET | MHD_USE_SUPPRESS_DATE_NO_CLOCK, 0, NULL,
-        NULL, handle, real, MHD_OPTION_URI_LOG_CALLBACK, request_begin, real, MHD_OPTION_NOTIFY_COMPLETED,
-        request_completed, real, MHD_OPTION_NOTIFY_CONNECTION, connection_event, real,
+        NULL, handle, runtime, MHD_OPTION_URI_LOG_CALLBACK, request_begin, runtime, MHD_OPTION_NOTIFY_COMPLETED,
+        request_completed, runtime, MHD_OPTION_NOTIFY_CONNECTION, connection_event, runtime,
         MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_BYTES, MHD_OPTION_CONNECTION_LIMIT,
         (unsigned)CONNECTIONS, MHD_OPTION_CONNECTION_TIMEOUT, (unsigned)IDLE_S, MHD_OPTION_END);
-    enum sagehitch_error rc = watch_daemon(real);
+    enum sagehitch_error rc = watch_daemon(runtime);
     for (int64_t entry = 0; !rc && entry < ENTRY_COUNT; entry++)
         if (addrs[entry])
-            rc = listen_at(real, entry, (uint64_t)addrs[entry]);
+            rc = listen_at(runtime, entry, (uint64_t)addrs[entry]);
     return rc;
 }
 
-void api_end(struct real *real)
+void api_end(struct runtime *runtime)
 {
-    for (int64_t i = 0; i < real->n_listeners; i++)
-        close(real->listeners[i].fd);
-    if (!real->daemon)
+    for (int64_t i = 0; i < runtime->n_listeners; i++)
+        close(runtime->listeners[i].fd);
+    if (!runtime->daemon)
         return;
-    real->closing = 1; /* the role has ended: what arrives now must not reach it */
-    for (int64_t i = 0; i < real->requests.cap; i++) {
-        struct request_cell *cell = slab_at(&real->requests, slab_number(&real->requests, i));
+    runtime->closing = 1; /* the role has ended: what arrives now must not reach it */
+    for (int64_t i = 0; i < runtime->requests.cap; i++) {
+        struct request_cell *cell = slab_at(&runtime->requests, slab_number(&runtime->requests, i));
         if (cell && cell->request->suspended)
-            world_answer(&real->base, cell->request->slot, ERROR_UNAVAILABLE, "this process is stopping");
+            world_answer(&runtime->base, cell->request->slot, ERROR_UNAVAILABLE, "this process is stopping");
     }
-    MHD_run(real->daemon);
-    MHD_stop_daemon(real->daemon);
-    slab_end(&real->requests);
+    MHD_run(runtime->daemon);
+    MHD_stop_daemon(runtime->daemon);
+    slab_end(&runtime->requests);
 }
--- a/src/proc/http_out.c
+++ b/src/proc/http_out.c
@@ -12,7 +12,7 @@
  * headed: the head of the response is complete. Invariant: of one that is not repeatable no byte is sent on a second
  * connection once any was sent on a first. */
 struct out {
-    struct real *real;
+    struct runtime *runtime;
     CURL *easy;
     struct curl_slist *headers;
     struct bytes got;
@@ -26,14 +26,14 @@
 
 struct out_io {
     ev_io io;
-    struct real *real;
+    struct runtime *runtime;
 };
 
-static void finish(struct real *real)
+static void finish(struct runtime *runtime)
 {
     CURLMsg *msg;
     int left;
-    while ((msg = curl_multi_info_read(real->multi, &left))) {
+    while ((msg = curl_multi_info_read(runtime->multi, &left))) {
         struct out *out;
         long status = 0;
         if (msg->msg != CURLMSG_DONE)
@@ -41,15 +41,15 @@
         CURLcode code = msg->data.result;
         curl_easy_getinfo(msg->easy_handle, CURLINFO_PRIVATE, &out);
         curl_easy_getinfo(msg->easy_handle, CURLINFO_RESPONSE_CODE, &status);
-        curl_multi_remove_handle(real->multi, out->easy);
-        if (real->n_idle < COUNT_OF(real->idle)) {
+        curl_multi_remove_handle(runtime->multi, out->easy);
+        if (runtime->n_idle < COUNT_OF(runtime->idle)) {
             curl_easy_reset(out->easy);
-            real->idle[real->n_idle++] = out->easy;
+            runtime->idle[runtime->n_idle++] = out->easy;
         } else {
             curl_easy_cleanup(out->easy);
         }
         curl_slist_free_all(out->headers);
-        real->n_calls--;
+        runtime->n_calls--;
         bytes_add(&out->got, "", 0);
         out->done(out->arg, out->tag, code || !out->headed ? 0 : (int)status, (char *)out->got.at, out->got.len);
         bytes_free(&out->got);
@@ -60,42 +60,42 @@
 
 static void io_event(struct ev_loop *loop, ev_io *io, int events)
 {
-    struct real *real = ((struct out_io *)io)->real;
+    struct runtime *runtime = ((struct out_io *)io)->runtime;
     int running, flags = (events & EV_READ ? CURL_CSELECT_IN : 0) | (events & EV_WRITE ? CURL_CSELECT_OUT : 0);
     (void)loop;
-    curl_multi_socket_action(real->multi, io->fd, flags, &running);
-    finish(real);
+    curl_multi_socket_action(runtime->multi, io->fd, flags, &running);
+    finish(runtime);
 }
 
 static void timer_event(struct ev_loop *loop, ev_timer *timer, int events)
 {
-    struct real *real = timer->data;
+    struct runtime *runtime = timer->data;
     int running;
     (void)loop, (void)events;
-    curl_multi_socket_action(real->multi, CURL_SOCKET_TIMEOUT, 0, &running);
-    finish(real);
+    curl_multi_socket_action(runtime->multi, CURL_SOCKET_TIMEOUT, 0, &running);
+    finish(runtime);
 }
 
 static int on_timer(CURLM *multi, long wait_ms, void *arg)
 {
-    struct real *real = arg;
+    struct runtime *runtime = arg;
     (void)multi;
-    ev_timer_stop(real->loop, &real->multi_timer);
+    ev_timer_stop(runtime->loop, &runtime->multi_timer);
     if (wait_ms >= 0) {
-        ev_timer_set(&real->multi_timer, wait_ms > 0 ? (double)wait_ms / 1000. : 0.0001, 0.);
-        ev_timer_start(real->loop, &real->multi_timer);
+        ev_timer_set(&runtime->multi_timer, wait_ms > 0 ? (double)wait_ms / 1000. : 0.0001, 0.);
+        ev_timer_start(runtime->loop, &runtime->multi_timer);
     }
     return 0;
 }
 
 static int on_socket(CURL *easy, curl_socket_t fd, int what, void *arg, void *socket_arg)
 {
-    struct real *real = arg;
+    struct runtime *runtime = arg;
     struct out_io *io = socket_arg;
     (void)easy;
     if (what == CURL_POLL_REMOVE) {
         if (io) {
-            ev_io_stop(real->loop, &io->io);
+            ev_io_stop(runtime->loop, &io->io);
             free(io);
         }
         return 0;
@@ -103,14 +103,14 @@
     int events = (what & CURL_POLL_IN ? EV_READ : 0) | (what & CURL_POLL_OUT ? EV_WRITE : 0);
     if (!io) {
         io = must_alloc(sizeof *io);
-        io->real = real;
+        io->runtime = runtime;
         ev_io_init(&io->io, io_event, fd, events);
-        curl_multi_assign(real->multi, fd, io);
+        curl_multi_assign(runtime->multi, fd, io);
     } else {
-        ev_io_stop(real->loop, &io->io);
+        ev_io_stop(runtime->loop, &io->io);
         ev_io_set(&io->io, fd, events);
     }
-    ev_io_start(real->loop, &io->io);
+    ev_io_start(runtime->loop, &io->io);
     return 0;
 }
 
@@ -173,7 +173,7 @@
     curl_easy_setopt(out->easy, CURLOPT_URL, out->url);
     curl_easy_setopt(out->easy, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(out->easy, CURLOPT_TIMEOUT_MS, (long)call->wait_ms);
-    curl_easy_setopt(out->easy, CURLOPT_HTTPHEADER, out->headers ? out->headers : out->real->headers);
+    curl_easy_setopt(out->easy, CURLOPT_HTTPHEADER, out->headers ? out->headers : out->runtime->headers);
     curl_easy_setopt(out->easy, CURLOPT_WRITEFUNCTION, on_data);
     curl_easy_setopt(out->easy, CURLOPT_WRITEDATA, out);
     curl_easy_setopt(out->easy, CURLOPT_HEADERFUNCTION, on_header);
@@ -192,47 +192,47 @@
 
 void out_call(struct world *world, const struct http_call *call)
 {
-    struct real *real = (struct real *)world;
+    struct runtime *runtime = (struct runtime *)world;
     struct out *out = must_alloc(sizeof *out);
-    *out = (struct out){.real = real,
+    *out = (struct out){.runtime = runtime,
                         .done = call->done,
                         .arg = call->arg,
                         .tag = call->tag,
                         .body = must_dup(call->body ? call->body : "")};
     out->repeatable = !strcmp(call->method, "GET");
     snprintf(out->url, sizeof out->url, "http://%s%.100s", addr_text(call->to), call->path);
-    out->easy = real->n_idle ? real->idle[--real->n_idle] : curl_easy_init();
+    out->easy = runtime->n_idle ? runtime->idle[--runtime->n_idle] : curl_easy_init();
     if (call->header)
         out->headers = curl_slist_append(common_headers(), call->header);
     set_options(out, call);
-    real->n_calls++;
-    curl_multi_add_handle(real->multi, out->easy);
+    runtime->n_calls++;
+    curl_multi_add_handle(runtime->multi, out->easy);
 }
 
-void out_start(struct real *real)
+void out_start(struct runtime *runtime)
 {
     curl_global_init(CURL_GLOBAL_NOTHING);
-    real->multi = curl_multi_init();
-    real->headers = common_headers();
-    ev_timer_init(&real->multi_timer, timer_event, 1., 0.);
-    real->multi_timer.data = real;
-    curl_multi_setopt(real->multi, CURLMOPT_SOCKETFUNCTION, on_socket);
-    curl_multi_setopt(real->multi, CURLMOPT_SOCKETDATA, real);
-    curl_multi_setopt(real->multi, CURLMOPT_TIMERFUNCTION, on_timer);
-    curl_multi_setopt(real->multi, CURLMOPT_TIMERDATA, real);
+    runtime->multi = curl_multi_init();
+    runtime->headers = common_headers();
+    ev_timer_init(&runtime->multi_timer, timer_event, 1., 0.);
+    runtime->multi_timer.data = runtime;
+    curl_multi_setopt(runtime->multi, CURLMOPT_SOCKETFUNCTION, on_socket);
+    curl_multi_setopt(runtime->multi, CURLMOPT_SOCKETDATA, runtime);
+    curl_multi_setopt(runtime->multi, CURLMOPT_TIMERFUNCTION, on_timer);
+    curl_multi_setopt(runtime->multi, CURLMOPT_TIMERDATA, runtime);
 }
 
-void out_limit(struct real *real, long host_connections, long kept)
+void http_client_limit(struct runtime *runtime, long host_connections, long kept)
 {
-    curl_multi_setopt(real->multi, CURLMOPT_MAX_HOST_CONNECTIONS, host_connections);
-    curl_multi_setopt(real->multi, CURLMOPT_MAXCONNECTS, kept);
+    curl_multi_setopt(runtime->multi, CURLMOPT_MAX_HOST_CONNECTIONS, host_connections);
+    curl_multi_setopt(runtime->multi, CURLMOPT_MAXCONNECTS, kept);
 }
 
-void out_end(struct real *real)
+void out_end(struct runtime *runtime)
 {
-    while (real->n_idle)
-        curl_easy_cleanup(real->idle[--real->n_idle]);
-    curl_multi_cleanup(real->multi);
-    curl_slist_free_all(real->headers);
+    while (runtime->n_idle)
+        curl_easy_cleanup(runtime->idle[--runtime->n_idle]);
+    curl_multi_cleanup(runtime->multi);
+    curl_slist_free_all(runtime->headers);
     curl_global_cleanup();
 }
--- a/src/proc/net.c
+++ b/src/proc/net.c
@@ -18,7 +18,7 @@
  * bytes of it are; everything is dropped with a lost connection. waiting: bytes queued; moved_ms: when a byte was last
  * sent, or the queue became non-empty. */
 struct net_out {
-    struct real *real;
+    struct runtime *runtime;
     uint64_t to;
     int fd;
     ev_io io;
@@ -29,7 +29,7 @@
 
 /* An incoming connection, in the list real->ins; got: bytes of a frame that is not complete. */
 struct net_in {
-    struct real *real;
+    struct runtime *runtime;
     struct net_in *next, *previous;
     int fd;
     ev_io io;
@@ -46,14 +46,14 @@
 static void out_drop(struct net_out *out)
 {
     if (out->fd >= 0) {
-        ev_io_stop(out->real->loop, &out->io);
+        ev_io_stop(out->runtime->loop, &out->io);
         close(out->fd);
     }
     out->fd = -1;
     for (int64_t i = out->first; i < out->n; i++)
         blob_drop(out->queue[i]);
     out->n = out->first = out->sent = out->waiting = 0;
-    out->again_ms = world_ms(&out->real->base) + AGAIN_MS;
+    out->again_ms = world_ms(&out->runtime->base) + AGAIN_MS;
 }
 
 /* Writes as much of the queue as the connection takes now. Returns 0, or -1 where it is broken. */
@@ -69,7 +69,7 @@
         if (n <= 0)
             return -1;
         out->connected = 1;
-        out->moved_ms = world_ms(&out->real->base);
+        out->moved_ms = world_ms(&out->runtime->base);
         out->sent += n;
         out->waiting -= n;
         if (out->sent < frame->len)
@@ -110,40 +110,40 @@
     if (connect(out->fd, (struct sockaddr *)&to, sizeof to) && errno != EINPROGRESS) {
         close(out->fd);
         out->fd = -1;
-        out->again_ms = world_ms(&out->real->base) + AGAIN_MS;
+        out->again_ms = world_ms(&out->runtime->base) + AGAIN_MS;
         return;
     }
-    out->opened_ms = world_ms(&out->real->base);
+    out->opened_ms = world_ms(&out->runtime->base);
     out->connected = 0;
     ev_io_init(&out->io, out_event, out->fd, EV_READ | EV_WRITE);
     out->io.data = out;
-    ev_io_start(out->real->loop, &out->io);
+    ev_io_start(out->runtime->loop, &out->io);
 }
 
-static struct net_out *out_to(struct real *real, uint64_t to)
+static struct net_out *out_to(struct runtime *runtime, uint64_t to)
 {
-    for (int64_t i = 0; i < real->n_outs; i++)
-        if (real->outs[i]->to == to)
-            return real->outs[i];
+    for (int64_t i = 0; i < runtime->n_outs; i++)
+        if (runtime->outs[i]->to == to)
+            return runtime->outs[i];
     struct net_out *out = must_alloc(sizeof *out);
-    *out = (struct net_out){.real = real, .to = to, .fd = -1};
-    *list_more(real->outs, real->n_outs) = out;
+    *out = (struct net_out){.runtime = runtime, .to = to, .fd = -1};
+    *list_more(runtime->outs, runtime->n_outs) = out;
     return out;
 }
 
 void net_send(struct world *world, uint64_t to, struct blob *frame, int lossy)
 {
-    struct real *real = (struct real *)world;
-    if (lossy && frame->bytes.len < 1400 && real->udp_fd >= 0) {
+    struct runtime *runtime = (struct runtime *)world;
+    if (lossy && frame->bytes.len < 1400 && runtime->udp_fd >= 0) {
         struct sockaddr_in in = address(to);
-        sendto(real->udp_fd, frame->bytes.at, (size_t)frame->bytes.len, MSG_DONTWAIT, (struct sockaddr *)&in,
+        sendto(runtime->udp_fd, frame->bytes.at, (size_t)frame->bytes.len, MSG_DONTWAIT, (struct sockaddr *)&in,
                sizeof in);
         return;
     }
-    struct net_out *out = out_to(real, to);
+    struct net_out *out = out_to(runtime, to);
     if (out->fd < 0 && world_ms(world) >= out->again_ms)
         out_open(out);
-    if (out->fd < 0 || out->waiting + frame->bytes.len > real->out_max)
+    if (out->fd < 0 || out->waiting + frame->bytes.len > runtime->out_max)
         return;
     int idle = !out->n;
     if (out->first > 1000) {
@@ -158,33 +158,33 @@
     out->moved_ms = world_ms(world);
     /* at once: the turn may go on with a sync, and what is sent here must not wait for it */
     if (!out->connected || out_write(out) || out->n) {
-        ev_io_stop(real->loop, &out->io);
+        ev_io_stop(runtime->loop, &out->io);
         ev_io_set(&out->io, out->fd, EV_READ | EV_WRITE);
-        ev_io_start(real->loop, &out->io);
+        ev_io_start(runtime->loop, &out->io);
     }
 }
 
-void net_on_timer(struct real *real)
+void net_on_timer(struct runtime *runtime)
 {
-    int64_t now_ms = world_ms(&real->base);
-    if (now_ms < real->outs_due_ms)
+    int64_t now_ms = world_ms(&runtime->base);
+    if (now_ms < runtime->outs_due_ms)
         return;
-    real->outs_due_ms = now_ms + CHECK_MS;
-    for (int64_t i = 0; i < real->n_outs; i++) {
-        struct net_out *out = real->outs[i];
+    runtime->outs_due_ms = now_ms + CHECK_MS;
+    for (int64_t i = 0; i < runtime->n_outs; i++) {
+        struct net_out *out = runtime->outs[i];
         if (out->fd >= 0 && ((!out->connected && out->n && now_ms - out->opened_ms > CONNECT_MS) ||
                              (out->n && now_ms - out->moved_ms > STUCK_MS)))
             out_drop(out);
     }
 }
 
-static void in_begin(struct real *real, struct net_in *in)
+static void in_begin(struct runtime *runtime, struct net_in *in)
 {
-    in->next = real->ins;
+    in->next = runtime->ins;
     if (in->next)
         in->next->previous = in;
-    real->ins = in;
-    ev_io_start(real->loop, &in->io);
+    runtime->ins = in;
+    ev_io_start(runtime->loop, &in->io);
 }
 
 static void in_end(struct net_in *in)
@@ -194,8 +194,8 @@
     if (in->previous)
         in->previous->next = in->next;
     else
-        in->real->ins = in->next;
-    ev_io_stop(in->real->loop, &in->io);
+        in->runtime->ins = in->next;
+    ev_io_stop(in->runtime->loop, &in->io);
     close(in->fd);
     bytes_free(&in->got);
     free(in);
@@ -216,16 +216,16 @@
     bytes_add(&in->got, chunk, n);
     int64_t off = 0;
     while (in->got.len - off >= FRAME_HEAD) {
-        int64_t len = frame_length(in->got.at + off, in->real->cluster);
+        int64_t len = frame_length(in->got.at + off, in->runtime->cluster);
         if (len < 0) {
             /* the role drops and counts it; the rest of the stream cannot be decoded */
-            in->real->role.take(in->real->role.arg, in->got.at + off, in->got.len - off);
+            in->runtime->role.on_frame(in->runtime->role.arg, in->got.at + off, in->got.len - off);
             in_end(in);
             return;
         }
         if (in->got.len - off < len)
             break;
-        in->real->role.take(in->real->role.arg, in->got.at + off, len);
+        in->runtime->role.on_frame(in->runtime->role.arg, in->got.at + off, len);
         off += len;
     }
     in->got.len -= off;
@@ -237,62 +237,62 @@
 
 static void listen_event(struct ev_loop *loop, ev_io *io, int events)
 {
-    struct real *real = io->data;
+    struct runtime *runtime = io->data;
     int fd;
     (void)loop, (void)events;
-    while ((fd = accept4(real->listen_fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0) {
+    while ((fd = accept4(runtime->listen_fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0) {
         struct net_in *in = must_alloc(sizeof *in);
-        *in = (struct net_in){.real = real, .fd = fd};
+        *in = (struct net_in){.runtime = runtime, .fd = fd};
         ev_io_init(&in->io, in_event, fd, EV_READ);
         in->io.data = in;
-        in_begin(real, in);
+        in_begin(runtime, in);
     }
 }
 
 static void udp_event(struct ev_loop *loop, ev_io *io, int events)
 {
-    struct real *real = io->data;
+    struct runtime *runtime = io->data;
     uint8_t datagram[2000];
     (void)loop, (void)events;
     for (int i = 0; i < 64; i++) {
-        ssize_t n = recv(real->udp_fd, datagram, sizeof datagram, MSG_DONTWAIT);
+        ssize_t n = recv(runtime->udp_fd, datagram, sizeof datagram, MSG_DONTWAIT);
         if (n <= 0)
             return;
-        real->role.take(real->role.arg, datagram, n);
+        runtime->role.on_frame(runtime->role.arg, datagram, n);
     }
 }
 
-enum sagehitch_error net_start(struct real *real)
+enum sagehitch_error net_start(struct runtime *runtime)
 {
-    struct sockaddr_in at = address(real->base.self);
+    struct sockaddr_in at = address(runtime->base.self);
     int on = 1;
-    real->listen_fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    real->udp_fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    setsockopt(real->listen_fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-    if (bind(real->listen_fd, (struct sockaddr *)&at, sizeof at) || listen(real->listen_fd, 1024) ||
-        bind(real->udp_fd, (struct sockaddr *)&at, sizeof at))
+    runtime->listen_fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+    runtime->udp_fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+    setsockopt(runtime->listen_fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+    if (bind(runtime->listen_fd, (struct sockaddr *)&at, sizeof at) || listen(runtime->listen_fd, 1024) ||
+        bind(runtime->udp_fd, (struct sockaddr *)&at, sizeof at))
         return ERROR_BAD_SETTING;
-    ev_io_init(&real->listen_io, listen_event, real->listen_fd, EV_READ);
-    real->listen_io.data = real;
-    ev_io_start(real->loop, &real->listen_io);
-    ev_io_init(&real->udp_io, udp_event, real->udp_fd, EV_READ);
-    real->udp_io.data = real;
-    ev_io_start(real->loop, &real->udp_io);
+    ev_io_init(&runtime->listen_io, listen_event, runtime->listen_fd, EV_READ);
+    runtime->listen_io.data = runtime;
+    ev_io_start(runtime->loop, &runtime->listen_io);
+    ev_io_init(&runtime->udp_io, udp_event, runtime->udp_fd, EV_READ);
+    runtime->udp_io.data = runtime;
+    ev_io_start(runtime->loop, &runtime->udp_io);
     return ERROR_NONE;
 }
 
-void net_end(struct real *real)
+void net_end(struct runtime *runtime)
 {
-    while (real->ins)
-        in_end(real->ins);
-    for (int64_t i = 0; i < real->n_outs; i++) {
-        out_drop(real->outs[i]);
-        free(real->outs[i]->queue);
-        free(real->outs[i]);
+    while (runtime->ins)
+        in_end(runtime->ins);
+    for (int64_t i = 0; i < runtime->n_outs; i++) {
+        out_drop(runtime->outs[i]);
+        free(runtime->outs[i]->queue);
+        free(runtime->outs[i]);
     }
-    free(real->outs);
-    if (real->listen_fd >= 0)
-        close(real->listen_fd);
-    if (real->udp_fd >= 0)
-        close(real->udp_fd);
+    free(runtime->outs);
+    if (runtime->listen_fd >= 0)
+        close(runtime->listen_fd);
+    if (runtime->udp_fd >= 0)
+        close(runtime->udp_fd);
 }
--- a/src/proc/notes.c
+++ b/src/proc/notes.c
@@ -22,7 +22,7 @@
             log4c_category_set_priority(category, priority_of((enum event_level)i));
 }
 
-void notes_start(const char *level)
+void event_log_start(const char *level)
 {
     log4c_init();
     category = log4c_category_get("sagehitch");
@@ -33,7 +33,7 @@
     notes_level(level);
 }
 
-void notes_end(void) { log4c_fini(); }
+void event_log_end(void) { log4c_fini(); }
 
 void notes_take(struct world *w, int event, const char *text)
 {
--- a/src/proc/real.c
+++ b/src/proc/real.c
@@ -48,76 +48,76 @@
 
 static void on_timer_event(struct ev_loop *loop, ev_timer *timer, int events)
 {
-    struct real *real = timer->data;
+    struct runtime *runtime = timer->data;
     (void)events;
-    net_on_timer(real);
-    if (real->role.on_timer)
-        real->role.on_timer(real->role.arg);
-    if (!real->leaving_ms)
+    net_on_timer(runtime);
+    if (runtime->role.on_timer)
+        runtime->role.on_timer(runtime->role.arg);
+    if (!runtime->leaving_ms)
         return;
-    if (!real->role.left || real->role.left(real->role.arg) ||
-        world_ms(&real->base) - real->leaving_ms > real->leave_ms)
+    if (!runtime->role.left || runtime->role.left(runtime->role.arg) ||
+        world_ms(&runtime->base) - runtime->leaving_ms > runtime->leave_ms)
         ev_break(loop, EVBREAK_ALL);
 }
 
 static void on_prepare(struct ev_loop *loop, ev_prepare *prepare, int events)
 {
-    struct real *real = prepare->data;
+    struct runtime *runtime = prepare->data;
     (void)loop, (void)events;
-    api_flush(real);
-    if (real->role.flush)
-        real->role.flush(real->role.arg);
+    api_flush(runtime);
+    if (runtime->role.flush)
+        runtime->role.flush(runtime->role.arg);
 }
 
 static void on_term(struct ev_loop *loop, ev_signal *signal, int events)
 {
-    struct real *real = signal->data;
+    struct runtime *runtime = signal->data;
     (void)events;
-    if (real->leaving_ms) {
+    if (runtime->leaving_ms) {
         ev_break(loop, EVBREAK_ALL);
         return;
     }
-    world_note(&real->base, EV_STOPPING, "signal=%d", signal->signum);
-    real->leaving_ms = world_ms(&real->base);
-    if (real->role.leave)
-        real->role.leave(real->role.arg);
+    world_note(&runtime->base, EV_STOPPING, "signal=%d", signal->signum);
+    runtime->leaving_ms = world_ms(&runtime->base);
+    if (runtime->role.leave)
+        runtime->role.leave(runtime->role.arg);
 }
 
 static void on_hup(struct ev_loop *loop, ev_signal *signal, int events)
 {
-    struct real *real = signal->data;
+    struct runtime *runtime = signal->data;
     struct local next;
     char why[400] = "";
     (void)loop, (void)events;
-    if (real->role.hup) {
-        real->role.hup(real->role.arg);
+    if (runtime->role.on_sighup) {
+        runtime->role.on_sighup(runtime->role.arg);
         return;
     }
     schema_defaults(&local_schema, &next);
-    next.file = must_dup(real->local->file);
+    next.file = must_dup(runtime->local->file);
     int rc = next.file ? local_read_file(&next, next.file, why, sizeof why) : ERROR_BAD_SETTING;
     if (!rc)
         rc = local_check(&next, 0, why, sizeof why);
     if (rc) {
-        world_note(&real->base, EV_PARAMS_DENIED, "%s", *why ? why : "started from flags only");
+        world_note(&runtime->base, EV_PARAMS_DENIED, "%s", *why ? why : "started from flags only");
     } else {
         notes_level(next.log_level);
-        if (real->role.reread)
-            real->role.reread(real->role.arg, &next);
-        world_note(&real->base, EV_PARAMS_READ, "file=%s", next.file);
+        if (runtime->role.reload)
+            runtime->role.reload(runtime->role.arg, &next);
+        world_note(&runtime->base, EV_PARAMS_READ, "file=%s", next.file);
     }
     local_free(&next);
 }
 
-static void watch_signal(struct real *real, ev_signal *watcher, int signum,
+static void watch_signal(struct runtime *runtime, ev_signal *watcher, int signum,
                          void (*event)(struct ev_loop *, ev_signal *, int))
 {
     ev_signal_init(watcher, event, signum);
-    watcher->data = real;
-    ev_signal_start(real->loop, watcher);
+    watcher->data = runtime;
+    ev_signal_start(runtime->loop, watcher);
 }
 
-enum sagehitch_error real_start(struct real *real, struct local *local)
+enum sagehitch_error runtime_start(struct runtime *runtime, struct local *local)
 {
     static struct world_calls calls = {.mono_ms = mono_ms,
                                        .wall_ms = wall_ms,
@@ -127,57 +127,58 @@
                                        .answer = api_reply,
                                        .note = notes_take};
     folder_calls(&calls);
-    *real = (struct real){.base = {.calls = &calls, .self = local->listen_addr, .http_addr = local->http_addr},
-                          .local = local,
-                          .listen_fd = -1,
-                          .udp_fd = -1,
-                          .timer_ms = TIMER_MS,
-                          .leave_ms = LEAVE_MS,
-                          .out_max = OUT_MAX};
-    real->cluster = (uint32_t)hash_text(local->cluster);
-    real->loop = ev_default_loop(EVFLAG_AUTO);
-    out_start(real);
-    if (local->data && *local->data && folder_start(real, local->data)) {
+    *runtime = (struct runtime){.base = {.calls = &calls, .self = local->listen_addr, .http_addr = local->http_addr},
+                                .local = local,
+                                .listen_fd = -1,
+                                .udp_fd = -1,
+                                .timer_ms = TIMER_MS,
+                                .leave_ms = LEAVE_MS,
+                                .out_max = OUT_MAX};
+    runtime->cluster = (uint32_t)hash_text(local->cluster);
+    runtime->loop = ev_default_loop(EVFLAG_AUTO);
+    out_start(runtime);
+    if (local->data && *local->data && folder_start(runtime, local->data)) {
         fprintf(stderr, "sagehitch: data folder %s cannot be used\n", local->data);
         return ERROR_DISK;
     }
     return ERROR_NONE;
 }
 
-enum sagehitch_error real_open(struct real *real, int frames, int http)
+enum sagehitch_error runtime_open(struct runtime *runtime, int frames, int http)
 {
-    struct local *local = real->local;
-    if (frames && net_start(real)) {
+    struct local *local = runtime->local;
+    if (frames && net_start(runtime)) {
         fprintf(stderr, "sagehitch: cannot listen on %s\n", local->listen);
         return ERROR_BAD_SETTING;
     }
-    if (http && api_start(real)) {
+    if (http && api_start(runtime)) {
         fprintf(stderr, "sagehitch: cannot listen on %s\n", local->http);
         return ERROR_BAD_SETTING;
     }
-    ev_timer_init(&real->on_timer, on_timer_event, 0.001, (double)real->timer_ms / 1000.);
-    real->on_timer.data = real;
-    ev_timer_start(real->loop, &real->on_timer);
-    ev_prepare_init(&real->prepare, on_prepare);
-    real->prepare.data = real;
-    ev_prepare_start(real->loop, &real->prepare);
-    watch_signal(real, &real->term, SIGTERM, on_term);
-    watch_signal(real, &real->intr, SIGINT, on_term);
-    watch_signal(real, &real->hup, SIGHUP, on_hup);
+    ev_timer_init(&runtime->on_timer, on_timer_event, 0.001, (double)runtime->timer_ms / 1000.);
+    runtime->on_timer.data = runtime;
+    ev_timer_start(runtime->loop, &runtime->on_timer);
+    ev_prepare_init(&runtime->prepare, on_prepare);
+    runtime->prepare.data = runtime;
+    ev_prepare_start(runtime->loop, &runtime->prepare);
+    watch_signal(runtime, &runtime->term, SIGTERM, on_term);
+    watch_signal(runtime, &runtime->intr, SIGINT, on_term);
+    watch_signal(runtime, &runtime->on_sighup, SIGHUP, on_hup);
     return ERROR_NONE;
 }
 
-void real_run(struct real *real)
+void runtime_run(struct runtime *runtime)
 {
-    world_note(&real->base, EV_STARTED, "addr=%s http=%s", addr_text(real->base.self), addr_text(real->base.http_addr));
-    ev_run(real->loop, 0);
-    world_note(&real->base, EV_STOPPED, "addr=%s", addr_text(real->base.self));
+    world_note(&runtime->base, EV_STARTED, "addr=%s http=%s", addr_text(runtime->base.self),
+               addr_text(runtime->base.http_addr));
+    ev_run(runtime->loop, 0);
+    world_note(&runtime->base, EV_STOPPED, "addr=%s", addr_text(runtime->base.self));
 }
 
-void real_end(struct real *real)
+void runtime_end(struct runtime *runtime)
 {
-    api_end(real);
-    out_end(real);
-    net_end(real);
-    folder_end(real);
+    api_end(runtime);
+    out_end(runtime);
+    net_end(runtime);
+    folder_end(runtime);
 }
--- a/src/proc/real.h
+++ b/src/proc/real.h
@@ -11,24 +11,24 @@
 #include "base/world.h"
 #include "proc/local.h"
 
-struct real;
+struct runtime;
 struct http_request; /* controller/codec.h */
 /* Most HTTP listeners of one process. */
-enum { LISTENERS = 3 };
+enum { LISTENERS_MAX = 3 };
 
 /* Callbacks of a role, NULL where it has none. arg is passed to each. */
 struct role {
     void *arg;
     void (*on_timer)(void *arg);
-    void (*take)(void *arg, const uint8_t *at, int64_t len);
+    void (*on_frame)(void *arg, const uint8_t *at, int64_t len);
     void (*request)(void *arg, int64_t slot, const char *method, const char *path, const char *body, int64_t len);
-    void (*web)(void *arg, int64_t slot,
-                const struct http_request *request); /* in place of request, where there are several listeners */
-    void (*hup)(void *arg);                          /* on SIGHUP, in place of reading the local settings again */
+    void (*on_request)(void *arg, int64_t slot,
+                       const struct http_request *request); /* in place of request, where there are several listeners */
+    void (*on_sighup)(void *arg); /* on SIGHUP, in place of reading the local settings again */
     void (*flush)(void *arg);
     void (*leave)(void *arg);
     int (*left)(void *arg);
-    void (*reread)(void *arg, const struct local *local);
+    void (*reload)(void *arg, const struct local *local);
 };
 
 struct net_out;
@@ -41,15 +41,15 @@
 
 /* A listening socket; entry: enum entry of controller/codec.h, passed on with its requests. */
 struct web_listener {
-    struct real *real;
+    struct runtime *runtime;
     int64_t entry;
     int fd;
     ev_io io;
 };
 
 /* A process. timer_ms (timer interval), leave_ms (longest shutdown) and out_max (bytes queued to one peer) may be
- * changed between real_start() and real_open(). */
-struct real {
+ * changed between runtime_start() and runtime_open(). */
+struct runtime {
     struct world base; /* must be first: a struct world is cast back to its struct real */
     struct ev_loop *loop;
     struct role role;
@@ -67,7 +67,7 @@
     ev_timer daemon_timer;
     int answers_due; /* connections were resumed since the server ran last */
     struct slab requests;
-    struct web_listener listeners[LISTENERS];
+    struct web_listener listeners[LISTENERS_MAX];
     int64_t n_listeners, entry; /* entry: of the connection being accepted */
     int closing;                /* requests are answered 503 and no longer passed to the role */
     /* HTTP out */
@@ -84,57 +84,57 @@
     /* the loop */
     ev_timer on_timer;
     ev_prepare prepare;
-    ev_signal term, intr, hup;
+    ev_signal term, intr, on_sighup;
     int64_t leaving_ms, timer_ms, leave_ms, out_max;
 };
 
 /* Sets up the process, without opening ports. local is borrowed. Returns 0, or an error that was printed. */
-enum sagehitch_error real_start(struct real *real, struct local *local);
+enum sagehitch_error runtime_start(struct runtime *runtime, struct local *local);
 /* Opens the ports for frames and one HTTP listener, if asked for, and starts timer and signals. Returns 0, or an error
  * that was printed. */
-enum sagehitch_error real_open(struct real *real, int frames, int http);
+enum sagehitch_error runtime_open(struct runtime *runtime, int frames, int http);
 /* Opens the HTTP listeners at these addresses, by enum entry; 0: none. Returns 0 or an error. */
-enum sagehitch_error web_open(struct real *real, const int64_t addrs[LISTENERS]);
+enum sagehitch_error http_server_start_listeners(struct runtime *runtime, const int64_t addrs[LISTENERS_MAX]);
 /* Runs the loop until the role has left after SIGTERM or SIGINT, leave_ms have passed, or a second signal came. */
-void real_run(struct real *real);
+void runtime_run(struct runtime *runtime);
 /* Closes everything that was opened. */
-void real_end(struct real *real);
+void runtime_end(struct runtime *runtime);
 
 /* Frames (net.c): opens and closes the ports at real->base.self. Returns 0 or ERROR_BAD_SETTING. */
-enum sagehitch_error net_start(struct real *real);
-void net_end(struct real *real);
+enum sagehitch_error net_start(struct runtime *runtime);
+void net_end(struct runtime *runtime);
 /* Drops connections that do not open, or have not moved a byte for long. */
-void net_on_timer(struct real *real);
+void net_on_timer(struct runtime *runtime);
 /* Sends a frame, of which it takes a reference; lossy ones that fit go by UDP. Frames may be lost without notice. */
 void net_send(struct world *w, uint64_t to, struct blob *frame, int lossy);
 /* HTTP server (http_in.c): one listener at real->base.http_addr. Returns 0 or ERROR_BAD_SETTING. */
-int api_start(struct real *real);
+int api_start(struct runtime *runtime);
 /* Answers waiting requests that the process is stopping, and closes the server. */
-void api_end(struct real *real);
+void api_end(struct runtime *runtime);
 /* Lets the server handle what is ready, and sets its timer. */
-void api_poke(struct real *real);
+void api_poke(struct runtime *runtime);
 /* Sends the answers given since the server ran last, if there are any. */
-void api_flush(struct real *real);
+void api_flush(struct runtime *runtime);
 /* Answers a request; body is copied. A slot that is unknown or answered already is ignored. retry_ms: for Retry-After,
  * 0: none. */
 void api_reply(struct world *w, int64_t slot, int status, int64_t retry_ms, const char *body);
 /* HTTP client (http_out.c). */
-void out_start(struct real *real);
+void out_start(struct runtime *runtime);
 /* Limits connections per host, and connections that are kept open. */
-void out_limit(struct real *real, long host_connections, long kept);
-void out_end(struct real *real);
+void http_client_limit(struct runtime *runtime, long host_connections, long kept);
+void out_end(struct runtime *runtime);
 /* Calls a peer; call->done() follows exactly once, unless out_end() comes first, with status 0 where there was no
  * complete response. A request other than GET is not sent again once a byte of it was sent. Strings are copied. */
 void out_call(struct world *w, const struct http_call *call);
 /* Disk (disk.c): a flat folder, created where it is missing. Returns 0 or ERROR_DISK. */
-enum sagehitch_error folder_start(struct real *real, const char *folder);
-void folder_end(struct real *real);
+enum sagehitch_error folder_start(struct runtime *runtime, const char *folder);
+void folder_end(struct runtime *runtime);
 /* Fills in the disk functions of the world. */
 void folder_calls(struct world_calls *calls);
 /* Log (notes.c): events as lines on stderr. level: debug, info, warn or error. */
-void notes_start(const char *level);
+void event_log_start(const char *level);
 void notes_level(const char *level);
-void notes_end(void);
+void event_log_end(void);
 /* Logs an event of base/events.h. */
 void notes_take(struct world *w, int event, const char *text);
 #endif
--- a/src/proc/roles.c
+++ b/src/proc/roles.c
@@ -13,25 +13,25 @@
 #include "node/node.h"
 #include "proc/real.h"
 
-static struct peer_setup peer_setup_of(struct real *real, const struct local *local)
+static struct peer_setup peer_setup_of(struct runtime *runtime, const struct local *local)
 {
     return (struct peer_setup){.cluster = local->cluster,
                                .zone = local->zone,
                                .seeds = local->seed_addrs,
                                .n_seeds = local->n_seeds,
-                               .boot = real->base.calls->wall_ms(&real->base)};
+                               .boot = runtime->base.calls->wall_ms(&runtime->base)};
 }
 
-static int begin(struct real *real, struct local *local)
+static int begin(struct runtime *runtime, struct local *local)
 {
-    notes_start(local->log_level);
-    return real_start(real, local);
+    event_log_start(local->log_level);
+    return runtime_start(runtime, local);
 }
 
-static int finish(struct real *real, int rc)
+static int finish(struct runtime *runtime, int rc)
 {
-    real_end(real);
-    notes_end();
+    runtime_end(runtime);
+    event_log_end();
     return rc ? 1 : 0;
 }
 
@@ -55,27 +55,27 @@
 
 int role_keeper(struct local *local)
 {
-    static struct real real;
+    static struct runtime runtime;
     static struct keeper keeper;
-    int rc = begin(&real, local);
-    real.role = (struct role){.arg = &keeper,
-                              .on_timer = keeper_on_timer_arg,
-                              .take = keeper_take_arg,
-                              .request = keeper_request_arg,
-                              .flush = keeper_flush_arg,
-                              .leave = keeper_leave_arg,
-                              .left = keeper_left_arg,
-                              .reread = keeper_reread};
+    int rc = begin(&runtime, local);
+    runtime.role = (struct role){.arg = &keeper,
+                                 .on_timer = keeper_on_timer_arg,
+                                 .on_frame = keeper_take_arg,
+                                 .request = keeper_request_arg,
+                                 .flush = keeper_flush_arg,
+                                 .leave = keeper_leave_arg,
+                                 .left = keeper_left_arg,
+                                 .reload = keeper_reread};
     if (!rc) {
-        const struct peer_setup setup = peer_setup_of(&real, local);
-        rc = keeper_start(&keeper, &real.base, &setup);
+        const struct peer_setup setup = peer_setup_of(&runtime, local);
+        rc = keeper_start(&keeper, &runtime.base, &setup);
         if (!rc)
-            rc = real_open(&real, 1, 1);
+            rc = runtime_open(&runtime, 1, 1);
         if (!rc)
-            real_run(&real);
+            runtime_run(&runtime);
         keeper_end(&keeper);
     }
-    return finish(&real, rc);
+    return finish(&runtime, rc);
 }
 
 /* --- node ----------------------------------------------------------------------------- */
@@ -97,25 +97,25 @@
 
 int role_node(struct local *local)
 {
-    static struct real real;
+    static struct runtime runtime;
     static struct node node;
-    int rc = begin(&real, local);
-    real.role = (struct role){.arg = &node,
-                              .on_timer = node_on_timer_arg,
-                              .take = node_take_arg,
-                              .request = node_request_arg,
-                              .leave = node_leave_arg,
-                              .left = node_left_arg,
-                              .reread = node_reread};
+    int rc = begin(&runtime, local);
+    runtime.role = (struct role){.arg = &node,
+                                 .on_timer = node_on_timer_arg,
+                                 .on_frame = node_take_arg,
+                                 .request = node_request_arg,
+                                 .leave = node_leave_arg,
+                                 .left = node_left_arg,
+                                 .reload = node_reread};
     if (!rc) {
-        const struct peer_setup setup = peer_setup_of(&real, local);
-        node_start(&node, &real.base, &setup);
-        rc = real_open(&real, 1, 1);
+        const struct peer_setup setup = peer_setup_of(&runtime, local);
+        node_start(&node, &runtime.base, &setup);
+        rc = runtime_open(&runtime, 1, 1);
         if (!rc)
-            real_run(&real);
+            runtime_run(&runtime);
         node_end(&node);
     }
-    return finish(&real, rc);
+    return finish(&runtime, rc);
 }
 
 /* --- executor --------------------------------------------------------------------------- */
@@ -170,22 +170,22 @@
 
 int role_executor(struct local *local)
 {
-    static struct real real;
+    static struct runtime runtime;
     static struct executor_role role;
     const char *services[32];
     int64_t n = 0;
     char *save = NULL, *list = must_dup(local->services), path[1200];
     for (char *one = strtok_r(list, ", ", &save); one && n < COUNT_OF(services); one = strtok_r(NULL, ", ", &save))
         services[n++] = one;
-    int rc = begin(&real, local);
-    real.role = (struct role){.arg = &role,
-                              .on_timer = executor_on_timer_arg,
-                              .request = executor_request_arg,
-                              .leave = executor_leave_arg,
-                              .left = executor_left_arg,
-                              .reread = executor_faults};
+    int rc = begin(&runtime, local);
+    runtime.role = (struct role){.arg = &role,
+                                 .on_timer = executor_on_timer_arg,
+                                 .request = executor_request_arg,
+                                 .leave = executor_leave_arg,
+                                 .left = executor_left_arg,
+                                 .reload = executor_faults};
     role.local = local;
-    role.w = &real.base;
+    role.w = &runtime.base;
     if (!rc) {
         struct exec_setup setup = {.name = local->name,
                                    .cluster = local->cluster,
@@ -197,9 +197,9 @@
                                    .mem_mb = local->mem_mb,
                                    .seeds = local->seed_addrs,
                                    .n_seeds = local->n_seeds,
-                                   .incarnation =
-                                       local->incarnation ? local->incarnation : real.base.calls->wall_ms(&real.base)};
-        executor_start(&role.executor, &real.base, &setup);
+                                   .incarnation = local->incarnation ? local->incarnation
+                                                                     : runtime.base.calls->wall_ms(&runtime.base)};
+        executor_start(&role.executor, &runtime.base, &setup);
         role.executor.journal = executor_journal;
         role.executor.journal_arg = &role;
         executor_faults(&role, local);
@@ -207,22 +207,22 @@
             snprintf(path, sizeof path, "%s/journal.jsonl", local->data);
             role.journal = fopen(path, "a");
         }
-        rc = real_open(&real, 0, 1);
+        rc = runtime_open(&runtime, 0, 1);
         if (!rc)
-            real_run(&real);
+            runtime_run(&runtime);
         executor_end(&role.executor);
         if (role.journal)
             (void)fclose(role.journal);
     }
     free(list);
-    return finish(&real, rc);
+    return finish(&runtime, rc);
 }
 
 /* --- caller ------------------------------------------------------------------------------- */
 
 struct caller_role {
     struct caller caller;
-    struct real *real;
+    struct runtime *runtime;
 };
 
 static void caller_on_timer_arg(void *arg)
@@ -230,23 +230,23 @@
     struct caller_role *role = arg;
     caller_on_timer(&role->caller);
     if (caller_done(&role->caller))
-        ev_break(role->real->loop, EVBREAK_ALL);
+        ev_break(role->runtime->loop, EVBREAK_ALL);
 }
 
 int role_caller(struct local *local)
 {
-    static struct real real;
+    static struct runtime runtime;
     static struct caller_role role;
     char name[64];
     if (!mix_known(local->deployment)) {
         fprintf(stderr, "sagehitch: deployment: expected dackhuset or dau-suoi-am\n");
         return 1;
     }
-    int rc = begin(&real, local);
+    int rc = begin(&runtime, local);
     snprintf(name, sizeof name, "%.20s-%llx", local->name ? local->name : "caller",
-             (unsigned long long)(real.base.calls->random(&real.base) >> 24));
-    real.role = (struct role){.arg = &role, .on_timer = caller_on_timer_arg};
-    role.real = &real;
+             (unsigned long long)(runtime.base.calls->random(&runtime.base) >> 24));
+    runtime.role = (struct role){.arg = &role, .on_timer = caller_on_timer_arg};
+    role.runtime = &runtime;
     if (!rc) {
         const struct caller_setup setup = {.deployment = local->deployment,
                                            .name = name,
@@ -254,13 +254,13 @@
                                            .n_seeds = local->n_seeds,
                                            .per_minute = local->per_minute,
                                            .seconds = local->seconds};
-        caller_start(&role.caller, &real.base, &setup);
-        rc = real_open(&real, 0, 0);
+        caller_start(&role.caller, &runtime.base, &setup);
+        rc = runtime_open(&runtime, 0, 0);
         if (!rc)
-            real_run(&real);
+            runtime_run(&runtime);
         char *report = caller_report(&role.caller);
         puts(report);
         free(report);
     }
-    return finish(&real, rc);
+    return finish(&runtime, rc);
 }
--- a/tests/bench/slopes_agent.c
+++ b/tests/bench/slopes_agent.c
@@ -68,8 +68,8 @@
 {
     static int64_t seq;
     (void)web, (void)validation_error;
-    struct executor_beat *beat = api_request_make_beat(request);
-    *beat = (struct executor_beat){.kind = BEAT_ALIVE, .seq = ++seq};
+    struct executor_heartbeat *beat = api_request_make_beat(request);
+    *beat = (struct executor_heartbeat){.kind = HEARTBEAT_ALIVE, .seq = ++seq};
     beat->state = (struct executor_state){.incarnation = must_dup("10.1.0.20:8200/1764650000"),
                                           .service = must_dup("training"),
                                           .zone = must_dup("zone-3"),
@@ -161,7 +161,7 @@
     frame_build(&out, FRAME_ORDERS, (uint32_t)hash_text("bench"), LEADER, &agent_orders_schema, &o);
     b->frames++;
     b->frame_bytes += out.len;
-    agent_take(b->a, out.at, out.len);
+    agent_on_frame(b->a, out.at, out.len);
     bytes_free(&out);
 }
 
--- a/tests/platform/api_test.cc
+++ b/tests/platform/api_test.cc
@@ -260,9 +260,9 @@
 {
     Read read(beat_request(beat_body));
     ASSERT_EQ(read.error, 0) << read.validation_error.path;
-    const executor_beat &beat = read.beat();
+    const executor_heartbeat &beat = read.beat();
     EXPECT_EQ(read.request.kind, REQUEST_BEAT);
-    EXPECT_EQ(beat.kind, BEAT_ALIVE);
+    EXPECT_EQ(beat.kind, HEARTBEAT_ALIVE);
     EXPECT_EQ(beat.seq, 12);
     EXPECT_STREQ(beat.address, "10.9.8.7:8080");
     EXPECT_STREQ(beat.state.incarnation, "i-19ab");
@@ -296,7 +296,7 @@
     EXPECT_EQ(account.ended[0].seq, 58);
     EXPECT_EQ(account.ended[0].how, END_DONE);
     Read left({ENTRY_OPERATORS, "DELETE", "/sagehitch/executors/i-19ab", "", {}});
-    EXPECT_EQ(left.beat().kind, BEAT_LEFT);
+    EXPECT_EQ(left.beat().kind, HEARTBEAT_LEAVING);
     EXPECT_STREQ(left.beat().state.incarnation, "i-19ab");
 }
 
--- a/tests/platform/executor_test.cc
+++ b/tests/platform/executor_test.cc
@@ -151,15 +151,15 @@
     run_start first = {top_job, task_of(6, 2, 4097), 3, text, saved};
     run_start second = {5, task_of(0, 0, 1), 1, nullptr, nullptr};
     const run_start *runs[] = {&first, &second};
-    beat_orders all = {7, 58, 4000, 50, runs, runs, 2, 2}, none = {7, 0, 0, 1000, nullptr, nullptr, 0, 0};
-    char *body = platform_executor.beat_response(&all);
+    heartbeat_orders all = {7, 58, 4000, 50, runs, runs, 2, 2}, none = {7, 0, 0, 1000, nullptr, nullptr, 0, 0};
+    char *body = platform_executor.heartbeat_response(&all);
     EXPECT_STREQ(body, R"({"fenceToken":7,"lastSeen":58,"hold_ms":4000,)"
                        R"("startTime":[["fedcba9876543210.6.2.4097",3,"a\u0022b","m1"],)"
                        R"(["0000000000000005.0.0.1",1,"",""]],)"
                        R"("stopTime":[["fedcba9876543210.6.2.4097",3],["0000000000000005.0.0.1",1]],)"
                        R"("retryAfterMs":50})");
     free(body);
-    body = platform_executor.beat_response(&none);
+    body = platform_executor.heartbeat_response(&none);
     EXPECT_STREQ(body, R"({"fenceToken":7,"lastSeen":0,"retryAfterMs":1000})");
     free(body);
 }
--- a/tests/platform/platform_test.h
+++ b/tests/platform/platform_test.h
@@ -44,7 +44,7 @@
     }
     ~Read() { schema_free(&api_request_schema, &request); }
     Read(const Read &) = delete;
-    const executor_beat &beat() const { return *api_request_beat(const_cast<api_request *>(&request)); }
+    const executor_heartbeat &beat() const { return *api_request_beat(const_cast<api_request *>(&request)); }
     bool empty() const
     {
         const auto *bytes = reinterpret_cast<const unsigned char *>(&request);
--- a/tests/proc/answers_test.cc
+++ b/tests/proc/answers_test.cc
@@ -38,10 +38,10 @@
         int fd = listen_anywhere();
         port = port_of(fd);
         close(fd);
-        real.role.arg = this;
-        real.role.web = on_web;
-        int64_t addrs[LISTENERS] = {(int64_t)loopback(port)};
-        EXPECT_EQ(web_open(&real, addrs), 0);
+        runtime.role.arg = this;
+        runtime.role.on_request = on_web;
+        int64_t addrs[LISTENERS_MAX] = {(int64_t)loopback(port)};
+        EXPECT_EQ(http_server_start_listeners(&runtime, addrs), 0);
     }
     bool one_in(unsigned n) { return random() % n == 0; }
 
@@ -62,7 +62,7 @@
         Waiting at = waiting[i];
         waiting.erase(waiting.begin() + (long)i);
         former.push_back(at);
-        real.base.calls->answer(&real.base, at.slot, 200, 0, answer_of(at.id).c_str());
+        runtime.base.calls->answer(&runtime.base, at.slot, 200, 0, answer_of(at.id).c_str());
     }
     // Some are answered, in any order; some that were answered, or whose caller is gone, once more, and falsely.
     void answer_some()
@@ -71,7 +71,7 @@
             give(random() % waiting.size());
         for (int i = 0; i < 3 && !former.empty(); i++, stale++) {
             const Waiting &old = former[former.size() - 1 - random() % std::min<size_t>(former.size(), 500)];
-            real.base.calls->answer(&real.base, old.slot, 200, 0, ("stale " + old.id).c_str());
+            runtime.base.calls->answer(&runtime.base, old.slot, 200, 0, ("stale " + old.id).c_str());
         }
     }
 };
@@ -217,8 +217,8 @@
     // those whose callers went away are answered too, to nobody
     while (!door.waiting.empty())
         door.give(0);
-    door.until([&] { return !door.real.requests.used; }, 2000);
-    EXPECT_EQ(door.real.requests.used, 0) << "requests are kept though all callers are gone";
+    door.until([&] { return !door.runtime.requests.used; }, 2000);
+    EXPECT_EQ(door.runtime.requests.used, 0) << "requests are kept though all callers are gone";
     EXPECT_GT(door.stale, counts.sent / 4);
     return counts;
 }
--- a/tests/proc/at_once_test.cc
+++ b/tests/proc/at_once_test.cc
@@ -40,7 +40,7 @@
     uint64_t to = loopback(port_of(listening));
     std::string got;
     struct blob *first = blob_of("first "), *second = blob_of("second");
-    net_send(&sender.real.base, to, first, 0);
+    net_send(&sender.runtime.base, to, first, 0);
     ASSERT_TRUE(sender.until(
         [&] {
             fd = fd >= 0 ? fd : accept4(listening, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
@@ -48,7 +48,7 @@
             return got == "first ";
         },
         MOST_MS));
-    net_send(&sender.real.base, to, second, 0);
+    net_send(&sender.runtime.base, to, second, 0);
     EXPECT_TRUE(readable(fd)) << "and no loop has turned";
     EXPECT_EQ(received(fd), "second");
     blob_drop(first);
@@ -65,9 +65,9 @@
     close(picked);
     static int64_t slot;
     slot = -1;
-    door.real.role.web = [](void *, int64_t at, const struct http_request *) { slot = at; };
-    int64_t addrs[LISTENERS] = {(int64_t)loopback(port)};
-    ASSERT_EQ(web_open(&door.real, addrs), 0);
+    door.runtime.role.on_request = [](void *, int64_t at, const struct http_request *) { slot = at; };
+    int64_t addrs[LISTENERS_MAX] = {(int64_t)loopback(port)};
+    ASSERT_EQ(http_server_start_listeners(&door.runtime, addrs), 0);
     int fd = connect_to(port);
     const std::string request = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n";
     bool sent = false;
@@ -77,8 +77,8 @@
             return slot >= 0;
         },
         MOST_MS));
-    api_reply(&door.real.base, slot, 200, 0, "{}");
-    api_flush(&door.real);
+    api_reply(&door.runtime.base, slot, 200, 0, "{}");
+    api_flush(&door.runtime);
     EXPECT_TRUE(readable(fd)) << "and no loop has turned";
     EXPECT_EQ(received(fd).substr(0, 12), "HTTP/1.1 200");
     close(fd);
--- a/tests/proc/calls_test.cc
+++ b/tests/proc/calls_test.cc
@@ -43,7 +43,7 @@
                                  on_done,
                                  new Under{&result, mono_ms(nullptr)},
                                  42};
-        out_call(&real.base, &call);
+        out_call(&runtime.base, &call);
     }
     Result call_and_wait(Standin &to, const char *method, const std::string &path, const std::string &body,
                          int64_t wait_ms = PATIENT_MS)
@@ -53,7 +53,7 @@
         EXPECT_TRUE(until([&] { return result.done; }, PATIENT_MS * 2, [&] { to.turn(); }));
         // whatever is still to come: what curl sends anew arrives within these turns
         for (int i = 0; i < 5; i++) {
-            ev_run(real.loop, EVRUN_NOWAIT);
+            ev_run(runtime.loop, EVRUN_NOWAIT);
             to.turn();
         }
         return result;
@@ -204,5 +204,5 @@
         }
         EXPECT_EQ(to.arrivals[get ? path : "body " + id], 1) << i;
     }
-    EXPECT_EQ(calls.real.n_calls, 0);
+    EXPECT_EQ(calls.runtime.n_calls, 0);
 }
--- a/tests/proc/cluster_rig.h
+++ b/tests/proc/cluster_rig.h
@@ -36,7 +36,7 @@
         if (controller)
             controller_free(controller);
     }
-    static Process *of(struct world *w) { return (Process *)((struct real *)w)->role.arg; }
+    static Process *of(struct world *w) { return (Process *)((struct runtime *)w)->role.arg; }
     void start(bool with_disk, bool first_start, int64_t boot, const struct api_codec *codec);
 };
 
@@ -105,8 +105,8 @@
     {
         Machine &m = *machines[i];
         m.process = std::make_unique<Process>(*this, i, m.disk);
-        m.process->real.base.self = m.addr;
-        m.process->real.base.http_addr = m.http_addr;
+        m.process->runtime.base.self = m.addr;
+        m.process->runtime.base.http_addr = m.http_addr;
         int64_t boot_number = (now_ms() << 12) + (int64_t)i * 100 + m.starts++;
         m.process->start(m.with_disk, first_start, boot_number, codec);
     }
@@ -130,7 +130,7 @@
         auto link = links.find({from, machine_at(to)});
         if (link == links.end())
             return;
-        struct world *w = &machines[from]->process->real.base;
+        struct world *w = &machines[from]->process->runtime.base;
         if (!lossy)
             net_send(w, link->second->addr(), frame, 0);
         else if (now_ms() >= link->second->held_until_ms && one_of(20))
@@ -143,9 +143,9 @@
         for (auto &m : machines) {
             if (!m->process)
                 continue;
-            ev_run(m->process->real.loop, EVRUN_NOWAIT);
+            ev_run(m->process->runtime.loop, EVRUN_NOWAIT);
             if (turns % TIMER_TURNS == 0) {
-                net_on_timer(&m->process->real);
+                net_on_timer(&m->process->runtime);
                 controller_on_timer(m->process->controller);
             }
             controller_flush(m->process->controller);
@@ -188,11 +188,11 @@
         of(w)->cluster.machines[of(w)->number]->events.push_back(std::to_string(event) + " " + text);
     };
     MemoryDisk::fill(&table, [](struct world *w) -> MemoryDisk & { return of(w)->disk; });
-    real.role.arg = this;
-    real.role.take = [](void *arg, const uint8_t *at, int64_t len) {
+    runtime.role.arg = this;
+    runtime.role.on_frame = [](void *arg, const uint8_t *at, int64_t len) {
         controller_take(((Process *)arg)->controller, at, len);
     };
-    real.role.web = [](void *arg, int64_t slot, const struct http_request *request) {
+    runtime.role.on_request = [](void *arg, int64_t slot, const struct http_request *request) {
         controller_request(((Process *)arg)->controller, slot, request);
     };
     struct controller_setup setup = {};
@@ -207,12 +207,12 @@
     setup.grace_ms = 6000;
     setup.dispatch = {6000, 3000, 250, 120000, 600, 150};
     setup.codec = codec;
-    controller = controller_new(&real.base, &setup);
+    controller = controller_new(&runtime.base, &setup);
     ASSERT_NE(controller, nullptr);
-    ASSERT_EQ(net_start(&real), ERROR_NONE);
-    int64_t addrs[LISTENERS] = {};
-    addrs[ENTRY_OPERATORS] = (int64_t)real.base.http_addr;
-    ASSERT_EQ(web_open(&real, addrs), ERROR_NONE);
+    ASSERT_EQ(net_start(&runtime), ERROR_NONE);
+    int64_t addrs[LISTENERS_MAX] = {};
+    addrs[ENTRY_OPERATORS] = (int64_t)runtime.base.http_addr;
+    ASSERT_EQ(http_server_start_listeners(&runtime, addrs), ERROR_NONE);
 }
 
 } // namespace proc_rig
--- a/tests/proc/ending_test.cc
+++ b/tests/proc/ending_test.cc
@@ -26,13 +26,13 @@
         int fd = listen_anywhere();
         port = port_of(fd);
         close(fd);
-        rig.real.role.arg = &role;
-        rig.real.role.web = [](void *arg, int64_t slot, const struct http_request *) {
+        rig.runtime.role.arg = &role;
+        rig.runtime.role.on_request = [](void *arg, int64_t slot, const struct http_request *) {
             ((Role *)arg)->handed_on++;
             ((Role *)arg)->slot = slot;
         };
-        int64_t addrs[LISTENERS] = {(int64_t)loopback(port)};
-        ASSERT_EQ(web_open(&rig.real, addrs), 0);
+        int64_t addrs[LISTENERS_MAX] = {(int64_t)loopback(port)};
+        ASSERT_EQ(http_server_start_listeners(&rig.runtime, addrs), 0);
         waiting = std::make_unique<PlainCaller>(loopback(port));
         late = std::make_unique<PlainCaller>(loopback(port));
         waiting->send_text(post("/first"));
--- a/tests/proc/frames_test.cc
+++ b/tests/proc/frames_test.cc
@@ -40,22 +40,22 @@
         int fd = listen_anywhere();
         port = port_of(fd);
         close(fd);
-        real.base.self = loopback(port);
-        real.role.arg = this;
-        real.role.take = [](void *arg, const uint8_t *at, int64_t len) {
+        runtime.base.self = loopback(port);
+        runtime.role.arg = this;
+        runtime.role.on_frame = [](void *arg, const uint8_t *at, int64_t len) {
             Receiver *r = (Receiver *)arg;
             struct frame frame;
-            if (frame_parse(&frame, at, len, r->real.cluster))
+            if (frame_parse(&frame, at, len, r->runtime.cluster))
                 r->dropped++;
             else
                 r->taken.emplace_back((const char *)at, (size_t)len);
         };
-        EXPECT_EQ(net_start(&real), ERROR_NONE);
+        EXPECT_EQ(net_start(&runtime), ERROR_NONE);
     }
     void turns(int n = TURNS_AFTER)
     {
         for (int i = 0; i < n; i++)
-            ev_run(real.loop, EVRUN_NOWAIT);
+            ev_run(runtime.loop, EVRUN_NOWAIT);
     }
     // Until so many frames were taken or dropped.
     bool got(size_t frames)
@@ -190,7 +190,7 @@
     send_all(fd, longer.substr(0, FRAME_HEAD));
     to.turns();
     close(fd);
-    EXPECT_TRUE(to.until([&] { return !to.real.ins; }, MOST_MS));
+    EXPECT_TRUE(to.until([&] { return !to.runtime.ins; }, MOST_MS));
     EXPECT_EQ(to.dropped, 1) << "it waits for a frame over the limit";
 }
 
@@ -289,7 +289,7 @@
     SenderAndPeer()
     {
         from.table.mono_ms = [](struct world *) { return now_ms(); };
-        from.real.out_max = 8 << 20;
+        from.runtime.out_max = 8 << 20;
         int bytes = 64 << 10; // so that the sender has to wait inside frames
         setsockopt(listen_fd, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes);
     }
@@ -306,13 +306,13 @@
         number++;
         frames[number] = frame_of(number, random() % 4 ? random() % 300 : random() % 150000);
         bytes_add(&frame->bytes, frames[number].data(), (int64_t)frames[number].size());
-        net_send(&from.real.base, to, frame, 0);
+        net_send(&from.runtime.base, to, frame, 0);
         blob_drop(frame);
     }
     void take_frames()
     {
         while (got.size() >= FRAME_HEAD) {
-            int64_t len = frame_length((const uint8_t *)got.data(), from.real.cluster);
+            int64_t len = frame_length((const uint8_t *)got.data(), from.runtime.cluster);
             ASSERT_GT(len, 0) << "no frame begins here";
             if ((int64_t)got.size() < len)
                 return;
--- a/tests/proc/orders_test.cc
+++ b/tests/proc/orders_test.cc
@@ -28,7 +28,7 @@
     Orders()
     {
         for (auto &m : cluster.machines)
-            m->process->real.out_max = 8 << 20; // as on the platform
+            m->process->runtime.out_max = 8 << 20; // as on the platform
         EXPECT_TRUE(cluster.until(
             [&] { return call(outer, put("/config/0/1", "first")).find(" 200 ") != std::string::npos; }, BOOT_TURNS));
     }
@@ -112,12 +112,12 @@
     rig.table.note = [](struct world *, int event, const char *text) {
         at->events.push_back(std::to_string(event) + " " + text);
     };
-    rig.real.role.web = [](void *, int64_t, const struct http_request *) { at->handed_on++; };
+    rig.runtime.role.on_request = [](void *, int64_t, const struct http_request *) { at->handed_on++; };
     int fd = listen_anywhere();
     uint16_t port = port_of(fd);
     close(fd);
-    int64_t addrs[LISTENERS] = {(int64_t)loopback(port)};
-    EXPECT_EQ(web_open(&rig.real, addrs), 0);
+    int64_t addrs[LISTENERS_MAX] = {(int64_t)loopback(port)};
+    EXPECT_EQ(http_server_start_listeners(&rig.runtime, addrs), 0);
     PlainCaller caller(loopback(port));
     caller.send_text("PUT /slow HTTP/1.1\r\nHost: x\r\nContent-Length: " + std::to_string(size) + "\r\n\r\n");
     size_t sent = 0;
@@ -125,7 +125,7 @@
     EXPECT_TRUE(rig.until([&] { return door.handed_on || recv(caller.fd, &byte, 1, MSG_DONTWAIT) == 0; }, MOST_MS,
                           [&] {
                               for (int i = 0; i < 5; i++) // what was sent before is read
-                                  ev_run(rig.real.loop, EVRUN_NOWAIT);
+                                  ev_run(rig.runtime.loop, EVRUN_NOWAIT);
                               if (sent == size || send(caller.fd, "x", 1, MSG_NOSIGNAL) != 1)
                                   return;
                               door.now_ms += 1000;
--- a/tests/proc/proc_rig.h
+++ b/tests/proc/proc_rig.h
@@ -91,7 +91,7 @@
 
 struct Rig {
     struct world_calls table = {};
-    struct real real = {};
+    struct runtime runtime = {};
 
     Rig()
     {
@@ -102,19 +102,19 @@
         table.call = out_call;
         table.answer = api_reply;
         table.note = note;
-        real.base.calls = &table;
-        real.listen_fd = real.udp_fd = -1;
-        real.out_max = 128 << 20;
-        real.cluster = (uint32_t)hash_text("test");
-        real.loop = ev_loop_new(EVFLAG_AUTO);
-        out_start(&real);
+        runtime.base.calls = &table;
+        runtime.listen_fd = runtime.udp_fd = -1;
+        runtime.out_max = 128 << 20;
+        runtime.cluster = (uint32_t)hash_text("test");
+        runtime.loop = ev_loop_new(EVFLAG_AUTO);
+        out_start(&runtime);
     }
     ~Rig()
     {
-        api_end(&real);
-        out_end(&real);
-        net_end(&real);
-        ev_loop_destroy(real.loop);
+        api_end(&runtime);
+        out_end(&runtime);
+        net_end(&runtime);
+        ev_loop_destroy(runtime.loop);
     }
     // Turns the loop, with `between` after each turn, until done() or the time is over; returns done().
     bool until(
@@ -122,7 +122,7 @@
     {
         int64_t end_ms = mono_ms(nullptr) + most_ms;
         while (!done() && mono_ms(nullptr) < end_ms) {
-            ev_run(real.loop, EVRUN_NOWAIT);
+            ev_run(runtime.loop, EVRUN_NOWAIT);
             between();
         }
         return done();
--- a/tests/sim/cluster_losses.cc
+++ b/tests/sim/cluster_losses.cc
@@ -205,7 +205,7 @@
         if (h->up && h->controller)
             controller_reread(h->controller, c.seeds, c.n_seeds);
         else if (h->up)
-            agent_reread(h->agent, c.seeds, c.n_seeds);
+            agent_set_seeds(h->agent, c.seeds, c.n_seeds);
     }
 }
 
--- a/tests/sim/cluster_resets_test.cc
+++ b/tests/sim/cluster_resets_test.cc
@@ -15,7 +15,7 @@
   public:
     reset_hop hop() const { return (reset_hop)std::get<0>(GetParam()); }
     reset_point point() const { return (reset_point)std::get<1>(GetParam()); }
-    bool by_beat(uint64_t seed) const { return (seed + (uint64_t)hop() + (uint64_t)point()) % 2 == 0; }
+    bool orders_by_heartbeat(uint64_t seed) const { return (seed + (uint64_t)hop() + (uint64_t)point()) % 2 == 0; }
 };
 
 std::string name_of(const ::testing::TestParamInfo<std::tuple<int, int>> &info)
@@ -50,7 +50,7 @@
 {
     for (uint64_t seed : seeds(1)) {
         SCOPED_TRACE("seed " + std::to_string(seed));
-        Cluster s(seed, {3, 1, 8, 1, by_beat(seed), {}});
+        Cluster s(seed, {3, 1, 8, 1, orders_by_heartbeat(seed), {}});
         s.seed_ = seed;
         s.run(INHERIT_MS);
         callers_load(&s.c, 8, 12000);
--- a/tests/unit/agent_beat_test.cc
+++ b/tests/unit/agent_beat_test.cc
@@ -20,7 +20,7 @@
     {
         out = slot = ++seq;
         out_ms = now;
-        beat(ex.incarnation, seq, draining, BEAT_ALIVE, "beat", ex.lists(0));
+        beat(ex.incarnation, seq, draining, HEARTBEAT_ALIVE, "beat", ex.lists(0));
     }
     void carry_orders(const std::string &body)
     {
@@ -201,7 +201,7 @@
     EXPECT_STREQ(rig.r().executor.incarnation, "B");
     EXPECT_TRUE(rig.r().ready);
     rig.slot = 100000;
-    rig.beat("A", 100000, 0, BEAT_ALIVE, "beat", old);
+    rig.beat("A", 100000, 0, HEARTBEAT_ALIVE, "beat", old);
     EXPECT_EQ(rig.answers[100000], "");
     rig.run(300);
     EXPECT_STREQ(rig.r().executor.incarnation, "B");
@@ -216,7 +216,7 @@
     rig.start(1, 1);
     rig.run(300);
     rig.slot = 100000;
-    rig.beat("A", 1, 0, BEAT_ALIVE, "beat", before);
+    rig.beat("A", 1, 0, HEARTBEAT_ALIVE, "beat", before);
     rig.run(20);
     EXPECT_TRUE(rig.is_active(1, 1));
     EXPECT_EQ(rig.answers[100000], "");
@@ -302,7 +302,7 @@
     rig.beats = false;
     rig.run(200);
     rig.slot = 100000;
-    rig.beat("A", 100000, 0, BEAT_LEFT);
+    rig.beat("A", 100000, 0, HEARTBEAT_LEAVING);
     EXPECT_EQ(rig.answers.count(100000), 1u);
     rig.run(400);
     EXPECT_FALSE(rig.lost("A"));
--- a/tests/unit/agent_executor.h
+++ b/tests/unit/agent_executor.h
@@ -90,7 +90,7 @@
     return 0;
 }
 // "EPOCH SEEN HOLD RETRY N (JOB TASK ATTEMPT)... N (JOB TASK ATTEMPT)..."
-inline char *codec_beat_answer(const struct beat_orders *o)
+inline char *codec_beat_answer(const struct heartbeat_orders *o)
 {
     std::string body = words({o->epoch, o->seen, o->hold_ms, o->retry_ms});
     for (int list = 0; list < 2; list++) {
@@ -115,7 +115,7 @@
         api_request_make_count(request);
         return 0;
     }
-    executor_beat *beat = api_request_make_beat(request);
+    executor_heartbeat *beat = api_request_make_beat(request);
     in >> kind >> incarnation >> beat->seq >> beat->state.draining;
     beat->kind = kind;
     beat->state.incarnation = must_dup(incarnation.c_str());
--- a/tests/unit/agent_lease_test.cc
+++ b/tests/unit/agent_lease_test.cc
@@ -231,7 +231,7 @@
     rig.start(2, 1);
     rig.run(300);
     rig.beat("A", 100, 1);
-    rig.beat("A", 0, 0, BEAT_LEFT);
+    rig.beat("A", 0, 0, HEARTBEAT_LEAVING);
     EXPECT_EQ(rig.last_status, 200);
     rig.run(600);
     EXPECT_TRUE(rig.r().present) << "it still answers";
@@ -247,7 +247,7 @@
 {
     Rig rig;
     rig.settled();
-    rig.beat("A", 0, 0, BEAT_LEFT);
+    rig.beat("A", 0, 0, HEARTBEAT_LEAVING);
     rig.run(1000);
     EXPECT_TRUE(rig.lost("A"));
 }
--- a/tests/unit/agent_rig.h
+++ b/tests/unit/agent_rig.h
@@ -45,7 +45,7 @@
     int64_t granted_at = 0;                 // true time of the newest report that was answered
     std::string leader_incarnation;         // as the leader knows it
     std::map<int64_t, std::string> answers; // to beats, by slot
-    int64_t by_beat = 0, slot = 1;
+    int64_t orders_by_heartbeat = 0, slot = 1;
 
     static Rig *of(struct world *w) { return static_cast<Rig *>(w); }
     static int64_t mono(struct world *w) { return of(w)->now; }
@@ -97,7 +97,7 @@
         }
     }
 
-    explicit Rig(bool commanded_by_beats = false) : world(), by_beat(commanded_by_beats)
+    explicit Rig(bool commanded_by_beats = false) : world(), orders_by_heartbeat(commanded_by_beats)
     {
         table.mono_ms = mono;
         table.wall_ms = wall_ms;
@@ -134,7 +134,7 @@
         setup.hold_max_ms = HOLD_MAX;
         setup.stop_timeout_ms = 400;
         setup.grace_ms = 6000;
-        setup.by_beat = by_beat;
+        setup.orders_by_heartbeat = orders_by_heartbeat;
         setup.codec = &api_codec;
         setup.executor_codec = &executor_codec;
         a = agent_new(this, &setup);
@@ -161,7 +161,7 @@
             fill(o);
         struct bytes out = {};
         frame_build(&out, FRAME_ORDERS, (uint32_t)hash_text(CLUSTER), LEADER, &agent_orders_schema, &o);
-        agent_take(a, out.at, out.len);
+        agent_on_frame(a, out.at, out.len);
         bytes_free(&out);
     }
     void start(int64_t task, int64_t attempt)
@@ -179,7 +179,7 @@
         struct run_ref r = {1, task, attempt};
         orders([&](struct agent_orders &o) { o.ends_seen = &r, o.n_ends_seen = 1; });
     }
-    void beat(const std::string &incarnation, int64_t seq, int64_t draining = 0, int64_t kind = BEAT_ALIVE,
+    void beat(const std::string &incarnation, int64_t seq, int64_t draining = 0, int64_t kind = HEARTBEAT_ALIVE,
               const char *path = "beat", const std::string &lists = "")
     {
         std::string body = std::to_string(kind) + " " + incarnation + " " + std::to_string(seq) + " " +
--- a/tests/unit/agent_test.cc
+++ b/tests/unit/agent_test.cc
@@ -337,6 +337,6 @@
 TEST(Agent, answers_other_requests_as_unknown)
 {
     Rig rig;
-    rig.beat("A", 1, 0, BEAT_ALIVE, "other");
+    rig.beat("A", 1, 0, HEARTBEAT_ALIVE, "other");
     EXPECT_EQ(rig.last_status, 404);
 }
--- a/tests/unit/packed_bytes_test.cc
+++ b/tests/unit/packed_bytes_test.cc
@@ -194,8 +194,8 @@
 TEST(PackedBytes, RequestOfABeat)
 {
     Request r(false);
-    executor_beat *beat = api_request_make_beat(&r.request);
-    beat->kind = BEAT_LEFT;
+    executor_heartbeat *beat = api_request_make_beat(&r.request);
+    beat->kind = HEARTBEAT_LEAVING;
     beat->seq = 12;
     beat->address = must_dup("10.9.8.7:8080");
     beat->state.incarnation = must_dup("i-1");
--- a/tests/unit/schema_kinds_test.cc
+++ b/tests/unit/schema_kinds_test.cc
@@ -127,11 +127,13 @@
 // A schema that is not marked as tagged would ignore the kinds of its fields.
 TEST(SchemaKinds, SchemasWithKindsAreTagged)
 {
-    const schema *schemas[] = {&api_request_schema,   &api_response_schema,  &record_op_schema,
-                               &executor_call_schema, &executor_beat_schema, &executor_response_schema,
-                               &run_active_schema,    &run_ended_schema,     &agent_report_schema,
-                               &agent_orders_schema,  &submission_schema,    &config_schema,
-                               &rules_change_schema,  &rules_schema};
+    const schema *schemas[] = {&api_request_schema,        &api_response_schema,
+                               &record_op_schema,          &executor_call_schema,
+                               &executor_heartbeat_schema, &executor_response_schema,
+                               &run_active_schema,         &run_ended_schema,
+                               &agent_report_schema,       &agent_orders_schema,
+                               &submission_schema,         &config_schema,
+                               &rules_change_schema,       &rules_schema};
     int tagged = 0;
     for (const schema *one : schemas) {
         for (int i = 0; i < one->n; i++)
