--- a/sim/cluster_net.c
+++ b/sim/cluster_net.c
@@ -130,7 +130,7 @@
     if (event->kind == CEV_ON_TIMER)
         h->controller ? controller_on_timer(h->controller) : agent_on_timer(h->agent);
     else if (event->kind == CEV_FRAME && h->controller)
-        controller_take(h->controller, event->frame->bytes.at, event->frame->bytes.len);
+        controller_on_frame(h->controller, event->frame->bytes.at, event->frame->bytes.len);
     else if (event->kind == CEV_FRAME)
         agent_on_frame(h->agent, event->frame->bytes.at, event->frame->bytes.len);
     else if (event->kind == CEV_REQUEST)
--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -92,7 +92,7 @@
         world_note(agent->world, EV_FRAME_DROPPED, "a frame that is not ours");
         return;
     }
-    if (directory_take(&agent->directory, &frame) || frame.kind != FRAME_ORDERS)
+    if (directory_on_frame(&agent->directory, &frame) || frame.kind != FRAME_ORDERS)
         return;
     struct agent_orders orders = {0};
     if (schema_unpack(&agent_orders_schema, &orders, frame.body, frame.len)) {
@@ -116,7 +116,7 @@
     }
     int64_t quiet_since = agent->orders_received_ms > agent->leader_ms ? agent->orders_received_ms : agent->leader_ms;
     if (leader && now - quiet_since > DOUBT_MS) {
-        directory_doubt(&agent->directory);
+        directory_suspect_leader(&agent->directory);
         agent->leader_ms = now;
         return;
     }
@@ -138,5 +138,5 @@
 
 void agent_set_seeds(struct agent *agent, const int64_t *seeds, int64_t n_seeds)
 {
-    directory_seeds(&agent->directory, seeds, n_seeds);
+    directory_set_seeds(&agent->directory, seeds, n_seeds);
 }
--- a/src/agent/agent_beats.c
+++ b/src/agent/agent_beats.c
@@ -131,7 +131,7 @@
     struct validation_error validation_error = {0};
     int64_t now = world_ms(agent->world);
     int error = codec->read(&request, web, &validation_error);
-    if (!error && request.kind != REQUEST_BEAT)
+    if (!error && request.kind != REQUEST_HEARTBEAT)
         error = ERROR_NO_SUCH;
     if (!error && take_beat(agent, api_request_beat(&request), now) && agent->setup.orders_by_heartbeat) {
         agent_beat_taken(agent, slot, &api_request_beat(&request)->account, now);
--- a/src/agent/agent_report.c
+++ b/src/agent/agent_report.c
@@ -121,7 +121,7 @@
     agent->pace_ms = orders->pace_ms > 0 && orders->pace_ms < 1000 ? orders->pace_ms : 0;
     agent_works_step(agent, now); /* what the lease no longer covers is withdrawn before it is renewed */
     if (orders->leader)
-        directory_learn(&agent->directory, orders->epoch, orders->leader);
+        directory_learn_leader(&agent->directory, orders->epoch, orders->leader);
     take_incarnations_seen(agent, orders);
     if (!agent->incarnation.present || !orders->incarnation ||
         strcmp(orders->incarnation, agent->incarnation.state.incarnation))
--- a/src/controller/api_message.c
+++ b/src/controller/api_message.c
@@ -30,7 +30,7 @@
     INT_NAMED(api_request, body.config.base, "base", .kinds = CONFIG_KINDS),
     SUB_NAMED(api_request, body.job, "spec", submission_schema, .kinds = KIND_BIT(REQUEST_JOB)),
     SUB_NAMED(api_request, body.config.config, "config", config_schema, .kinds = CONFIG_KINDS),
-    SUB_NAMED(api_request, body.beat, "beat", executor_heartbeat_schema, .kinds = KIND_BIT(REQUEST_BEAT)),
+    SUB_NAMED(api_request, body.beat, "beat", executor_heartbeat_schema, .kinds = KIND_BIT(REQUEST_HEARTBEAT)),
     PTR_NAMED(api_request, body.rules, "rules", rules_change_schema, .kinds = RULES_KINDS)};
 SCHEMA_TAGGED(api_request_schema, api_request, api_request_fields);
 
@@ -112,7 +112,7 @@
 
 struct executor_heartbeat *api_request_make_beat(struct api_request *request)
 {
-    set_kind(request, REQUEST_BEAT);
+    set_kind(request, REQUEST_HEARTBEAT);
     return &request->body.beat;
 }
 
@@ -156,7 +156,7 @@
 
 struct executor_heartbeat *api_request_beat(struct api_request *request)
 {
-    check_kind(request->kind, KIND_BIT(REQUEST_BEAT));
+    check_kind(request->kind, KIND_BIT(REQUEST_HEARTBEAT));
     return &request->body.beat;
 }
 
--- a/src/controller/api_message.h
+++ b/src/controller/api_message.h
@@ -19,7 +19,7 @@
     REQUEST_CONFIG_PUT,    /* replaces the configuration */
     REQUEST_CONFIG_GET,    /* reads it */
     REQUEST_READY,         /* whether this process is ready */
-    REQUEST_BEAT,          /* heartbeat of an executor */
+    REQUEST_HEARTBEAT,     /* heartbeat of an executor */
     REQUEST_WHY,           /* explains the state of a job as text, for operators */
     REQUEST_RULES_PUT,     /* changes head office's rules, or an outlet's */
     REQUEST_RULES_GET,     /* reads them */
@@ -33,11 +33,12 @@
     int64_t wait_ms;   /* how long the caller waits, 0: it does not say */
     char *host, *path; /* as sent; of requests about jobs and queues they decide the queue */
     union {
-        struct executor_heartbeat beat; /* REQUEST_BEAT; the largest member is first, so that {0} clears them all */
-        struct job_spec job;            /* REQUEST_JOB */
-        int64_t job_id;                 /* REQUEST_STATE, REQUEST_CANCEL, REQUEST_WHY, REQUEST_RULES_JOB */
-        struct config_change config;    /* REQUEST_CONFIG_PUT, REQUEST_CONFIG_PATCH */
-        struct rules_change *rules;     /* REQUEST_RULES_PUT; REQUEST_RULES_GET: only its outlet is used */
+        struct executor_heartbeat
+            beat;                    /* REQUEST_HEARTBEAT; the largest member is first, so that {0} clears them all */
+        struct job_spec job;         /* REQUEST_JOB */
+        int64_t job_id;              /* REQUEST_STATE, REQUEST_CANCEL, REQUEST_WHY, REQUEST_RULES_JOB */
+        struct config_change config; /* REQUEST_CONFIG_PUT, REQUEST_CONFIG_PATCH */
+        struct rules_change *rules;  /* REQUEST_RULES_PUT; REQUEST_RULES_GET: only its outlet is used */
     } body;
 };
 
--- a/src/controller/api_schemas.c
+++ b/src/controller/api_schemas.c
@@ -20,9 +20,10 @@
                                                          SUB(forwarded_response, answer, api_response_schema)};
 SCHEMA(forwarded_response_schema, forwarded_response, forwarded_response_fields);
 
-static const struct field collect_fields[] = {INT(collect, id), INT(collect, addr), INT(collect, empty),
-                                              STR(collect, zone), SUB(collect, members, log_members_schema)};
-SCHEMA(collect_schema, collect, collect_fields);
+static const struct field collect_fields[] = {INT(bootstrap_announcement, id), INT(bootstrap_announcement, addr),
+                                              INT(bootstrap_announcement, empty), STR(bootstrap_announcement, zone),
+                                              SUB(bootstrap_announcement, members, log_members_schema)};
+SCHEMA(bootstrap_announcement_schema, bootstrap_announcement, collect_fields);
 
 static const struct field ballot_fields[] = {INT(ballot, ballot), INT(ballot, phase),
                                              SUB(ballot, members, log_members_schema)};
--- a/src/controller/ballot.c
+++ b/src/controller/ballot.c
@@ -116,7 +116,7 @@
     struct ballot_reply reply;
     if (phase == BALLOT_ACCEPT)
         m.members = p->members;
-    if (!(p->answered >> rank_of(c, self) & 1)) {
+    if (!(p->agreed >> rank_of(c, self) & 1)) {
         if (!acceptor_answer(c, &m, &reply))
             return;
         on_reply(c, self, &reply);
@@ -128,7 +128,7 @@
 
 static int majority_answered(const struct controller *c)
 {
-    return __builtin_popcountll((unsigned long long)c->proposer.answered) > c->acceptor.n_seeds / 2;
+    return __builtin_popcountll((unsigned long long)c->proposer.agreed) > c->acceptor.n_seeds / 2;
 }
 
 /* After promises of a majority: proposes the list accepted under the highest ballot, else a list of its own choice. */
@@ -140,7 +140,7 @@
     if (!p->members.n)
         return;
     p->phase = BALLOT_ACCEPT;
-    p->answered = 0;
+    p->agreed = 0;
     send_ballot(c);
 }
 
@@ -158,7 +158,7 @@
         give_up(c, reply->log_exists ? AGAIN_MS : RETRY_MS + (int64_t)(world_random(c->w) % RETRY_MS));
         return;
     }
-    p->answered |= 1LL << rank;
+    p->agreed |= 1LL << rank;
     if (p->phase == BALLOT_PREPARE && reply->accepted > p->best_accepted) {
         p->best_accepted = reply->accepted;
         schema_free(&log_members_schema, &p->members);
@@ -185,7 +185,7 @@
         int64_t round = top / RANKS / RANDOM + 1;
         p->ballot = (round * RANDOM + (int64_t)(world_random(c->w) % RANDOM)) * RANKS + rank;
         p->phase = BALLOT_PREPARE;
-        p->answered = 0;
+        p->agreed = 0;
     } else if (p->phase == BALLOT_PREPARE && majority_answered(c)) {
         begin_accept(c);
         if (p->phase != BALLOT_PREPARE)
--- a/src/controller/bootstrap.c
+++ b/src/controller/bootstrap.c
@@ -68,7 +68,7 @@
 
 /* --- seeds ------------------------------------------------------------ */
 
-static void on_collect(struct controller *c, const struct collect *announced)
+static void on_collect(struct controller *c, const struct bootstrap_announcement *announced)
 {
     struct bootstrap_candidate *at = NULL;
     int64_t now_ms = world_ms(c->w);
@@ -79,12 +79,12 @@
         if (c->n_candidates == CANDIDATES_MAX)
             return;
         at = list_more(c->candidates, c->n_candidates);
-        c->last_new_ms = now_ms;
-        if (!c->first_heard_ms)
-            c->first_heard_ms = now_ms;
+        c->newest_candidate_ms = now_ms;
+        if (!c->first_candidate_ms)
+            c->first_candidate_ms = now_ms;
     }
-    schema_free(&collect_schema, &at->announced);
-    schema_copy(&collect_schema, &at->announced, announced);
+    schema_free(&bootstrap_announcement_schema, &at->announced);
+    schema_copy(&bootstrap_announcement_schema, &at->announced, announced);
     at->heard_ms = now_ms;
 }
 
@@ -117,7 +117,7 @@
     while (to->n < want) {
         int64_t best = -1;
         for (int64_t i = 0; i < c->n_candidates; i++) {
-            const struct collect *announced = &c->candidates[i].announced;
+            const struct bootstrap_announcement *announced = &c->candidates[i].announced;
             if (!taken[i] && announced->empty && is_heard(c, &c->candidates[i]) &&
                 (best < 0 || in_zone(to, announced->zone) < in_zone(to, c->candidates[best].announced.zone)))
                 best = i;
@@ -125,7 +125,7 @@
         if (best < 0)
             break;
         taken[best] = 1;
-        const struct collect *announced = &c->candidates[best].announced;
+        const struct bootstrap_announcement *announced = &c->candidates[best].announced;
         *list_more(to->members, to->n) = (struct log_member){
             .id = announced->id, .addr = announced->addr, .voter = VOTES, .zone = must_dup(announced->zone)};
     }
@@ -134,11 +134,11 @@
 
 void bootstrap_pick(struct controller *c, struct log_members *to)
 {
-    int64_t now_ms = world_ms(c->w), empty = 0, since_ms = now_ms - c->first_heard_ms;
-    if (!c->first_heard_ms || c->directory.term)
+    int64_t now_ms = world_ms(c->w), empty = 0, since_ms = now_ms - c->first_candidate_ms;
+    if (!c->first_candidate_ms || c->directory.term)
         return;
     for (int64_t i = 0; i < c->n_candidates; i++) {
-        const struct collect *announced = &c->candidates[i].announced;
+        const struct bootstrap_announcement *announced = &c->candidates[i].announced;
         if (announced->members.n) {
             schema_copy(&log_members_schema, to, &announced->members); /* it took a list, so that list was chosen */
             return;
@@ -146,7 +146,7 @@
         empty += is_heard(c, &c->candidates[i]) && announced->empty;
     }
     int enough = empty >= controller_voters_wanted(c, INT64_MAX) &&
-                 ((since_ms >= QUIET_MS && now_ms - c->last_new_ms >= QUIET_MS) || since_ms >= ENOUGH_MS);
+                 ((since_ms >= QUIET_MS && now_ms - c->newest_candidate_ms >= QUIET_MS) || since_ms >= ENOUGH_MS);
     if (empty && (enough || since_ms >= LONG_MS))
         pick(c, to, controller_voters_wanted(c, empty));
 }
@@ -196,20 +196,20 @@
 void bootstrap_on_timer(struct controller *c)
 {
     int64_t now_ms = world_ms(c->w), self = (int64_t)c->w->self;
-    if (!c->may_bootstrap || now_ms < c->bootstrap_ms)
+    if (!c->may_bootstrap || now_ms < c->next_bootstrap_ms)
         return;
-    c->bootstrap_ms = now_ms + TELL_MS;
+    c->next_bootstrap_ms = now_ms + TELL_MS;
     if (announces(c)) {
-        struct collect announced = {.id = c->id,
-                                    .addr = self,
-                                    .zone = c->zone,
-                                    .empty = !c->bootstrap_members.n,
-                                    .members = c->bootstrap_members};
+        struct bootstrap_announcement announced = {.id = c->id,
+                                                   .addr = self,
+                                                   .zone = c->zone,
+                                                   .empty = !c->bootstrap_members.n,
+                                                   .members = c->bootstrap_members};
         for (int64_t i = 0; i < c->acceptor.n_seeds; i++) {
             if (c->acceptor.seeds[i] == self)
                 on_collect(c, &announced);
             else
-                controller_send(c, c->acceptor.seeds[i], FRAME_COLLECT, &collect_schema, &announced);
+                controller_send(c, c->acceptor.seeds[i], FRAME_COLLECT, &bootstrap_announcement_schema, &announced);
         }
     }
     if (!is_seed(c, self) || ballot_over(c))
@@ -220,17 +220,18 @@
         ballot_on_timer(c);
 }
 
-void bootstrap_take(struct controller *c, const struct frame *frame)
+void bootstrap_on_frame(struct controller *c, const struct frame *frame)
 {
     if (frame->kind == FRAME_BALLOT || frame->kind == FRAME_BALLOT_REPLY) {
         ballot_take(c, frame);
         return;
     }
     if (frame->kind == FRAME_COLLECT) {
-        struct collect announced = {0};
-        if (c->may_bootstrap && !schema_unpack(&collect_schema, &announced, frame->body, frame->len) && announced.zone)
+        struct bootstrap_announcement announced = {0};
+        if (c->may_bootstrap && !schema_unpack(&bootstrap_announcement_schema, &announced, frame->body, frame->len) &&
+            announced.zone)
             on_collect(c, &announced);
-        schema_free(&collect_schema, &announced);
+        schema_free(&bootstrap_announcement_schema, &announced);
         return;
     }
     struct log_members members = {0};
@@ -243,7 +244,7 @@
 {
     ballot_end(c);
     for (int64_t i = 0; i < c->n_candidates; i++)
-        schema_free(&collect_schema, &c->candidates[i].announced);
+        schema_free(&bootstrap_announcement_schema, &c->candidates[i].announced);
     free(c->candidates);
     schema_free(&log_members_schema, &c->bootstrap_members);
     schema_free(&log_members_schema, &c->chosen_members);
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -146,7 +146,7 @@
     record_start(&c->record);
     c->record.patch_config = setup->codec->patch_config;
     directory_start(&c->directory, w, c->cluster, NULL, 0, 1, setup->disk, setup->boot);
-    controller_reread(c, setup->seeds, setup->n_seeds);
+    controller_set_seeds(c, setup->seeds, setup->n_seeds);
     if (c->votes && !(rc = log_identity(w, c->cluster, &c->id)))
         rc = open_log(c);
     if (!rc)
@@ -184,12 +184,12 @@
 
 int controller_empty(const struct controller *c) { return !c->log.members.n && !log_last(&c->log) && !c->log.term; }
 
-void controller_reread(struct controller *c, const int64_t *seeds, int64_t n_seeds)
+void controller_set_seeds(struct controller *c, const int64_t *seeds, int64_t n_seeds)
 {
     c->n_seeds = 0;
     for (int64_t i = 0; i < n_seeds && i < COUNT_OF(c->seeds); i++)
         c->seeds[c->n_seeds++] = seeds[i];
-    directory_seeds(&c->directory, c->seeds, c->n_seeds);
+    directory_set_seeds(&c->directory, c->seeds, c->n_seeds);
 }
 
 /* After a disk error: reads the log again as after a restart, when only what was synced counts. Until then nothing is
@@ -216,7 +216,7 @@
 }
 
 /* Starts or stops dispatch, and tells the directory, as the role in the log has changed. */
-static void follow_log(struct controller *c)
+static void apply_log_role(struct controller *c)
 {
     struct log *log = &c->log;
     int fit = log->role == LOG_LEADER && !log->broken;
@@ -226,17 +226,17 @@
     if (fit && !dispatch_leads(c->dispatch) && log_term_at(log, log->commit) == log->term)
         dispatch_lead(c->dispatch, log->term);
     if (fit && log_leads(log))
-        directory_learn(&c->directory, log->term, (int64_t)c->w->self);
+        directory_learn_leader(&c->directory, log->term, (int64_t)c->w->self);
     else if (c->directory.leader == (int64_t)c->w->self)
-        directory_doubt(&c->directory);
+        directory_suspect_leader(&c->directory);
     if (!fit && log->leader_addr && log->leader_addr != (int64_t)c->w->self && log->heard_leader_ms &&
         world_ms(c->w) - log->heard_leader_ms < 2LL * HEARTBEAT_MS)
-        directory_learn(&c->directory, log->term, log->leader_addr);
+        directory_learn_leader(&c->directory, log->term, log->leader_addr);
 }
 
 /* A voter that leaves lets the others be elected first; but not for longer than one election takes: it may hold
  * entries that they lack, and then none of them can be elected without it standing for election itself. */
-static void let_others_lead(struct controller *c)
+static void defer_election(struct controller *c)
 {
     struct log *log = &c->log;
     int64_t now_ms = world_ms(c->w), since_ms = c->leave_ms;
@@ -262,12 +262,12 @@
         world_note(c->w, EV_LEAVE_WAITS, "log=%s commit=%lld", log->name, (long long)log->commit);
     }
     int in_haste = now_ms - c->leave_ms >= c->setup.grace_ms - 1000 - HAND_OVER_MS;
-    if (log->role == LOG_LEADER && !log->handed_over_ms && now_ms >= c->hand_over_ms &&
+    if (log->role == LOG_LEADER && !log->handed_over_ms && now_ms >= c->next_hand_over_ms &&
         leaving_may_hand_over(c, in_haste)) {
-        c->hand_over_ms = now_ms + 2LL * HEARTBEAT_MS;
+        c->next_hand_over_ms = now_ms + 2LL * HEARTBEAT_MS;
         log_hand_over(log);
     } else if (log->role == LOG_FOLLOWER) {
-        let_others_lead(c);
+        defer_election(c);
     }
 }
 
@@ -277,7 +277,7 @@
         log_on_timer(&c->log);
         reopen_log(c);
         leave_on_timer(c);
-        follow_log(c);
+        apply_log_role(c);
     }
     if (!c->log.broken)
         bootstrap_on_timer(c);
@@ -319,7 +319,7 @@
 {
     struct leaving message = {0};
     if (c->votes && !c->log.broken && !schema_unpack(&leaving_schema, &message, frame->body, frame->len))
-        leaving_take(c, (int64_t)frame->from, &message);
+        leaving_on_message(c, (int64_t)frame->from, &message);
     schema_free(&leaving_schema, &message);
 }
 
@@ -328,15 +328,15 @@
     if (!c->votes || c->log.broken)
         return ERROR_NONE;
     int rc = log_take(&c->log, frame);
-    follow_log(c);
+    apply_log_role(c);
     return rc;
 }
 
-void controller_take(struct controller *c, const uint8_t *at, int64_t len)
+void controller_on_frame(struct controller *c, const uint8_t *at, int64_t len)
 {
     struct frame frame;
     int rc = frame_parse(&frame, at, len, c->cluster);
-    if (!rc && !directory_take(&c->directory, &frame)) {
+    if (!rc && !directory_on_frame(&c->directory, &frame)) {
         if (frame_of_log(frame.kind))
             rc = take_log(c, &frame);
         else if (frame.kind == FRAME_JOIN)
@@ -345,7 +345,7 @@
             take_leaving(c, &frame);
         else if (frame.kind == FRAME_COLLECT || frame.kind == FRAME_FOUNDERS || frame.kind == FRAME_BALLOT ||
                  frame.kind == FRAME_BALLOT_REPLY)
-            bootstrap_take(c, &frame);
+            bootstrap_on_frame(c, &frame);
         else if (frame.kind == FRAME_REQUEST || frame.kind == FRAME_RESPONSE)
             relay_take(c, &frame);
         else if (frame.kind == FRAME_REPORT)
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -37,7 +37,7 @@
 void controller_free(struct controller *c);
 void controller_on_timer(struct controller *c);
 /* Takes one frame of len bytes from another process. */
-void controller_take(struct controller *c, const uint8_t *at, int64_t len);
+void controller_on_frame(struct controller *c, const uint8_t *at, int64_t len);
 /* Syncs and sends what earlier calls have added. */
 void controller_flush(struct controller *c);
 /* Takes one HTTP request, which need not outlive the call; answered once, through world.answer(slot). */
@@ -49,7 +49,7 @@
  * been taken gets no refusal but ERROR_GAVE_UP. */
 void controller_give_up(struct controller *c);
 /* Exchanges the addresses of the seeds. */
-void controller_reread(struct controller *c, const int64_t *seeds, int64_t n_seeds);
+void controller_set_seeds(struct controller *c, const int64_t *seeds, int64_t n_seeds);
 /* For tests and measurements. */
 const struct record *controller_record(const struct controller *c);
 int controller_leads(const struct controller *c);
--- a/src/controller/controller_state.h
+++ b/src/controller/controller_state.h
@@ -32,12 +32,12 @@
 extern const struct schema forwarded_request_schema, forwarded_response_schema;
 
 /* FRAME_COLLECT: how a controller with a disk announces itself to the seeds. empty: it has no log yet. */
-struct collect {
+struct bootstrap_announcement {
     int64_t id, addr, empty;
     char *zone;
     struct log_members members; /* with which its log was started; n 0: none */
 };
-extern const struct schema collect_schema;
+extern const struct schema bootstrap_announcement_schema;
 
 /* FRAME_BALLOT: a proposer's request to the seeds, see ballot.c. */
 enum ballot_phase { BALLOT_NONE, BALLOT_PREPARE, BALLOT_ACCEPT };
@@ -64,7 +64,7 @@
  * then. highest_promised: the highest ballot seen in a reply. heard_ms: newest request of another proposer; start_ms:
  * it proposes nothing before. */
 struct proposer {
-    int64_t ballot, phase, answered, best_accepted, highest_promised, heard_ms, start_ms;
+    int64_t ballot, phase, agreed, best_accepted, highest_promised, heard_ms, start_ms;
     struct log_members members;
 };
 
@@ -83,11 +83,11 @@
 
 /* A controller that announced itself, and when it did so last. */
 struct bootstrap_candidate {
-    struct collect announced;
+    struct bootstrap_announcement announced;
     int64_t heard_ms;
 };
 /* A controller with a disk that asks to become a member (FRAME_JOIN), and when it did so last. */
-struct joiner {
+struct join_request {
     struct join join;
     int64_t heard_ms;
 };
@@ -101,14 +101,14 @@
 
 /* A controller. votes: it has a disk, so it may become a voter; without, id and log are not used. id: its identity,
  * synced before it is used. leaving, leave_ms: it was asked to stop, and when. broken_ms: when its disk failed last;
- * hand_over_ms: next attempt to hand leadership over. Times are of the steady clock. */
+ * next_hand_over_ms: next attempt to hand leadership over. Times are of the steady clock. */
 struct controller {
     struct world *w;
     struct controller_setup setup;
     uint32_t cluster;
     char *zone;
     int64_t seeds[8], n_seeds;
-    int64_t votes, id, leaving, leave_ms, broken_ms, hand_over_ms;
+    int64_t votes, id, leaving, leave_ms, broken_ms, next_hand_over_ms;
     struct log log;
     struct record record;
     struct directory directory;
@@ -120,21 +120,23 @@
     struct log_members bootstrap_members; /* with which the log was started here; n 0: it was not */
     struct log_members chosen_members;    /* accepted by a majority of the seeds; never changes once it is set */
     struct bootstrap_candidate *candidates;
-    int64_t n_candidates, first_heard_ms, last_new_ms; /* last_new_ms: a candidate was heard for the first time */
-    int64_t bootstrap_ms, bootstrapped_ms;             /* next turn due; when the log was started here */
+    int64_t n_candidates, first_candidate_ms,
+        newest_candidate_ms;                    /* newest_candidate_ms: a candidate was heard for the first time */
+    int64_t next_bootstrap_ms, bootstrapped_ms; /* next turn due; when the log was started here */
     int64_t may_bootstrap; /* takes part: it did so at the first start, and its acceptor's state is not lost */
     /* ballot.c */
     struct acceptor acceptor;
     struct proposer proposer;
     /* members.c */
-    struct joiner joiners[JOINERS_MAX];
-    int64_t n_joiners, join_ms, step_ms; /* next request to join, next membership step due */
-    int64_t timer_ms, awake_ms;          /* the timer ran last; it has run without a gap since */
-    struct repair_wait waits_learner;    /* no learner can replace a voter; number: identity of that voter */
-    struct repair_wait waits_commit;     /* a change is not committed; number: its index */
+    struct join_request join_requests[JOINERS_MAX];
+    int64_t n_join_requests, next_join_ms, next_step_ms; /* next request to join, next membership step due */
+    int64_t timer_ms, awake_ms;                          /* the timer ran last; it has run without a gap since */
+    struct repair_wait waits_learner; /* no learner can replace a voter; number: identity of that voter */
+    struct repair_wait waits_commit;  /* a change is not committed; number: its index */
     /* leaving.c */
     struct leaver leaver;
-    int64_t leaving_ms, may_end_ms, leave_waits; /* next request due; newest permission; event 2014 raised */
+    int64_t next_leave_request_ms, permission_ms,
+        leave_waits; /* next request due; newest permission; event 2014 raised */
 };
 
 /* Sends a frame to the process at address to. */
@@ -157,7 +159,7 @@
 /* bootstrap.c */
 int bootstrap_load(struct controller *c); /* also starts the log if that was cut short by a restart */
 void bootstrap_on_timer(struct controller *c);
-void bootstrap_take(struct controller *c, const struct frame *frame);
+void bootstrap_on_frame(struct controller *c, const struct frame *frame);
 void bootstrap_end(struct controller *c);
 /* The list of voters to propose; n 0: too few candidates so far. Owned by the caller. */
 void bootstrap_pick(struct controller *c, struct log_members *to);
@@ -177,7 +179,8 @@
 void members_end(struct controller *c);
 
 /* leaving.c */
-void leaving_take(struct controller *c, int64_t from, const struct leaving *message); /* from: the sender's address */
+void leaving_on_message(struct controller *c, int64_t from,
+                        const struct leaving *message); /* from: the sender's address */
 void leaving_on_timer(struct controller *c);
 int leaving_may_end(const struct controller *c); /* by the leader's permission, or because no vote is lost by it */
 /* Whether a leader that leaves may hand over: no voter is missing, or, in haste, a majority is there without it. */
--- a/src/controller/directory.c
+++ b/src/controller/directory.c
@@ -41,7 +41,7 @@
     return e;
 }
 
-void directory_seeds(struct directory *d, const int64_t *seeds, int64_t n_seeds)
+void directory_set_seeds(struct directory *d, const int64_t *seeds, int64_t n_seeds)
 {
     for (int64_t i = 0; i < d->n; i++)
         d->entries[i].seed = 0;
@@ -58,7 +58,7 @@
                      int64_t controller, int64_t disk, int64_t boot)
 {
     *d = (struct directory){.w = w, .cluster = cluster, .controller = controller, .disk = disk, .boot = boot};
-    directory_seeds(d, seeds, n_seeds);
+    directory_set_seeds(d, seeds, n_seeds);
     d->search_ms = world_ms(w);
 }
 
@@ -88,12 +88,12 @@
 
 int64_t directory_leader(const struct directory *d)
 {
-    if (d->doubted || (d->leader != (int64_t)d->w->self && world_ms(d->w) - d->leader_heard_ms > HEARD_MS))
+    if (d->leader_suspected || (d->leader != (int64_t)d->w->self && world_ms(d->w) - d->leader_heard_ms > HEARD_MS))
         return 0;
     return d->leader;
 }
 
-int directory_heard(const struct directory *d, int64_t addr, int64_t within_ms)
+int directory_heard_from(const struct directory *d, int64_t addr, int64_t within_ms)
 {
     for (int64_t i = 0; i < d->n; i++)
         if (d->entries[i].addr == addr)
@@ -137,25 +137,25 @@
 
 static void set_leader(struct directory *d, int64_t term, int64_t leader)
 {
-    if (d->doubted || term != d->term || leader != d->leader)
+    if (d->leader_suspected || term != d->term || leader != d->leader)
         d->request_due_ms = world_ms(d->w);
     d->term = term;
     d->leader = leader;
     d->leader_heard_ms = world_ms(d->w);
-    d->doubted = 0;
+    d->leader_suspected = 0;
 }
 
-void directory_learn(struct directory *d, int64_t term, int64_t leader)
+void directory_learn_leader(struct directory *d, int64_t term, int64_t leader)
 {
     if (term >= d->term && leader)
         set_leader(d, term, leader);
 }
 
-void directory_doubt(struct directory *d)
+void directory_suspect_leader(struct directory *d)
 {
-    if (d->doubted)
+    if (d->leader_suspected)
         return;
-    d->doubted = 1;
+    d->leader_suspected = 1;
     d->request_due_ms = world_ms(d->w);
 }
 
@@ -188,15 +188,15 @@
             e->heard_ms = now_ms;
         }
     if (m->leader == from) {
-        directory_learn(d, m->term, from);
+        directory_learn_leader(d, m->term, from);
     } else if (m->leader && (m->term > d->term || (m->term == d->term && !d->leader))) {
         set_leader(d, m->term, m->leader);
     } else if (from == d->leader && m->term >= d->term) {
-        d->doubted = 1; /* it does not lead any more */
+        d->leader_suspected = 1; /* it does not lead any more */
     }
 }
 
-int directory_take(struct directory *d, const struct frame *frame)
+int directory_on_frame(struct directory *d, const struct frame *frame)
 {
     if (frame->kind == FRAME_LEADER_QUERY) {
         struct leader_query m = {0};
--- a/src/controller/directory.h
+++ b/src/controller/directory.h
@@ -29,7 +29,7 @@
     int64_t controller, disk, boot; /* what we are */
     struct directory_entry entries[64];
     int64_t n, turn, request_due_ms, search_ms;
-    int64_t term, leader, leader_heard_ms, doubted;
+    int64_t term, leader, leader_heard_ms, leader_suspected;
 };
 
 /* Names one start of a process (boot): by the time of day, and by 12 random bits where a clock that stepped back
@@ -38,13 +38,13 @@
 
 void directory_start(struct directory *d, struct world *w, uint32_t cluster, const int64_t *seeds, int64_t n_seeds,
                      int64_t controller, int64_t disk, int64_t boot);
-void directory_seeds(struct directory *d, const int64_t *seeds, int64_t n_seeds); /* exchanged */
+void directory_set_seeds(struct directory *d, const int64_t *seeds, int64_t n_seeds); /* exchanged */
 void directory_on_timer(struct directory *d);
-int directory_take(struct directory *d, const struct frame *frame); /* 1: the frame was for the directory */
+int directory_on_frame(struct directory *d, const struct frame *frame); /* 1: the frame was for the directory */
 /* Notes that leader leads in term, unless a newer term is known. */
-void directory_learn(struct directory *d, int64_t term, int64_t leader);
-void directory_doubt(struct directory *d);           /* the leader does not answer: ask others now */
+void directory_learn_leader(struct directory *d, int64_t term, int64_t leader);
+void directory_suspect_leader(struct directory *d);  /* the leader does not answer: ask others now */
 int64_t directory_leader(const struct directory *d); /* 0: not known or doubted */
 /* Has the process at addr sent a query or a reply of its own in the last within_ms? */
-int directory_heard(const struct directory *d, int64_t addr, int64_t within_ms);
+int directory_heard_from(const struct directory *d, int64_t addr, int64_t within_ms);
 #endif
--- a/src/controller/leaving.c
+++ b/src/controller/leaving.c
@@ -115,9 +115,9 @@
 {
     struct leaving request = {.id = c->id};
     int64_t leader = directory_leader(&c->directory), now_ms = world_ms(c->w);
-    if (now_ms < c->leaving_ms || !log_voter(&c->log, c->id))
+    if (now_ms < c->next_leave_request_ms || !log_voter(&c->log, c->id))
         return;
-    c->leaving_ms = now_ms + LEAVING_MS;
+    c->next_leave_request_ms = now_ms + LEAVING_MS;
     if (leader && leader != (int64_t)c->w->self)
         controller_send(c, leader, FRAME_LEAVING, &leaving_schema, &request);
 }
@@ -127,17 +127,17 @@
     const struct log *log = &c->log;
     if (!c->votes || log->broken || !log_voter(log, c->id) || log_majority(log) < 2)
         return 1;
-    return c->may_end_ms && world_ms(c->w) - c->may_end_ms < 2LL * LEAVING_MS;
+    return c->permission_ms && world_ms(c->w) - c->permission_ms < 2LL * LEAVING_MS;
 }
 
 /* --- both --------------------------------------------------------------------------- */
 
-void leaving_take(struct controller *c, int64_t from, const struct leaving *message)
+void leaving_on_message(struct controller *c, int64_t from, const struct leaving *message)
 {
     if (!message->may_end)
         on_request(c, from, message->id);
     else if (message->id == c->id)
-        c->may_end_ms = world_ms(c->w);
+        c->permission_ms = world_ms(c->w);
 }
 
 void leaving_on_timer(struct controller *c)
--- a/src/controller/members.c
+++ b/src/controller/members.c
@@ -20,17 +20,17 @@
 /* Notes a request to join, at the leader. When the table is full the requester unheard for longest makes room. */
 void members_on_join(struct controller *c, const struct join *join)
 {
-    struct joiner *at = NULL, *oldest = &c->joiners[0];
+    struct join_request *at = NULL, *oldest = &c->join_requests[0];
     if (!join->zone)
         return;
-    for (int64_t i = 0; i < c->n_joiners; i++) {
-        if (c->joiners[i].heard_ms < oldest->heard_ms)
-            oldest = &c->joiners[i];
-        if (c->joiners[i].join.addr == join->addr)
-            at = &c->joiners[i];
+    for (int64_t i = 0; i < c->n_join_requests; i++) {
+        if (c->join_requests[i].heard_ms < oldest->heard_ms)
+            oldest = &c->join_requests[i];
+        if (c->join_requests[i].join.addr == join->addr)
+            at = &c->join_requests[i];
     }
     if (!at)
-        at = c->n_joiners < JOINERS_MAX ? &c->joiners[c->n_joiners++] : oldest;
+        at = c->n_join_requests < JOINERS_MAX ? &c->join_requests[c->n_join_requests++] : oldest;
     schema_free(&join_schema, &at->join);
     schema_copy(&join_schema, &at->join, join);
     at->heard_ms = world_ms(c->w);
@@ -41,8 +41,8 @@
 static int same_place(struct controller *c, const struct log_member *member)
 {
     const struct log_peer *s = log_peer(&c->log, member->id);
-    for (int64_t i = 0; s && i < c->n_joiners; i++) {
-        const struct joiner *j = &c->joiners[i];
+    for (int64_t i = 0; s && i < c->n_join_requests; i++) {
+        const struct join_request *j = &c->join_requests[i];
         if (j->join.addr == member->addr && j->join.id != member->id && j->heard_ms > s->heard_ms)
             return 1;
     }
@@ -53,7 +53,7 @@
  * the queries that its directory sends meanwhile show that it runs. */
 static int is_receiving(const struct controller *c, const struct log_member *member, const struct log_peer *peer)
 {
-    return directory_heard(&c->directory, member->addr, GONE_MS) &&
+    return directory_heard_from(&c->directory, member->addr, GONE_MS) &&
            world_ms(c->w) - peer->heard_ms <= GONE_MS + log_transit_ms(&c->log, peer);
 }
 
@@ -126,12 +126,12 @@
     int64_t learners = 0, now_ms = world_ms(c->w);
     for (int64_t i = 0; i < log->members.n; i++)
         learners += !log->members.members[i].voter;
-    for (int64_t i = 0; i < c->n_joiners; i++) {
-        const struct join *j = &c->joiners[i].join;
+    for (int64_t i = 0; i < c->n_join_requests; i++) {
+        const struct join *j = &c->join_requests[i].join;
         int at_voter = 0;
         for (int64_t k = 0; k < log->members.n; k++)
             at_voter |= log_votes(&log->members.members[k]) && log->members.members[k].addr == j->addr;
-        if (log_member(log, j->id) || now_ms - c->joiners[i].heard_ms > GONE_MS ||
+        if (log_member(log, j->id) || now_ms - c->join_requests[i].heard_ms > GONE_MS ||
             ((learners >= LEARNERS || !settled) && !at_voter))
             continue;
         log_change(log, j->id, j->addr, j->zone, VOTES_NOT, 0);
@@ -221,9 +221,9 @@
     int64_t now_ms = world_ms(c->w);
     int led = c->log.role == LOG_LEADER || now_ms - c->log.heard_leader_ms < UNLED_MS;
     struct join join = {.id = c->id, .addr = (int64_t)c->w->self, .zone = c->zone};
-    if ((log_member(&c->log, c->id) && led) || now_ms < c->join_ms)
+    if ((log_member(&c->log, c->id) && led) || now_ms < c->next_join_ms)
         return;
-    c->join_ms = now_ms + JOIN_MS;
+    c->next_join_ms = now_ms + JOIN_MS;
     int64_t leader = directory_leader(&c->directory);
     if (leader && leader != join.addr)
         controller_send(c, leader, FRAME_JOIN, &join_schema, &join);
@@ -239,9 +239,9 @@
     request_to_join(c);
     if (c->log.role != LOG_LEADER)
         c->waits_learner = c->waits_commit = (struct repair_wait){0};
-    if (c->log.role != LOG_LEADER || now_ms < c->step_ms)
+    if (c->log.role != LOG_LEADER || now_ms < c->next_step_ms)
         return;
-    c->step_ms = now_ms + STEP_MS;
+    c->next_step_ms = now_ms + STEP_MS;
     int settled = now_ms - c->log.leader_since_ms > GONE_MS && now_ms - c->awake_ms > GONE_MS;
     if (!c->log.handed_over_ms)
         step(c, settled);
@@ -250,6 +250,6 @@
 
 void members_end(struct controller *c)
 {
-    for (int64_t i = 0; i < c->n_joiners; i++)
-        schema_free(&join_schema, &c->joiners[i].join);
+    for (int64_t i = 0; i < c->n_join_requests; i++)
+        schema_free(&join_schema, &c->join_requests[i].join);
 }
--- a/src/controller/relay.c
+++ b/src/controller/relay.c
@@ -157,7 +157,7 @@
     switch (request.kind) {
     case REQUEST_READY: answer = readiness(c); break;
     case REQUEST_NONE:
-    case REQUEST_BEAT: answer = api_response_error(request.kind, ERROR_NO_SUCH, 0, NULL); break;
+    case REQUEST_HEARTBEAT: answer = api_response_error(request.kind, ERROR_NO_SUCH, 0, NULL); break;
     default: relay_new(c, slot, &request); return;
     }
     http_respond(c, slot, &answer);
@@ -199,7 +199,7 @@
         r->sent_to = 0;
         hold(c, r);
         if (c->directory.leader == from && from != (int64_t)c->w->self)
-            directory_doubt(&c->directory);
+            directory_suspect_leader(&c->directory);
         return; /* the timer sends it again */
     }
     struct api_response told = *answer;
@@ -295,7 +295,7 @@
         if (r->sent_to == (int64_t)c->w->self && leader == r->sent_to && dispatch_leads(c->dispatch))
             continue;
         if (silent && leader == r->sent_to) {
-            directory_doubt(&c->directory);
+            directory_suspect_leader(&c->directory);
             leader = 0;
         }
         if (leader && leader != r->sent_to && !is_held(c, r))
--- a/tests/model/bootstrap_monitors.cc
+++ b/tests/model/bootstrap_monitors.cc
@@ -33,13 +33,13 @@
 void Site::check_controller_said(Node &n, const struct frame *frame)
 {
     union {
-        struct collect collect;
+        struct bootstrap_announcement bootstrap_announcement;
         struct ballot ballot;
         struct ballot_reply reply;
         struct log_members list;
         struct leaving leaving;
     } m = {};
-    const struct schema *schema = frame->kind == FRAME_COLLECT        ? &collect_schema
+    const struct schema *schema = frame->kind == FRAME_COLLECT        ? &bootstrap_announcement_schema
                                   : frame->kind == FRAME_BALLOT       ? &ballot_schema
                                   : frame->kind == FRAME_BALLOT_REPLY ? &ballot_reply_schema
                                   : frame->kind == FRAME_FOUNDERS     ? &log_members_schema
@@ -52,7 +52,8 @@
         check_may_end(n, m.leaving.id);
     if (frame->kind == FRAME_FOUNDERS)
         check_list_told(n, m.list);
-    if (frame->kind == FRAME_COLLECT && m.collect.members.n && lasting.bootstrap_list != list_hash(m.collect.members))
+    if (frame->kind == FRAME_COLLECT && m.bootstrap_announcement.members.n &&
+        lasting.bootstrap_list != list_hash(m.bootstrap_announcement.members))
         say("node %d tells that it took a list that is not on its disk", n.at);
     if (frame->kind == FRAME_BALLOT)
         check_ballot_owner(n, m.ballot.ballot);
--- a/tests/model/controller_node.cc
+++ b/tests/model/controller_node.cc
@@ -94,10 +94,10 @@
             static_cast<struct bootstrap_candidate *>(must_alloc(sizeof *from.candidates * (size_t)from.n_candidates));
     for (int64_t i = 0; i < from.n_candidates; i++) {
         controller.candidates[i].heard_ms = from.candidates[i].heard_ms;
-        copy_schema(&collect_schema, &controller.candidates[i].announced, &from.candidates[i].announced);
+        copy_schema(&bootstrap_announcement_schema, &controller.candidates[i].announced, &from.candidates[i].announced);
     }
-    for (int64_t i = 0; i < from.n_joiners; i++)
-        copy_schema(&join_schema, &controller.joiners[i].join, &from.joiners[i].join);
+    for (int64_t i = 0; i < from.n_join_requests; i++)
+        copy_schema(&join_schema, &controller.join_requests[i].join, &from.join_requests[i].join);
 }
 
 /* Of a reader's disk (after_power_loss()): what acceptor and voter would read back. */
@@ -125,12 +125,12 @@
     if (!votes())
         return;
     if (log.role == LOG_LEADER && log_leads(&log))
-        directory_learn(&controller.directory, log.term, (int64_t)world.self);
+        directory_learn_leader(&controller.directory, log.term, (int64_t)world.self);
     else if (controller.directory.leader == (int64_t)world.self)
-        directory_doubt(&controller.directory);
+        directory_suspect_leader(&controller.directory);
     if (log.role != LOG_LEADER && log.leader_addr && log.leader_addr != (int64_t)world.self && log.heard_leader_ms &&
         world_ms(&world) - log.heard_leader_ms < 2 * TICK)
-        directory_learn(&controller.directory, log.term, log.leader_addr);
+        directory_learn_leader(&controller.directory, log.term, log.leader_addr);
 }
 
 /* As controller_take(). */
@@ -151,10 +151,10 @@
     } else if (frame->kind == FRAME_LEAVING) {
         struct leaving said = {};
         if (votes() && !schema_unpack(&leaving_schema, &said, frame->body, frame->len))
-            leaving_take(&controller, (int64_t)frame->from, &said);
+            leaving_on_message(&controller, (int64_t)frame->from, &said);
         schema_free(&leaving_schema, &said);
     } else {
-        bootstrap_take(&controller, frame);
+        bootstrap_on_frame(&controller, frame);
     }
     return ERROR_NONE;
 }
@@ -182,8 +182,8 @@
     }
 }
 
-/* As let_others_lead() of controller.c. */
-void Node::let_others_lead()
+/* As defer_election() of controller.c. */
+void Node::defer_election()
 {
     int64_t now = world_ms(&world);
     int64_t since = std::max({controller.leave_ms, log.heard_leader_ms, log.handed_over_ms});
@@ -199,12 +199,12 @@
         log_follow(&log, log.term, 0);
     if (!controller.leaving)
         return;
-    if (log.role == LOG_LEADER && !log.handed_over_ms && now >= controller.hand_over_ms &&
+    if (log.role == LOG_LEADER && !log.handed_over_ms && now >= controller.next_hand_over_ms &&
         leaving_may_hand_over(&controller, 0)) {
-        controller.hand_over_ms = now + TICK;
+        controller.next_hand_over_ms = now + TICK;
         log_hand_over(&log);
     } else if (log.role == LOG_FOLLOWER) {
-        let_others_lead();
+        defer_election();
     }
 }
 
@@ -221,7 +221,7 @@
                                 list_hash(c.acceptor.members),
                                 (uint64_t)c.proposer.ballot,
                                 (uint64_t)c.proposer.phase,
-                                (uint64_t)c.proposer.answered,
+                                (uint64_t)c.proposer.agreed,
                                 (uint64_t)c.proposer.best_accepted,
                                 (uint64_t)c.proposer.highest_promised,
                                 list_hash(c.proposer.members),
@@ -229,13 +229,13 @@
                                 (uint64_t)std::max<int64_t>(c.proposer.start_ms - clock, -LONGEST_WAIT),
                                 list_hash(c.bootstrap_members),
                                 list_hash(c.chosen_members),
-                                age(c.first_heard_ms),
-                                age(c.last_new_ms),
+                                age(c.first_candidate_ms),
+                                age(c.newest_candidate_ms),
                                 age(c.bootstrapped_ms),
-                                left(c.bootstrap_ms),
+                                left(c.next_bootstrap_ms),
                                 (uint64_t)c.directory.term,
                                 (uint64_t)c.directory.leader,
-                                (uint64_t)c.directory.doubted,
+                                (uint64_t)c.directory.leader_suspected,
                                 (uint64_t)c.leaving,
                                 (uint64_t)c.leaver.id,
                                 (uint64_t)c.leaver.commit,
@@ -243,25 +243,25 @@
                                 age(c.leaver.asked_ms),
                                 age(c.leaver.granted_ms),
                                 c.leaving ? age(c.leave_ms) : 0,
-                                left(c.hand_over_ms),
+                                left(c.next_hand_over_ms),
                                 has_disk() ? age(log.handed_over_ms) : 0,
-                                age(c.may_end_ms),
-                                left(c.leaving_ms),
-                                left(c.join_ms),
-                                left(c.step_ms),
+                                age(c.permission_ms),
+                                left(c.next_leave_request_ms),
+                                left(c.next_join_ms),
+                                left(c.next_step_ms),
                                 age(awake_since),
                                 age(timer_ran),
                                 (uint64_t)frozen};
     uint64_t h = hash_bytes(numbers, sizeof numbers, 0);
     for (int64_t i = 0; i < c.n_candidates; i++) {
-        const struct collect &said = c.candidates[i].announced;
+        const struct bootstrap_announcement &said = c.candidates[i].announced;
         h = hash_mix(h, (uint64_t)(said.id + said.empty) + list_hash(said.members));
         h = hash_mix(h, age(c.candidates[i].heard_ms));
     }
     for (int64_t ms : heard)
         h = hash_mix(h, age(ms));
-    for (int64_t i = 0; i < c.n_joiners; i++)
-        h = hash_mix(h, hash_mix((uint64_t)c.joiners[i].join.id, age(c.joiners[i].heard_ms)));
+    for (int64_t i = 0; i < c.n_join_requests; i++)
+        h = hash_mix(h, hash_mix((uint64_t)c.join_requests[i].join.id, age(c.join_requests[i].heard_ms)));
     return h;
 }
 } // namespace model
--- a/tests/model/site.cc
+++ b/tests/model/site.cc
@@ -233,7 +233,7 @@
         return;
     for (auto &other : nodes_)
         if (other->votes() && !other->frozen && !((sides_ >> n.at ^ sides_ >> other->at) & 1) && log_leads(&other->log))
-            directory_learn(&n.controller.directory, other->log.term, (int64_t)other->world.self);
+            directory_learn_leader(&n.controller.directory, other->log.term, (int64_t)other->world.self);
 }
 
 void Site::apply(const Choice &choice)
--- a/tests/model/site.h
+++ b/tests/model/site.h
@@ -122,7 +122,7 @@
     void read_bootstrap_files();
     void learn_leader();
     void leave_on_timer();
-    void let_others_lead();
+    void defer_election();
     uint64_t hash_controller(int64_t clock) const;
 };
 
--- a/tests/platform/api_test.cc
+++ b/tests/platform/api_test.cc
@@ -261,7 +261,7 @@
     Read read(beat_request(beat_body));
     ASSERT_EQ(read.error, 0) << read.validation_error.path;
     const executor_heartbeat &beat = read.beat();
-    EXPECT_EQ(read.request.kind, REQUEST_BEAT);
+    EXPECT_EQ(read.request.kind, REQUEST_HEARTBEAT);
     EXPECT_EQ(beat.kind, HEARTBEAT_ALIVE);
     EXPECT_EQ(beat.seq, 12);
     EXPECT_STREQ(beat.address, "10.9.8.7:8080");
@@ -327,7 +327,7 @@
     EXPECT_EQ(Answer(config).body, config_body);
     EXPECT_EQ(Answer(config).status, 200);
     bytes_free(&text);
-    for (int kind : {REQUEST_JOB, REQUEST_CANCEL, REQUEST_CONFIG_PUT, REQUEST_READY, REQUEST_BEAT}) {
+    for (int kind : {REQUEST_JOB, REQUEST_CANCEL, REQUEST_CONFIG_PUT, REQUEST_READY, REQUEST_HEARTBEAT}) {
         EXPECT_EQ(Answer(api_response_done(kind)).status, 200);
         EXPECT_EQ(Answer(api_response_done(kind)).body, "{}");
     }
--- a/tests/proc/cluster_rig.h
+++ b/tests/proc/cluster_rig.h
@@ -190,7 +190,7 @@
     MemoryDisk::fill(&table, [](struct world *w) -> MemoryDisk & { return of(w)->disk; });
     runtime.role.arg = this;
     runtime.role.on_frame = [](void *arg, const uint8_t *at, int64_t len) {
-        controller_take(((Process *)arg)->controller, at, len);
+        controller_on_frame(((Process *)arg)->controller, at, len);
     };
     runtime.role.on_request = [](void *arg, int64_t slot, const struct http_request *request) {
         controller_request(((Process *)arg)->controller, slot, request);
--- a/tests/sim/cluster_losses.cc
+++ b/tests/sim/cluster_losses.cc
@@ -203,7 +203,7 @@
     for (int64_t i = 0; i < c.n; i++) {
         host *h = c.hosts[i];
         if (h->up && h->controller)
-            controller_reread(h->controller, c.seeds, c.n_seeds);
+            controller_set_seeds(h->controller, c.seeds, c.n_seeds);
         else if (h->up)
             agent_set_seeds(h->agent, c.seeds, c.n_seeds);
     }
--- a/tests/unit/directory_test.cc
+++ b/tests/unit/directory_test.cc
@@ -71,7 +71,7 @@
             if (!all.count(one.first) || silent.count(one.first))
                 continue;
             ASSERT_EQ(frame_parse(&f, one.second.data(), (int64_t)one.second.size(), FLEET), 0);
-            EXPECT_EQ(directory_take(&all[one.first]->d, &f), 1);
+            EXPECT_EQ(directory_on_frame(&all[one.first]->d, &f), 1);
         }
     }
     // leader: says so itself on every tick, as a controller does
@@ -80,7 +80,7 @@
         for (int64_t end = now_ms + ms; now_ms < end; now_ms += 10)
             for (auto &p : all) {
                 if (leader && p.first == leader)
-                    directory_learn(&p.second->d, term, leader);
+                    directory_learn_leader(&p.second->d, term, leader);
                 directory_on_timer(&p.second->d);
                 deliver();
             }
@@ -143,8 +143,8 @@
 {
     Net net;
     directory *d = net.add(3, {1, 2});
-    directory_learn(d, 7, 1);
-    directory_learn(d, 6, 2);
+    directory_learn_leader(d, 7, 1);
+    directory_learn_leader(d, 6, 2);
     EXPECT_EQ(d->term, 7);
     EXPECT_EQ(directory_leader(d), 1);
     net.add(2, {});
@@ -180,7 +180,7 @@
         doubting = add(3, {1, 2});
         run(1000, 1, 5);
         silent.insert(1);
-        directory_doubt(doubting);
+        directory_suspect_leader(doubting);
     }
 };
 
@@ -201,7 +201,7 @@
 {
     NetOfDoubtedLeader net;
     directory *other = net.other, *d = net.doubting;
-    directory_learn(other, 6, 4);
+    directory_learn_leader(other, 6, 4);
     net.run(200);
     EXPECT_EQ(directory_leader(d), 4);
 }
@@ -213,7 +213,7 @@
     directory *d = net.add(3, {1});
     net.run(1000, 1, 5);
     ASSERT_EQ(directory_leader(d), 1);
-    directory_doubt(was);
+    directory_suspect_leader(was);
     net.run(700);
     EXPECT_EQ(directory_leader(d), 0);
 }
@@ -255,7 +255,7 @@
     net.run(1000, 5, 2);
     EXPECT_EQ(directory_leader(d), 0);
     const int64_t seeds[] = {5};
-    directory_seeds(d, seeds, 1);
+    directory_set_seeds(d, seeds, 1);
     net.run(1000, 5, 2);
     EXPECT_EQ(directory_leader(d), 5);
     net.run(65000, 5, 2);
@@ -276,7 +276,7 @@
         frame f;
         ASSERT_EQ(frame_parse(&f, b->bytes.at, b->bytes.len, FLEET), 0);
         net.now_ms++;
-        EXPECT_EQ(directory_take(d, &f), 1);
+        EXPECT_EQ(directory_on_frame(d, &f), 1);
         blob_drop(b);
     }
     EXPECT_EQ(d->n, 64);
@@ -293,13 +293,13 @@
     net.add(2, {1, 2, 3});
     net.add(3, {1, 2, 3});
     net.run(2000, 1, 5);
-    EXPECT_TRUE(directory_heard(leader, 3, 1000));
-    EXPECT_FALSE(directory_heard(leader, 4, 1000)) << "it was never there";
+    EXPECT_TRUE(directory_heard_from(leader, 3, 1000));
+    EXPECT_FALSE(directory_heard_from(leader, 4, 1000)) << "it was never there";
     net.silent.insert(3);
     net.run(4000, 1, 5);
-    EXPECT_TRUE(directory_heard(leader, 2, 1000));
-    EXPECT_FALSE(directory_heard(leader, 3, 1000)) << "others may still list it";
-    EXPECT_TRUE(directory_heard(leader, 3, 60000));
+    EXPECT_TRUE(directory_heard_from(leader, 2, 1000));
+    EXPECT_FALSE(directory_heard_from(leader, 3, 1000)) << "others may still list it";
+    EXPECT_TRUE(directory_heard_from(leader, 3, 60000));
 }
 
 TEST(Directory, TakesNothingBroken)
@@ -312,9 +312,9 @@
     f.from = 2;
     f.body = junk;
     f.len = sizeof junk;
-    EXPECT_EQ(directory_take(d, &f), 1);
+    EXPECT_EQ(directory_on_frame(d, &f), 1);
     f.kind = FRAME_REQUEST;
-    EXPECT_EQ(directory_take(d, &f), 0);
+    EXPECT_EQ(directory_on_frame(d, &f), 0);
     EXPECT_EQ(d->term, 0);
 }
 
--- a/tests/unit/relay_resend_test.cc
+++ b/tests/unit/relay_resend_test.cc
@@ -96,7 +96,7 @@
             std::vector<std::vector<uint8_t>> now;
             now.swap(arriving);
             for (const auto &frame : now)
-                controller_take(c, frame.data(), (int64_t)frame.size());
+                controller_on_frame(c, frame.data(), (int64_t)frame.size());
             if (time_ms % 10 == 0)
                 controller_on_timer(c);
         }
