--- a/sim/cluster.c
+++ b/sim/cluster.c
@@ -81,8 +81,8 @@
 static const struct dispatch_settings dispatch_settings = {.lease_ms = LEASE_MS,
                                                            .gang_timeout_ms = GANG_MS,
                                                            .early_ms = EARLY_MS,
-                                                           .shown_ms = 120000,
-                                                           .far_pct = 150,
+                                                           .job_retention_ms = 120000,
+                                                           .remote_data_pct = 150,
                                                            .restore_ms = RESTORE_MS};
 
 /* Random by host and generation: the seed's own sequence is that of the scenario. */
--- a/sim/cluster.h
+++ b/sim/cluster.h
@@ -82,12 +82,12 @@
 /* A gang's run over all executors. */
 struct board_gang {
     int64_t time, step, attempt, began_us, need_us, broken, over, started;
-    char *saved;
+    char *checkpoint;
 };
 /* A job. Times are 0, or -1 for those of the first answers, until they come; shown: the newest state a caller saw;
  * hopeless: no executor can take it; poison: the task that always fails. */
 struct board_job {
-    int64_t id, serial, tasks, times, hopeless, poison, lasting, fail_pct;
+    int64_t id, serial, tasks, times, hopeless, poison, long_running, fail_pct;
     struct job_spec *spec;
     int64_t *first; /* row of a step's first task in a time */
     const char *host_name, *prefix, *service;
@@ -108,12 +108,12 @@
     struct board_job *job;
     int64_t time, step, index, task, attempt, started_us, done_us, need_us, restore_us, saved_ms, fails_us;
     int64_t stopping_us, on_timer_us;
-    char *saved;
+    char *checkpoint;
 };
 /* An end that the executor keeps until it is told that it was seen. */
 struct standin_ended {
     int64_t seq, job, task, attempt, how;
-    char *saved;
+    char *checkpoint;
 };
 /* No attempt of the task up to this one may start here any more. */
 struct standin_barred {
@@ -130,7 +130,7 @@
     int64_t index, up, generation, born_us, offset_ms, slow_ppm, until_ms, fence, seq, last_on_timer_us, gone;
     char incarnation[32];
     const char *service, *rack, *label;
-    int64_t guards, cpu_milli, memory_mb, gpus;
+    int64_t checks_capacity, cpu_milli, memory_mb, gpus;
     struct standin_run *runs;
     struct standin_ended *ended;
     struct standin_barred *barred;
@@ -317,7 +317,7 @@
 struct standin_start {
     struct board_job *job;
     int64_t task, attempt;
-    const char *text, *saved;
+    const char *text, *checkpoint;
     int late;
 };
 int standin_start(struct standin *s, const struct standin_start *order); /* returns whether there was room */
@@ -376,7 +376,7 @@
 
 /* --- cluster_oracle.c: every breach is a line -------------------------------------------------------- */
 void judge_say(struct cluster *c, int64_t job, const char *format, ...) __attribute__((format(printf, 3, 4)));
-void judge_begun(struct standin *s, struct standin_run *run, const char *text, const char *saved, int late);
+void judge_begun(struct standin *s, struct standin_run *run, const char *text, const char *checkpoint, int late);
 void judge_ended(struct standin *s, const struct standin_run *run, enum standin_end how, int64_t seq);
 void judge_noted(struct standin *s, int64_t seen);
 void judge_lapsed(struct standin *s);
--- a/sim/cluster_callers.c
+++ b/sim/cluster_callers.c
@@ -23,7 +23,7 @@
 
 struct board_row *board_row(const struct board_job *job, int64_t task)
 {
-    int64_t time = task_time(task), step = task_step(task), index = task_index(task);
+    int64_t time = task_repetition(task), step = task_step(task), index = task_index(task);
     if (time < 0 || time >= job->times || step >= job->spec->n_steps || index >= job->spec->steps[step].task_count)
         return NULL;
     return &job->rows[time * job->tasks + job->first[step] + index];
@@ -48,7 +48,7 @@
         free(job->rows[i].ends);
     }
     for (int64_t i = 0; i < job->n_gangs; i++)
-        free(job->gangs[i].saved);
+        free(job->gangs[i].checkpoint);
     free(job->gangs);
     free(job->rows);
     free(job->first);
@@ -100,7 +100,7 @@
         step->estimate_ms = 2500;
     } else if (schema == SCHEMA_LASTING) {
         step->task_count = 1 + cluster_pick(c, 2);
-        step->lasting = job->lasting = 1;
+        step->long_running = job->long_running = 1;
         step->estimate_ms = 300;
     } else if (schema == SCHEMA_TIMED) {
         spec->repeats = 2 + cluster_pick(c, 3);
@@ -287,7 +287,7 @@
     send_try(c, job, 0);
     if (cluster_pick(c, 12) == 0)
         cluster_at(c, 200 + cluster_pick(c, 3000), cancel_later, job, 0);
-    if (job->lasting)
+    if (job->long_running)
         cluster_at(c, 6000 + cluster_pick(c, 6000), cancel_later, job, 0);
 }
 
@@ -331,7 +331,7 @@
 {
     for (int64_t i = 0; i < c->n_jobs; i++) {
         struct board_job *job = c->jobs[i];
-        if ((job->lasting || job->hopeless) && job->accepted_us >= 0 && !over(job) && !job->cancel_us)
+        if ((job->long_running || job->hopeless) && job->accepted_us >= 0 && !over(job) && !job->cancel_us)
             callers_cancel(c, job);
     }
 }
@@ -374,8 +374,8 @@
         const struct board_job *job = c->jobs[i];
         if (job->accepted_us >= 0 && !over(job))
             judge_say(c, job->id, "LIVENESS: job %llx (%s%s) is in state %lld %d ms after all faults ended",
-                      (unsigned long long)job->id, job->prefix, job->lasting ? ", lasting" : "", (long long)job->shown,
-                      CLOSE_MS);
+                      (unsigned long long)job->id, job->prefix, job->long_running ? ", lasting" : "",
+                      (long long)job->shown, CLOSE_MS);
     }
     for (int64_t i = 0; i < c->n_jobs; i++) /* what was shown is still shown */
         if (over(c->jobs[i]) && c->now_us - c->jobs[i]->shown_us < 90000000)
--- a/sim/cluster_codec.c
+++ b/sim/cluster_codec.c
@@ -59,8 +59,8 @@
 
 static char *read_saved(const json_t *from)
 {
-    const char *saved = json_string_value(json_object_get(from, "saved"));
-    return saved && *saved ? must_dup(saved) : NULL;
+    const char *checkpoint = json_string_value(json_object_get(from, "saved"));
+    return checkpoint && *checkpoint ? must_dup(checkpoint) : NULL;
 }
 
 static void read_lists(const json_t *json, struct run_lists *lists)
@@ -74,7 +74,7 @@
                                 .task = int_of(one, "task"),
                                 .attempt = int_of(one, "attempt"),
                                 .percent = int_of(one, "percent"),
-                                .saved = read_saved(one)};
+                                .checkpoint = read_saved(one)};
     }
     json_array_foreach(ended, i, one)
     {
@@ -84,7 +84,7 @@
                                .task = int_of(one, "task"),
                                .attempt = int_of(one, "attempt"),
                                .how = int_of(one, "how"),
-                               .saved = read_saved(one)};
+                               .checkpoint = read_saved(one)};
     }
 }
 
@@ -276,7 +276,8 @@
     call_fill(call, "/begin", incarnation,
               json_pack("{s:I,s:I,s:I,s:s,s:s,s:I,s:I}", "job", (json_int_t)start->job, "task", (json_int_t)start->task,
                         "attempt", (json_int_t)start->attempt, "text", start->text ? start->text : "", "saved",
-                        start->saved ? start->saved : "", "until", (json_int_t)expires_ms, "epoch", (json_int_t)epoch));
+                        start->checkpoint ? start->checkpoint : "", "until", (json_int_t)expires_ms, "epoch",
+                        (json_int_t)epoch));
 }
 
 static void say_stop(struct executor_call *call, const char *incarnation, const struct run_ref *run, int64_t epoch)
@@ -297,15 +298,15 @@
 static enum start_refusal refusal_of(int status, const char *why)
 {
     if (status == 429 || status == 503)
-        return REFUSED_SICK;
+        return REFUSED_UNAVAILABLE;
     if (status == 400)
-        return REFUSED_BAD;
+        return REFUSED_BAD_REQUEST;
     if (status != 409 || !why)
-        return REFUSED_NOT;
-    return !strcmp(why, "epoch")  ? REFUSED_EPOCH
-           : !strcmp(why, "old")  ? REFUSED_OLD
+        return REFUSED_NONE;
+    return !strcmp(why, "epoch")  ? REFUSED_STALE_EPOCH
+           : !strcmp(why, "old")  ? REFUSED_OUTDATED
            : !strcmp(why, "late") ? REFUSED_LATE
-                                  : REFUSED_ROOM;
+                                  : REFUSED_NO_CAPACITY;
 }
 
 static int executor_read(struct executor_response *response, int status, const char *body, int64_t len)
@@ -320,7 +321,7 @@
     enum start_refusal refusal = refusal_of(status, json_string_value(json_object_get(json, "why")));
     if (status == 421)
         executor_response_other_incarnation(response);
-    else if (refusal != REFUSED_NOT)
+    else if (refusal != REFUSED_NONE)
         executor_response_refuse(response, refusal);
     else
         read_lists(json, executor_response_accept(response));
@@ -335,7 +336,7 @@
         json_array_append_new(list, json_pack("{s:I,s:I,s:I,s:s,s:s}", "job", (json_int_t)runs[i]->job, "task",
                                               (json_int_t)runs[i]->task, "attempt", (json_int_t)runs[i]->attempt,
                                               "text", runs[i]->text ? runs[i]->text : "", "saved",
-                                              runs[i]->saved ? runs[i]->saved : ""));
+                                              runs[i]->checkpoint ? runs[i]->checkpoint : ""));
     return list;
 }
 
--- a/sim/cluster_executor.c
+++ b/sim/cluster_executor.c
@@ -14,7 +14,7 @@
     s->fault_us = -100000000;
     s->index = index;
     s->service = index % 4 == 3 ? "raw" : "guarded";
-    s->guards = index % 4 != 3;
+    s->checks_capacity = index % 4 != 3;
     s->rack = host->rack;
     s->label = labels[index / 2 % 3];
     s->cpu_milli = index / 2 % 3 == 2 ? 24000 : 16000;
@@ -34,7 +34,7 @@
     for (int64_t i = 0; i < s->n_runs; i++)
         run_free(&s->runs[i]);
     for (int64_t i = 0; i < s->n_ended; i++)
-        free(s->ended[i].saved);
+        free(s->ended[i].checkpoint);
     free(s->runs);
     free(s->ended);
     free(s->barred);
@@ -134,14 +134,14 @@
         json_array_append_new(active, json_pack("{s:I,s:I,s:I,s:I,s:s}", "job", (json_int_t)run->job->id, "task",
                                                 (json_int_t)run->task, "attempt", (json_int_t)run->attempt, "percent",
                                                 (json_int_t)(run->need_us ? run->done_us * 100 / run->need_us : 0),
-                                                "saved", run->saved ? run->saved : ""));
+                                                "saved", run->checkpoint ? run->checkpoint : ""));
     }
     for (int64_t i = 0; i < s->n_ended && i < 500; i++) {
         const struct standin_ended *end = &s->ended[i];
         json_array_append_new(ended, json_pack("{s:I,s:I,s:I,s:I,s:I,s:s}", "seq", (json_int_t)end->seq, "job",
                                                (json_int_t)end->job, "task", (json_int_t)end->task, "attempt",
                                                (json_int_t)end->attempt, "how", (json_int_t)end->how, "saved",
-                                               end->saved ? end->saved : ""));
+                                               end->checkpoint ? end->checkpoint : ""));
     }
     json_object_set_new(answer, "active", active);
     json_object_set_new(answer, "ended", ended);
@@ -180,7 +180,7 @@
     struct cluster *c = s->host->cluster;
     int64_t job_id = number(order, "job"), task = number(order, "task"), attempt = number(order, "attempt");
     const char *text = json_string_value(json_object_get(order, "text"));
-    const char *saved = json_string_value(json_object_get(order, "saved"));
+    const char *checkpoint = json_string_value(json_object_get(order, "saved"));
     struct standin_run *run = standin_run(s, job_id, task);
     struct board_job *job = board_job(c, job_id);
     *why = "";
@@ -199,7 +199,7 @@
                                         .task = task,
                                         .attempt = attempt,
                                         .text = text ? text : "",
-                                        .saved = saved ? saved : "",
+                                        .checkpoint = checkpoint ? checkpoint : "",
                                         .late = late};
     if (!standin_start(s, &start)) {
         c->n_room_refused++;
@@ -233,7 +233,7 @@
     judge_noted(s, seen);
     for (int64_t i = 0; i < s->n_ended; i++) {
         if (s->ended[i].seq <= seen)
-            free(s->ended[i].saved);
+            free(s->ended[i].checkpoint);
         else
             s->ended[kept++] = s->ended[i];
     }
--- a/sim/cluster_oracle.c
+++ b/sim/cluster_oracle.c
@@ -74,12 +74,13 @@
     struct board_row *row = board_row(job, task);
     int64_t from = step->gang ? 0 : task_index(task), to = step->gang ? step->task_count : from + 1;
     c->judged++;
-    if (step->duplicates || step->lasting)
+    if (step->duplicates || step->long_running)
         return;
     for (int64_t i = 0; i < row->n_starts; i++) {
         int64_t failed = 0;
         for (int64_t k = from; k < to; k++)
-            failed += judge_start_after(c, job, task, &row->starts[i], task_of(task_time(task), task_step(task), k));
+            failed +=
+                judge_start_after(c, job, task, &row->starts[i], task_of(task_repetition(task), task_step(task), k));
         if (failed < ATTEMPTS_MAX || (row->told & TOLD_BUDGET))
             continue;
         row->told |= TOLD_BUDGET;
@@ -160,22 +161,23 @@
 }
 
 /* Reads what a run saved (JOB.TASK@MS, the first two in hexadecimal). Returns 1 if all three are there. */
-static int read_saved(const char *saved, ull *job, ull *task, long long *at_ms)
+static int read_saved(const char *checkpoint, ull *job, ull *task, long long *at_ms)
 {
     char *end;
-    *job = strtoull(saved, &end, 16);
-    if (end == saved || *end != '.')
+    *job = strtoull(checkpoint, &end, 16);
+    if (end == checkpoint || *end != '.')
         return 0;
-    saved = end + 1;
-    *task = strtoull(saved, &end, 16);
-    if (end == saved || *end != '@')
+    checkpoint = end + 1;
+    *task = strtoull(checkpoint, &end, 16);
+    if (end == checkpoint || *end != '@')
         return 0;
-    saved = end + 1;
-    *at_ms = strtoll(saved, &end, 10);
-    return end != saved;
+    checkpoint = end + 1;
+    *at_ms = strtoll(checkpoint, &end, 10);
+    return end != checkpoint;
 }
 
-static void judge_asked(struct standin *s, const struct standin_run *run, const char *text, const char *saved, int late)
+static void judge_asked(struct standin *s, const struct standin_run *run, const char *text, const char *checkpoint,
+                        int late)
 {
     struct cluster *c = s->host->cluster;
     const struct board_job *job = run->job;
@@ -184,22 +186,22 @@
     int in_touch = !late && cluster_in_touch(c, s->host);
     if (job->sent_us < 0 || strcmp(text, job->spec->text))
         judge_say(c, job->id, "UNASKED: job %llx starts with the text '%.60s'", (ull)job->id, text);
-    if (*saved) {
-        int read = read_saved(saved, &saved_job, &saved_task, &saved_ms);
+    if (*checkpoint) {
+        int read = read_saved(checkpoint, &saved_job, &saved_task, &saved_ms);
         const struct board_row *row = read ? board_row(job, (int64_t)saved_task) : NULL;
         if (!row || (int64_t)saved_job != job->id || saved_ms > row->saved_ms ||
             ((int64_t)saved_task != run->task &&
              (!job->spec->steps[run->step].gang || task_step((int64_t)saved_task) != run->step ||
-              task_time((int64_t)saved_task) != run->time)))
+              task_repetition((int64_t)saved_task) != run->time)))
             judge_say(c, job->id, "UNASKED: task %llx of job %llx starts with the checkpoint '%.60s'", (ull)run->task,
-                      (ull)job->id, saved);
+                      (ull)job->id, checkpoint);
     }
     struct board_gang *gang = board_gang(run->job, run->time, run->step, run->attempt);
-    if (gang && gang->started && strcmp(gang->saved, saved))
+    if (gang && gang->started && strcmp(gang->checkpoint, checkpoint))
         judge_say(c, job->id, "UNASKED: a gang of job %llx starts with different checkpoints", (ull)job->id);
     if (gang && !gang->started) {
         gang->started = 1;
-        gang->saved = must_dup(saved);
+        gang->checkpoint = must_dup(checkpoint);
     }
     if (in_touch && job->cancel_ack_us >= 0 && c->now_us - job->cancel_ack_us > CANCEL_MS * 1000LL)
         judge_say(c, job->id, "UNASKED: job %llx starts %lld ms after its cancelling was acknowledged", (ull)job->id,
@@ -213,20 +215,20 @@
                   (long long)(c->now_us - s->drain_ack_us) / 1000);
 }
 
-void judge_begun(struct standin *s, struct standin_run *run, const char *text, const char *saved, int late)
+void judge_begun(struct standin *s, struct standin_run *run, const char *text, const char *checkpoint, int late)
 {
     struct cluster *c = s->host->cluster;
     struct board_row *row = board_row(run->job, run->task);
     c->n_starts++;
     run->job->starts++;
     cluster_tell(c, run->job->id, "%s starts %llx attempt %lld %s%s", s->incarnation, (ull)run->task,
-                 (long long)run->attempt, saved, late ? " (carried out late)" : "");
+                 (long long)run->attempt, checkpoint, late ? " (carried out late)" : "");
     *list_more(row->starts, row->n_starts) =
         (struct seen_start){.at_us = c->now_us, .attempt = run->attempt, .executor = s->index};
     judge_twice(s, run);
     judge_place(s, run);
     judge_order(s, run);
-    judge_asked(s, run, text, saved, late);
+    judge_asked(s, run, text, checkpoint, late);
     judge_starts(c, run->job, run->task);
 }
 
@@ -262,7 +264,7 @@
     struct cluster *c = s->host->cluster;
     for (int64_t i = 0; i < s->n_ended; i++) {
         struct board_job *job = board_job(c, s->ended[i].job);
-        int64_t task = s->ended[i].task, time = task_time(task), step_no = task_step(task);
+        int64_t task = s->ended[i].task, time = task_repetition(task), step_no = task_step(task);
         const struct step_spec *step = &job->spec->steps[step_no];
         struct seen_end *end = end_of(s, board_row(job, task), s->ended[i].seq);
         if (s->ended[i].seq > seen || !end || end->noted || end->lapsed)
--- a/sim/cluster_runs.c
+++ b/sim/cluster_runs.c
@@ -9,7 +9,7 @@
 
 static const struct step_spec *step_of(const struct standin_run *run) { return &run->job->spec->steps[run->step]; }
 
-void run_free(struct standin_run *run) { free(run->saved); }
+void run_free(struct standin_run *run) { free(run->checkpoint); }
 
 struct standin_run *standin_run(struct standin *s, int64_t job, int64_t task)
 {
@@ -59,9 +59,9 @@
 }
 
 /* What a checkpoint says: whose it is and how much work it holds. */
-static int64_t saved_ms(const char *saved)
+static int64_t saved_ms(const char *checkpoint)
 {
-    const char *at = saved ? strrchr(saved, '@') : NULL;
+    const char *at = checkpoint ? strrchr(checkpoint, '@') : NULL;
     return at ? text_to_int64(at + 1) : 0;
 }
 
@@ -70,10 +70,10 @@
     struct board_row *row = board_row(run->job, run->task);
     if (!step_of(run)->checkpoints)
         return;
-    free(run->saved);
+    free(run->checkpoint);
     run->saved_ms = run->done_us / 1000;
-    run->saved = must_printf("%llx.%llx@%lld", (unsigned long long)run->job->id, (unsigned long long)run->task,
-                             (long long)run->saved_ms);
+    run->checkpoint = must_printf("%llx.%llx@%lld", (unsigned long long)run->job->id, (unsigned long long)run->task,
+                                  (long long)run->saved_ms);
     if (run->saved_ms > row->saved_ms)
         row->saved_ms = run->saved_ms;
 }
@@ -103,11 +103,11 @@
     struct cluster *c = s->host->cluster;
     struct board_job *job = order->job;
     const struct step_spec *step = &job->spec->steps[task_step(order->task)];
-    if (s->guards && !has_room(s, step))
+    if (s->checks_capacity && !has_room(s, step))
         return 0;
     struct standin_run *run = list_more(s->runs, s->n_runs);
     *run = (struct standin_run){.job = job,
-                                .time = task_time(order->task),
+                                .time = task_repetition(order->task),
                                 .step = task_step(order->task),
                                 .index = task_index(order->task),
                                 .task = order->task,
@@ -115,15 +115,15 @@
                                 .started_us = c->now_us};
     run->need_us = need_us(s, run);
     run->fails_us = fails_us(run);
-    run->saved = *order->saved ? must_dup(order->saved) : NULL;
-    run->saved_ms = saved_ms(order->saved);
+    run->checkpoint = *order->checkpoint ? must_dup(order->checkpoint) : NULL;
+    run->saved_ms = saved_ms(order->checkpoint);
     run->done_us = run->saved_ms * 1000;
-    run->restore_us = *order->saved ? RESTORE_MS * 1000 : 0;
+    run->restore_us = *order->checkpoint ? RESTORE_MS * 1000 : 0;
     if (c->now_us < s->fail_us)
         run->fails_us = run->done_us;
     if (step->gang)
         board_gang(job, run->time, run->step, order->attempt);
-    judge_begun(s, run, order->text, order->saved, order->late);
+    judge_begun(s, run, order->text, order->checkpoint, order->late);
     return 1;
 }
 
@@ -143,7 +143,7 @@
                                   .task = over.task,
                                   .attempt = over.attempt,
                                   .how = how,
-                                  .saved = must_dup(over.saved)};
+                                  .checkpoint = must_dup(over.checkpoint)};
     judge_ended(s, &over, how, end->seq);
     if (how != RUN_DONE)
         c->lost_core_ms += (over.done_us / 1000 - over.saved_ms) * step_of(&over)->cpu_milli / 1000;
@@ -252,11 +252,12 @@
         return 0;
     }
     run->done_us += passed_us;
-    if (run->fails_us >= 0 && run->done_us >= run->fails_us && (!step_of(run)->lasting || run->done_us > 1500000)) {
+    if (run->fails_us >= 0 && run->done_us >= run->fails_us &&
+        (!step_of(run)->long_running || run->done_us > 1500000)) {
         standin_finish(s, run, RUN_FAILED);
         return 1;
     }
-    if (step_of(run)->lasting)
+    if (step_of(run)->long_running)
         return 0;
     if (run->done_us >= run->need_us) {
         standin_finish(s, run, RUN_DONE);
--- a/src/agent/agent_calls.c
+++ b/src/agent/agent_calls.c
@@ -88,7 +88,7 @@
         if (work->state == WORK_CHECK || (work->state == WORK_STOPPED && !run_is_active(&incarnation->lists, &run)))
             need.proof = 1;
     }
-    int64_t paced = incarnation->poll_done_ms + (agent->pace_ms ? agent->pace_ms : PACE_MS);
+    int64_t paced = incarnation->poll_done_ms + (agent->poll_delay_ms ? agent->poll_delay_ms : PACE_MS);
     if (!incarnation->ready || incarnation->silent_since_ms || incarnation->retry_due_ms)
         need.due_ms = incarnation->retry_due_ms;
     else if (need.proof)
--- a/src/agent/agent_lease.c
+++ b/src/agent/agent_lease.c
@@ -24,15 +24,15 @@
 int64_t agent_over_ms(const struct agent *agent, int64_t now)
 {
     const struct agent_incarnation *incarnation = &agent->incarnation;
-    int64_t over_ms = 0;
+    int64_t lease_left_ms = 0;
     if (incarnation->sent_expiry_ms) {
         int64_t left = incarnation->sent_expiry_ms - agent_clock_ms(agent, now);
-        over_ms = left > 0 ? left * 100 / SLOW_PCT + 1 + OVER_MARGIN_MS : 0;
+        lease_left_ms = left > 0 ? left * 100 / SLOW_PCT + 1 + OVER_MARGIN_MS : 0;
     }
     /* leases sent by a former process of this agent expire at the latest the longest hold after this one began */
     int64_t taken_ms = agent->setup.orders_by_heartbeat ? HEARTBEAT_RESPONSE_MAX_MS : 0;
     int64_t inherited = agent->started_ms + taken_ms + agent->setup.hold_max_ms * 100 / SLOW_PCT + OVER_MARGIN_MS - now;
-    return inherited > over_ms ? inherited : over_ms;
+    return inherited > lease_left_ms ? inherited : lease_left_ms;
 }
 
 void agent_clock_received(struct agent *agent, int64_t clock_ms, int64_t now)
--- a/src/agent/agent_report.c
+++ b/src/agent/agent_report.c
@@ -23,13 +23,13 @@
         int is_active = run_is_active(&incarnation->lists, &run);
         if (work->state == WORK_STARTED && !is_active)
             report->active[report->n_active++] = (struct run_active){
-                .job = run.job, .task = run.task, .attempt = run.attempt, .saved = work->start.saved};
+                .job = run.job, .task = run.task, .attempt = run.attempt, .checkpoint = work->start.checkpoint};
         else if (work->state == WORK_REFUSED)
             report->refused[report->n_refused++] =
                 (struct run_refused){.job = run.job, .task = run.task, .attempt = run.attempt, .reason = work->reason};
         else if (work->state == WORK_ABSENT)
             report->ended[report->n_ended++] =
-                (struct run_ended){.job = run.job, .task = run.task, .attempt = run.attempt, .how = END_ABSENT};
+                (struct run_ended){.job = run.job, .task = run.task, .attempt = run.attempt, .how = END_NEVER_RAN};
         else if (work->state != WORK_STARTED && work->state != WORK_CLOSED && !is_active)
             report->pending[report->n_pending++] = run;
     }
@@ -48,7 +48,7 @@
     if (agent->incarnation.present) {
         report.executor = agent->incarnation.state;
         report.executor.silent_ms = agent->incarnation.silent_since_ms ? now - agent->incarnation.silent_since_ms : 0;
-        report.executor.over_ms = agent_over_ms(agent, now);
+        report.executor.lease_left_ms = agent_over_ms(agent, now);
     }
     list_works(agent, &report);
     struct blob *out = blob_new();
@@ -118,7 +118,7 @@
         agent_works_epoch(agent);
     }
     agent->orders_received_ms = now;
-    agent->pace_ms = orders->pace_ms > 0 && orders->pace_ms < 1000 ? orders->pace_ms : 0;
+    agent->poll_delay_ms = orders->poll_delay_ms > 0 && orders->poll_delay_ms < 1000 ? orders->poll_delay_ms : 0;
     agent_works_step(agent, now); /* what the lease no longer covers is withdrawn before it is renewed */
     if (orders->leader)
         directory_learn_leader(&agent->directory, orders->epoch, orders->leader);
--- a/src/agent/agent_responses.c
+++ b/src/agent/agent_responses.c
@@ -24,10 +24,10 @@
     return 0;
 }
 
-/* Why the executor refused the call, REFUSED_NOT: it accepted it. */
+/* Why the executor refused the call, REFUSED_NONE: it accepted it. */
 static int64_t refusal_of(const struct executor_response *response)
 {
-    return response->kind == EXECUTOR_REFUSED ? executor_response_refusal(response) : REFUSED_NOT;
+    return response->kind == EXECUTOR_REFUSED ? executor_response_refusal(response) : REFUSED_NONE;
 }
 
 static int64_t backoff_next(int64_t retry_ms, int64_t least, int64_t most)
@@ -60,7 +60,7 @@
         if (from->seq <= incarnation->seen || (from->seq <= newest && knows_end(incarnation, from->seq)))
             continue;
         *(struct run_ended *)list_more(known->ended, known->n_ended) = *from;
-        from->saved = NULL;
+        from->checkpoint = NULL;
         newest = from->seq > newest ? from->seq : newest;
         agent->report_due = 1;
     }
@@ -70,7 +70,7 @@
                           struct executor_response *response, int64_t now)
 {
     struct agent_incarnation *incarnation = &agent->incarnation;
-    if (refusal_of(response) != REFUSED_NOT) {
+    if (refusal_of(response) != REFUSED_NONE) {
         incarnation->retry_ms = backoff_next(incarnation->retry_ms, RETRY_MS, RETRY_MOST_MS);
         incarnation->retry_due_ms = now + incarnation->retry_ms;
         return;
@@ -100,15 +100,15 @@
     work->answered_no = agent->number;
     work->answered_ms = now;
     switch (refusal_of(response)) {
-    case REFUSED_NOT:
+    case REFUSED_NONE:
         work->state = WORK_STARTED;
         agent_ends_noted(&agent->incarnation, 0, now);
         return;
-    case REFUSED_OLD:
+    case REFUSED_OUTDATED:
         work->state = WORK_CHECK;
         agent->incarnation.prove_ms = now + PROVE_MS;
         return;
-    case REFUSED_SICK:
+    case REFUSED_UNAVAILABLE:
     case REFUSED_LATE:
         if (work->sick < SICK_TRIES) {
             work->sick++;
@@ -125,7 +125,7 @@
 
 static void stop_answered(struct agent *agent, struct work *work, const struct executor_response *response, int64_t now)
 {
-    if (refusal_of(response) != REFUSED_NOT) {
+    if (refusal_of(response) != REFUSED_NONE) {
         work->retry_ms = backoff_next(work->retry_ms, RETRY_STOP_MS, RETRY_STOP_MOST_MS);
         work->due_ms = now + work->retry_ms;
         return;
@@ -181,13 +181,13 @@
     int64_t refusal = refusal_of(response);
     if (request->kind != CALL_POLL || !request_poll(request)->waits)
         agent_response_time_add(incarnation, now - request->sent_ms);
-    if (refusal == REFUSED_NOT)
+    if (refusal == REFUSED_NONE)
         incarnation->retry_ms = incarnation->retry_due_ms = 0;
     agent_clock_received(agent, response->clock_ms, now);
-    int taken = refusal == REFUSED_NOT || refusal == REFUSED_OLD || refusal == REFUSED_ROOM;
+    int taken = refusal == REFUSED_NONE || refusal == REFUSED_OUTDATED || refusal == REFUSED_NO_CAPACITY;
     if (taken && request->expires_ms > incarnation->held_ms)
         incarnation->held_ms = request->expires_ms;
-    if (refusal == REFUSED_EPOCH && request->epoch == agent->epoch) {
+    if (refusal == REFUSED_STALE_EPOCH && request->epoch == agent->epoch) {
         agent->fenced_epoch = agent->epoch;
         incarnation->ready = 0;
         agent->report_due = 1;
@@ -197,7 +197,7 @@
         return;
     }
     struct work *work = work_of(agent, request);
-    if (!work || refusal == REFUSED_EPOCH)
+    if (!work || refusal == REFUSED_STALE_EPOCH)
         return;
     if (request->kind == CALL_START)
         start_answered(agent, work, response, now);
@@ -210,7 +210,7 @@
 {
     if (!agent->candidate.state.incarnation || strcmp(agent->candidate.state.incarnation, request->incarnation))
         return;
-    if (!response || (refusal_of(response) != REFUSED_NOT && refusal_of(response) != REFUSED_EPOCH)) {
+    if (!response || (refusal_of(response) != REFUSED_NONE && refusal_of(response) != REFUSED_STALE_EPOCH)) {
         agent->candidate_retry_ms = backoff_next(agent->candidate_retry_ms, RETRY_MS, RETRY_MOST_MS);
         agent->candidate_due_ms = now + agent->candidate_retry_ms;
         return;
--- a/src/agent/agent_state.h
+++ b/src/agent/agent_state.h
@@ -137,7 +137,7 @@
     int64_t started_ms;
     int64_t epoch, orders_no; /* the highest epoch taken, and the newest number under it */
     int64_t fenced_epoch;     /* the executor knew a higher epoch than this */
-    int64_t pace_ms;          /* poll interval from the leader, 0: PACE_MS */
+    int64_t poll_delay_ms;    /* poll interval from the leader, 0: PACE_MS */
     int64_t grant_until_ms;   /* end of the lease that the leader granted to the current incarnation, */
     int64_t grant_stamp_ms;   /* and stamp_ms of the report that it was granted for */
     int64_t last_stamp_ms;
--- a/src/agent/agent_works.c
+++ b/src/agent/agent_works.c
@@ -73,7 +73,7 @@
     if (number <= work->answered_no || !whole)
         return 0;
     if (work->state == WORK_CHECK)
-        agent_work_refused(agent, work, REFUSED_OLD);
+        agent_work_refused(agent, work, REFUSED_OUTDATED);
     if (work->state == WORK_STOPPED) {
         work->state = WORK_ABSENT;
         agent->report_due = 1;
@@ -110,7 +110,7 @@
     if (work->doubt)
         agent_work_stop(work, now);
     else
-        agent_work_refused(agent, work, REFUSED_ROOM);
+        agent_work_refused(agent, work, REFUSED_NO_CAPACITY);
 }
 
 void agent_works_step(struct agent *agent, int64_t now)
@@ -183,7 +183,7 @@
     work_supersede(agent, start, now);
     struct work *work = work_add(agent, start->job, start->task, start->attempt, now);
     work->start.text = must_dup(start->text);
-    work->start.saved = must_dup(start->saved);
+    work->start.checkpoint = must_dup(start->checkpoint);
     work_withdraw(agent, work, now);
 }
 
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -63,8 +63,8 @@
         record_end(&fresh);
         return rc;
     }
-    if (c->dispatch && dispatch_leads(c->dispatch))
-        dispatch_follow(c->dispatch); /* its belief points into the record */
+    if (c->dispatch && dispatch_is_leader(c->dispatch))
+        dispatch_become_follower(c->dispatch); /* its belief points into the record */
     record_swap(&c->record, &fresh);
     return ERROR_NONE;
 }
@@ -92,7 +92,7 @@
     controller_send(arg, agent, FRAME_ORDERS, &agent_orders_schema, orders);
 }
 
-static int leads(void *arg)
+static int holds_lease(void *arg)
 {
     struct controller *c = arg;
     return c->votes && log_leads(&c->log);
@@ -135,8 +135,12 @@
 struct controller *controller_new(struct world *w, const struct controller_setup *setup)
 {
     struct controller *c = must_alloc(sizeof *c);
-    const struct dispatch_calls calls = {
-        .propose = propose, .answer = answer, .orders = orders, .leads = leads, .barrier = barrier, .arg = c};
+    const struct dispatch_calls calls = {.propose = propose,
+                                         .answer = answer,
+                                         .orders = orders,
+                                         .holds_lease = holds_lease,
+                                         .barrier = barrier,
+                                         .arg = c};
     int rc = ERROR_NONE;
     c->w = w;
     c->setup = *setup;
@@ -205,8 +209,8 @@
         return;
     c->broken_ms = now_ms;
     log_on_timer(&c->log); /* fails pending proposals and reads */
-    if (dispatch_leads(c->dispatch))
-        dispatch_follow(c->dispatch);
+    if (dispatch_is_leader(c->dispatch))
+        dispatch_become_follower(c->dispatch);
     log_end(&c->log);
     record_clear(&c->record);
     if (open_log(c))
@@ -220,11 +224,11 @@
 {
     struct log *log = &c->log;
     int fit = log->role == LOG_LEADER && !log->broken;
-    if (!fit && dispatch_leads(c->dispatch))
-        dispatch_follow(c->dispatch);
+    if (!fit && dispatch_is_leader(c->dispatch))
+        dispatch_become_follower(c->dispatch);
     /* all that former leaders committed is in the record once an entry of the own term is committed */
-    if (fit && !dispatch_leads(c->dispatch) && log_term_at(log, log->commit) == log->term)
-        dispatch_lead(c->dispatch, log->term);
+    if (fit && !dispatch_is_leader(c->dispatch) && log_term_at(log, log->commit) == log->term)
+        dispatch_become_leader(c->dispatch, log->term);
     if (fit && log_leads(log))
         directory_learn_leader(&c->directory, log->term, (int64_t)c->w->self);
     else if (c->directory.leader == (int64_t)c->w->self)
@@ -293,7 +297,7 @@
 
 void controller_flush(struct controller *c)
 {
-    if (dispatch_leads(c->dispatch))
+    if (dispatch_is_leader(c->dispatch))
         dispatch_flush(c->dispatch);
     if (c->votes)
         log_flush(&c->log);
@@ -302,7 +306,7 @@
 static void take_report(struct controller *c, const struct frame *frame)
 {
     struct agent_report report = {0};
-    if (dispatch_leads(c->dispatch) && !schema_unpack(&agent_report_schema, &report, frame->body, frame->len))
+    if (dispatch_is_leader(c->dispatch) && !schema_unpack(&agent_report_schema, &report, frame->body, frame->len))
         dispatch_report(c->dispatch, (int64_t)frame->from, &report);
     schema_free(&agent_report_schema, &report);
 }
@@ -381,7 +385,7 @@
 
 const struct record *controller_record(const struct controller *c) { return &c->record; }
 
-int controller_leads(const struct controller *c) { return dispatch_leads(c->dispatch); }
+int controller_leads(const struct controller *c) { return dispatch_is_leader(c->dispatch); }
 
 static uint64_t list_hash(const struct log_members *list)
 {
--- a/src/controller/relay.c
+++ b/src/controller/relay.c
@@ -87,7 +87,7 @@
 static void send_to_leader(struct controller *c, struct relayed_request *r)
 {
     int64_t leader = directory_leader(&c->directory), self = (int64_t)c->w->self;
-    if (!leader || (leader == self && !dispatch_leads(c->dispatch)))
+    if (!leader || (leader == self && !dispatch_is_leader(c->dispatch)))
         return;
     r->sent_ms = world_ms(c->w);
     r->sent_to = leader;
@@ -236,7 +236,7 @@
 
 static void on_request(struct controller *c, int64_t from, const struct forwarded_request *m)
 {
-    if (!dispatch_leads(c->dispatch) || m->term != c->log.term) {
+    if (!dispatch_is_leader(c->dispatch) || m->term != c->log.term) {
         struct forwarded_response no = {.boot = m->boot,
                                         .ticket = m->ticket,
                                         .answer = api_response_error(m->request.kind, ERROR_NOT_LEADER, 0, NULL)};
@@ -292,7 +292,7 @@
         int64_t leader = directory_leader(&c->directory);
         int silent = r->sent_to && now_ms - r->sent_ms >= RESEND_MS;
         /* our own dispatch answers each ticket once, when it can */
-        if (r->sent_to == (int64_t)c->w->self && leader == r->sent_to && dispatch_leads(c->dispatch))
+        if (r->sent_to == (int64_t)c->w->self && leader == r->sent_to && dispatch_is_leader(c->dispatch))
             continue;
         if (silent && leader == r->sent_to) {
             directory_suspect_leader(&c->directory);
--- a/src/dispatch/job.c
+++ b/src/dispatch/job.c
@@ -24,7 +24,7 @@
                                                 BOOL(step_spec, gang),
                                                 BOOL_NAMED(step_spec, same_rack, "sameRack"),
                                                 BOOL(step_spec, duplicates),
-                                                BOOL(step_spec, lasting),
+                                                BOOL_NAMED(step_spec, long_running, "lasting"),
                                                 INT_NAMED(step_spec, per_executor, "perExecutor"),
                                                 STR(step_spec, label),
                                                 STR(step_spec, rack)};
@@ -53,8 +53,9 @@
                                                    INT_NAMED(queue_config, timeout_ms, "timeoutMs")};
 SCHEMA(queue_config_schema, queue_config, queue_config_fields);
 
-static const struct field service_config_fields[] = {
-    STR(service_config, name), STR_NAMED(service_config, health_path, "healthPath"), BOOL(service_config, guards)};
+static const struct field service_config_fields[] = {STR(service_config, name),
+                                                     STR_NAMED(service_config, health_path, "healthPath"),
+                                                     BOOL_NAMED(service_config, checks_capacity, "guards")};
 SCHEMA(service_config_schema, service_config, service_config_fields);
 
 static const struct field config_fields[] = {INT(config, version), LIST(config, queues, n_queues, queue_config_schema),
@@ -109,7 +110,7 @@
             return rc;
         tasks += spec->steps[i].task_count;
     }
-    if (tasks * job_spec_times(spec) > JOB_TASKS_MAX)
+    if (tasks * job_spec_repetitions(spec) > JOB_TASKS_MAX)
         return validation_error_set(validation_error, ERROR_TOO_LARGE, "fewer tasks, over all steps and times",
                                     "steps");
     return ERROR_NONE;
@@ -123,7 +124,7 @@
     return tasks;
 }
 
-int64_t job_spec_times(const struct job_spec *spec) { return spec->repeats > 0 ? spec->repeats : 1; }
+int64_t job_spec_repetitions(const struct job_spec *spec) { return spec->repeats > 0 ? spec->repeats : 1; }
 
 static int empty(const char *text) { return !text || !*text; }
 
--- a/src/dispatch/job.h
+++ b/src/dispatch/job.h
@@ -18,7 +18,7 @@
     int64_t gang;         /* all its tasks run at the same time or none does */
     int64_t same_rack;    /* the gang should be on one rack */
     int64_t duplicates;   /* two attempts may run at once, the first to end counts */
-    int64_t lasting;      /* runs until the job is cancelled */
+    int64_t long_running; /* runs until the job is cancelled */
     int64_t per_executor; /* at most so many of its tasks on one executor; 0: any */
     char *label;          /* the executor must have it; NULL: none */
     char *rack;           /* preferred, its data are there; NULL: any */
@@ -51,8 +51,8 @@
 /* A service: the kind of executors that serve a queue. */
 struct service_config {
     char *name;
-    char *health_path; /* HTTP path on its executors, NULL: none */
-    int64_t guards;    /* 1: its executors refuse starts that do not fit */
+    char *health_path;       /* HTTP path on its executors, NULL: none */
+    int64_t checks_capacity; /* 1: its executors refuse starts that do not fit */
 };
 /* One version of the whole configuration. raw: the bytes that the operator sent, returned on reads. */
 struct config {
@@ -81,7 +81,7 @@
 enum sagehitch_error config_check(const struct config *config, struct validation_error *validation_error);
 /* Tasks of one repetition; number of repetitions. */
 int64_t job_spec_tasks(const struct job_spec *spec);
-int64_t job_spec_times(const struct job_spec *spec);
+int64_t job_spec_repetitions(const struct job_spec *spec);
 /* Index of the queue for a host (in any case) whose prefix is the longest that path begins with; -1: none. */
 int64_t config_route(const struct config *config, const char *host, const char *path);
 #endif
--- a/src/dispatch/leader.c
+++ b/src/dispatch/leader.c
@@ -44,7 +44,7 @@
             steps_forget(dispatch, job);
         if (!job_over(job) || !job->rows)
             return;
-        for (int64_t i = 0; i < job->times * job->tasks; i++) {
+        for (int64_t i = 0; i < job->repetitions * job->tasks; i++) {
             struct run *run = run_of_row(dispatch, job, i);
             if (run)
                 run_stop(dispatch, run);
@@ -82,7 +82,7 @@
 
 void dispatch_free(struct dispatch *dispatch)
 {
-    dispatch_follow(dispatch);
+    dispatch_become_follower(dispatch);
     slab_end(&dispatch->batches);
     slab_end(&dispatch->readers);
     free(dispatch->candidates);
@@ -91,9 +91,9 @@
     free(dispatch);
 }
 
-int dispatch_leads(const struct dispatch *dispatch) { return (int)dispatch->leading; }
+int dispatch_is_leader(const struct dispatch *dispatch) { return (int)dispatch->leading; }
 
-void dispatch_lead(struct dispatch *dispatch, int64_t epoch)
+void dispatch_become_leader(struct dispatch *dispatch, int64_t epoch)
 {
     dispatch->epoch = epoch;
     dispatch->leading = 1;
@@ -101,12 +101,12 @@
     dispatch->record->changed = on_changed;
     dispatch->record->arg = dispatch;
     for (struct job *job = dispatch->record->oldest; job; job = job->next)
-        for (int64_t i = 0; job->rows && i < job->times * job->tasks; i++)
+        for (int64_t i = 0; job->rows && i < job->repetitions * job->tasks; i++)
             if (job->rows[i].state == ROW_PLACED)
                 run_add(dispatch, job, i);
     /* a gang that lost a member under a former leader: the others are stopped */
     for (struct job *job = dispatch->record->oldest; job; job = job->next)
-        for (int64_t i = 0; job->rows && i < job->times * job->tasks; i++)
+        for (int64_t i = 0; job->rows && i < job->repetitions * job->tasks; i++)
             if (job->rows[i].state == ROW_WAITING)
                 run_gang_stop(dispatch, job, i);
     for (int64_t k = 0; k < dispatch->n_incarnation_states; k++)
@@ -121,7 +121,7 @@
         dispatch_answer(dispatch, batch->waiters[i].ticket, batch->waiters[i].kind, error, NULL);
 }
 
-void dispatch_follow(struct dispatch *dispatch)
+void dispatch_become_follower(struct dispatch *dispatch)
 {
     Word_t freed;
     if (!dispatch->leading)
--- a/src/dispatch/leader.h
+++ b/src/dispatch/leader.h
@@ -12,12 +12,12 @@
 
 /* Settings of a deployment, in milliseconds unless the name says otherwise. */
 struct dispatch_settings {
-    int64_t lease_ms;        /* length of the lease under which an agent's executor runs tasks */
-    int64_t gang_timeout_ms; /* an executor ends a gang member that waited so long for the others */
-    int64_t early_ms;        /* how long before its due time a repetition may begin */
-    int64_t shown_ms;        /* how long a job's state can be read after the job ended */
-    int64_t restore_ms;      /* how long a run that resumes from a checkpoint may report no progress */
-    int64_t far_pct;         /* duration of work away from its data, in percent of that beside it */
+    int64_t lease_ms;         /* length of the lease under which an agent's executor runs tasks */
+    int64_t gang_timeout_ms;  /* an executor ends a gang member that waited so long for the others */
+    int64_t early_ms;         /* how long before its due time a repetition may begin */
+    int64_t job_retention_ms; /* how long a job's state can be read after the job ended */
+    int64_t restore_ms;       /* how long a run that resumes from a checkpoint may report no progress */
+    int64_t remote_data_pct;  /* duration of work away from its data, in percent of that beside it */
 };
 
 /* What dispatch needs from the controller around it. Messages are borrowed for the call only. */
@@ -30,7 +30,7 @@
     /* Sends orders to the agent at this address. */
     void (*orders)(void *arg, int64_t agent, const struct agent_orders *orders);
     /* Whether this process holds the leader's lease now; leases are granted to agents only under it. */
-    int (*leads)(void *arg);
+    int (*holds_lease)(void *arg);
     /* Starts a read barrier (leadership confirmed by a majority); dispatch_barrier(tag) follows. */
     void (*barrier)(void *arg, int64_t tag);
     void *arg;
@@ -46,11 +46,11 @@
 void dispatch_settings_set(struct dispatch *dispatch, const struct dispatch_settings *settings);
 /* Takes up leadership under epoch. The record must hold every entry committed under lower epochs, and no leader of
  * a lower epoch can commit any more. */
-void dispatch_lead(struct dispatch *dispatch, int64_t epoch);
+void dispatch_become_leader(struct dispatch *dispatch, int64_t epoch);
 /* Gives up leadership: drops all volatile state; waiting requests are answered ERROR_NOT_LEADER. */
-void dispatch_follow(struct dispatch *dispatch);
-/* Whether dispatch_lead() was called and dispatch_follow() was not since. */
-int dispatch_leads(const struct dispatch *dispatch);
+void dispatch_become_follower(struct dispatch *dispatch);
+/* Whether dispatch_become_leader() was called and dispatch_become_follower() was not since. */
+int dispatch_is_leader(const struct dispatch *dispatch);
 /* To be called on each tick of the timer, also of a follower: leases, stalled runs, the time of day. */
 void dispatch_on_timer(struct dispatch *dispatch);
 /* To be called once per iteration of the event loop, after its input: plans if due, sends orders and proposes the
--- a/src/dispatch/leader_executor_views.c
+++ b/src/dispatch/leader_executor_views.c
@@ -15,7 +15,7 @@
     if (*at)
         return *at;
     struct executor_view *view = *at = must_alloc(sizeof *view);
-    *view = (struct executor_view){.agent = agent, .slow_pct = 100};
+    *view = (struct executor_view){.agent = agent, .duration_pct = 100};
     *list_more(dispatch->executor_views, dispatch->n_executor_views) = view;
     return view;
 }
@@ -115,7 +115,7 @@
             step_pace_learn(dispatch, view, run);
         if (ended->how == END_DONE || ended->how == END_FAILED)
             executor_view_judge(dispatch, view, ended->how == END_FAILED, 1);
-        run_end(dispatch, run, ended->how, ended->saved);
+        run_end(dispatch, run, ended->how, ended->checkpoint);
     }
 }
 
@@ -156,7 +156,7 @@
         run->known = 1;
         if (!run->refused) {
             run->refused = 1;
-            executor_view_judge(dispatch, view, refused->reason == REFUSED_SICK, 2);
+            executor_view_judge(dispatch, view, refused->reason == REFUSED_UNAVAILABLE, 2);
         }
         /* an unanswered call for the same start may still be carried out: only a stop settles it */
         run_stop(dispatch, run);
@@ -175,8 +175,8 @@
             *list_more(view->lost_incarnations, view->n_lost_incarnations) = must_dup(report->lost_incarnations[i]);
     }
     /* it is silent, and every lease ever sent to it has expired */
-    int over =
-        report->present && report->epoch == dispatch->epoch && report->executor.silent_ms && !report->executor.over_ms;
+    int over = report->present && report->epoch == dispatch->epoch && report->executor.silent_ms &&
+               !report->executor.lease_left_ms;
     int64_t silent = over ? incarnation_find(dispatch, report->executor.incarnation) : -1;
     if (silent >= 0 && dispatch->record->incarnations[silent].agent == view->agent)
         incarnation_lapsed(dispatch, silent, report->orders_taken);
@@ -226,7 +226,7 @@
     if (fresh) {
         reservations_recompute(dispatch, view, report->present ? report->executor.incarnation : NULL);
         view->seen = view->newest_seq = 0;
-        view->slow_pct = 100;
+        view->duration_pct = 100;
         view->bad_pct = view->quarantine_until_ms = 0;
         dispatch->plan_due = 1;
     }
--- a/src/dispatch/leader_orders.c
+++ b/src/dispatch/leader_orders.c
@@ -27,20 +27,20 @@
                                                                       .task = run->task,
                                                                       .attempt = run->attempt,
                                                                       .text = run->job->spec.text,
-                                                                      .saved = run->job->rows[run->no].saved};
+                                                                      .checkpoint = run->job->rows[run->no].checkpoint};
 }
 
 void orders_send(struct dispatch *dispatch, struct executor_view *view, int64_t stamp_ms)
 {
     int64_t now_ms = world_ms(dispatch->world);
-    int leads = dispatch->calls.leads(dispatch->calls.arg);
+    int holds_lease = dispatch->calls.holds_lease(dispatch->calls.arg);
     struct agent_orders orders = {.epoch = dispatch->epoch,
                                   .number = ++dispatch->orders_no,
                                   .lease_ms = dispatch->settings.lease_ms,
                                   .leader = (int64_t)dispatch->world->self,
                                   .incarnation = view->present ? view->executor.incarnation : NULL,
                                   .drain_seen = view->executor.draining,
-                                  .pace_ms = dispatch->plan.blocked ? PACE_BUSY_MS : PACE_CALM_MS,
+                                  .poll_delay_ms = dispatch->plan.blocked ? PACE_BUSY_MS : PACE_CALM_MS,
                                   .stops = view->orphan_runs,
                                   .n_stops = view->n_orphan_runs,
                                   .ends_seen = view->absent_runs,
@@ -56,17 +56,17 @@
         orders.seen = executor_view_seen(dispatch, view, incarnation);
     view->orphan_runs = NULL;
     view->n_orphan_runs = 0;
-    if (stamp_ms && leads && (!view->present || view->executor.silent_ms < GRANT_SILENT_MS)) {
+    if (stamp_ms && holds_lease && (!view->present || view->executor.silent_ms < GRANT_SILENT_MS)) {
         orders.stamp_ms = stamp_ms;
         if (incarnation >= 0 && dispatch->incarnation_states[incarnation].grant_ms < now_ms)
             dispatch->incarnation_states[incarnation].grant_ms = now_ms;
     }
-    if (leads && view->ready)
+    if (holds_lease && view->ready)
         for (int64_t i = 0; incarnation >= 0 && i < dispatch->incarnation_states[incarnation].n; i++)
             add_run(dispatch, &orders, &dispatch->incarnation_states[incarnation].runs[i], now_ms);
     dispatch->calls.orders(dispatch->calls.arg, view->agent, &orders);
     for (int64_t i = 0; i < orders.n_starts; i++)
-        orders.starts[i].text = orders.starts[i].saved = NULL; /* borrowed from the record */
+        orders.starts[i].text = orders.starts[i].checkpoint = NULL; /* borrowed from the record */
     free(orders.starts);
     free(orders.stops);
 }
--- a/src/dispatch/leader_place.c
+++ b/src/dispatch/leader_place.c
@@ -37,7 +37,7 @@
                                .gpus_free = executor->gpus - view->gpus_reserved,
                                .open = executor_view_open(dispatch, view),
                                .departs_ms = executor->departure_ms > 0 ? now_ms + executor->departure_ms : INT64_MAX,
-                               .slow_pct = view->slow_pct,
+                               .duration_pct = view->duration_pct,
                                .failures = view->bad_pct / 30};
         if (incarnation < 0 || incarnation >= dispatch->n_incarnation_states)
             continue;
@@ -149,8 +149,8 @@
                                .now_ms = now_ms,
                                .wall_ms = wall_ms,
                                .early_ms = dispatch->settings.early_ms,
-                               .far_pct = dispatch->settings.far_pct,
-                               .most = PLACEMENTS_MAX,
+                               .remote_data_pct = dispatch->settings.remote_data_pct,
+                               .max_placements = PLACEMENTS_MAX,
                                .keep_free = dispatch->keep_free,
                                .busy = is_busy,
                                .ends_pending = ends_pending,
@@ -158,7 +158,8 @@
     plan_make(&input, plan);
     int64_t from_op = dispatch->open ? dispatch->open->ops.n : 0;
     for (int64_t i = 0; i < plan->n; i++)
-        placement_propose(dispatch, &plan->places[i], &dispatch->candidates[plan->places[i].candidate], from_op);
+        placement_propose(dispatch, &plan->placements[i], &dispatch->candidates[plan->placements[i].candidate],
+                          from_op);
     preempt(dispatch, &input, now_ms);
     dispatch->plan_at_ms = now_ms + 250;
     if (plan->next_due_ms != INT64_MAX && plan->next_due_ms - wall_ms < 250)
--- a/src/dispatch/leader_requests.c
+++ b/src/dispatch/leader_requests.c
@@ -168,17 +168,17 @@
     bytes_printf(&text, "job %016llx queue %s state %lld placed %lld done %lld of %lld\n",
                  (unsigned long long)job->spec.id, dispatch->record->queues[job->queue].config.name,
                  (long long)job->state, (long long)job->n_placed, (long long)job->n_done,
-                 (long long)job->tasks * job->times);
-    for (int64_t i = 0; job->rows && i < job->tasks * job->times && i < 200; i++) {
+                 (long long)job->tasks * job->repetitions);
+    for (int64_t i = 0; job->rows && i < job->tasks * job->repetitions && i < 200; i++) {
         const struct row *row = &job->rows[i];
         const struct run *run = run_of_row(dispatch, job, i);
-        int64_t time, step, index;
-        job_place(job, i, &time, &step, &index);
-        bytes_printf(&text, "time %lld step %lld task %lld %s attempt %d failures %d%s%s%s\n", (long long)time,
+        int64_t repetition, step, index;
+        job_row_position(job, i, &repetition, &step, &index);
+        bytes_printf(&text, "time %lld step %lld task %lld %s attempt %d failures %d%s%s%s\n", (long long)repetition,
                      (long long)step, (long long)index, row_names[row->state], row->attempt, row->failures,
                      row->state == ROW_PLACED ? " on " : "",
                      row->state == ROW_PLACED ? dispatch->record->incarnations[row->incarnation].name : "",
-                     row->state == ROW_WAITING && !job_step_begins(job, time, step) ? " (steps before it)" : "");
+                     row->state == ROW_WAITING && !job_step_begins(job, repetition, step) ? " (steps before it)" : "");
         if (run)
             bytes_printf(&text, "  percent %lld seen %lld ms ago%s%s\n", (long long)run->percent,
                          (long long)(run->seen_ms ? world_ms(dispatch->world) - run->seen_ms : -1),
@@ -229,7 +229,7 @@
 {
     const struct job *job =
         request->kind == REQUEST_STATE ? record_job(dispatch->record, api_request_job_id(request)) : NULL;
-    return job && !job_over(job) && job->n_placed && job->n_done + job->n_placed == job->tasks * job->times;
+    return job && !job_over(job) && job->n_placed && job->n_done + job->n_placed == job->tasks * job->repetitions;
 }
 
 static struct reader *reader_new(struct dispatch *dispatch, int64_t ticket, const struct api_request *request,
@@ -261,7 +261,7 @@
         const struct reader *reader = slab_at(&dispatch->readers, tag);
         if (!reader || !reader->until_ms || (now_ms < reader->until_ms && may_end_now(dispatch, &reader->request)))
             continue;
-        if (dispatch->calls.leads(dispatch->calls.arg))
+        if (dispatch->calls.holds_lease(dispatch->calls.arg))
             reader_answer(dispatch, tag, ERROR_NONE);
         else if (now_ms >= reader->until_ms)
             reader_answer(dispatch, tag, ERROR_NOT_LEADER);
@@ -290,7 +290,7 @@
     }
     int64_t tag;
     /* under the leader's own lease no other process can have committed anything */
-    if (!dispatch->calls.leads(dispatch->calls.arg)) {
+    if (!dispatch->calls.holds_lease(dispatch->calls.arg)) {
         reader_new(dispatch, ticket, request, &tag);
         dispatch->calls.barrier(dispatch->calls.arg, tag);
     } else if (may_end_now(dispatch, request)) {
--- a/src/dispatch/leader_runs.c
+++ b/src/dispatch/leader_runs.c
@@ -42,10 +42,10 @@
     return incarnation >= 0 && dispatch->record->incarnations[incarnation].placed ? incarnation : -1;
 }
 
-static const struct step_spec *step_of(const struct job *job, int64_t no, int64_t *time, int64_t *step)
+static const struct step_spec *step_of(const struct job *job, int64_t no, int64_t *repetition, int64_t *step)
 {
     int64_t index;
-    job_place(job, no, time, step, &index);
+    job_row_position(job, no, repetition, step, &index);
     return &job->spec.steps[*step];
 }
 
@@ -58,8 +58,8 @@
 
 void run_room(struct dispatch *dispatch, struct run *run, int64_t sign)
 {
-    int64_t time, step;
-    const struct step_spec *spec = step_of(run->job, run->no, &time, &step);
+    int64_t repetition, step;
+    const struct step_spec *spec = step_of(run->job, run->no, &repetition, &step);
     struct incarnation_state *state = &dispatch->incarnation_states[run->incarnation];
     if (run->holds == (sign > 0))
         return;
@@ -136,11 +136,11 @@
 
 void run_gang_stop(struct dispatch *dispatch, struct job *job, int64_t no)
 {
-    int64_t time, step;
-    const struct step_spec *spec = step_of(job, no, &time, &step);
+    int64_t repetition, step;
+    const struct step_spec *spec = step_of(job, no, &repetition, &step);
     if (!spec->gang)
         return;
-    int64_t first = time * job->tasks + job->first[step];
+    int64_t first = repetition * job->tasks + job->first[step];
     for (int64_t i = first; i < first + spec->task_count; i++) {
         struct run *run = run_of_row(dispatch, job, i);
         if (run)
@@ -157,7 +157,7 @@
     return record_op_make_end(dispatch_op(dispatch));
 }
 
-void run_end(struct dispatch *dispatch, struct run *run, int64_t how, const char *saved)
+void run_end(struct dispatch *dispatch, struct run *run, int64_t how, const char *checkpoint)
 {
     if (run->ending)
         return;
@@ -167,11 +167,12 @@
         step_end_pending(dispatch, run);
     run_room(dispatch, run, -1); /* what is placed there is committed behind this end */
     struct end_op *op = end_op_open(dispatch);
-    *list_more(op->ended, op->n_ended) = (struct run_ended){.job = run->job->spec.id,
-                                                            .task = run->task,
-                                                            .attempt = run->attempt,
-                                                            .how = how,
-                                                            .saved = must_dup(saved && *saved ? saved : NULL)};
+    *list_more(op->ended, op->n_ended) =
+        (struct run_ended){.job = run->job->spec.id,
+                           .task = run->task,
+                           .attempt = run->attempt,
+                           .how = how,
+                           .checkpoint = must_dup(checkpoint && *checkpoint ? checkpoint : NULL)};
     *list_more(dispatch->open->ends, dispatch->open->n_ends) =
         (struct run_ref){.job = run->job->spec.id, .task = run->task, .attempt = run->attempt};
 }
--- a/src/dispatch/leader_state.h
+++ b/src/dispatch/leader_state.h
@@ -59,7 +59,7 @@
     struct executor_state executor;
     int64_t cpu_reserved, memory_reserved, gpus_reserved;
     int64_t dirty;               /* orders are to be sent at the next flush */
-    int64_t slow_pct;            /* mean duration of runs in percent of that elsewhere */
+    int64_t duration_pct;        /* mean duration of runs in percent of that elsewhere */
     int64_t bad_pct;             /* mean share of runs that failed, stalled or were refused */
     int64_t quarantine_until_ms; /* gets no new work before, steady clock; 0: none */
     char **lost_incarnations;
@@ -163,7 +163,7 @@
 /* Index of the incarnation of this name, -1: nothing is placed on it. */
 int64_t incarnation_find(const struct dispatch *dispatch, const char *name);
 /* Proposes the end of a run; how: enum run_end; saved may be NULL. */
-void run_end(struct dispatch *dispatch, struct run *run, int64_t how, const char *saved);
+void run_end(struct dispatch *dispatch, struct run *run, int64_t how, const char *checkpoint);
 /* Marks a run to be stopped; the order is sent at the next flush. */
 void run_stop(struct dispatch *dispatch, struct run *run);
 /* If the row belongs to a gang, stops all runs of the gang. */
--- a/src/dispatch/leader_steps.c
+++ b/src/dispatch/leader_steps.c
@@ -17,8 +17,8 @@
 /* The step of a run, and its first row in the run's repetition. */
 static const struct step_spec *step_of_run(const struct run *run, int64_t *first)
 {
-    int64_t time, step, index;
-    job_place(run->job, run->no, &time, &step, &index);
+    int64_t repetition, step, index;
+    job_row_position(run->job, run->no, &repetition, &step, &index);
     *first = run->no - index;
     return &run->job->spec.steps[step];
 }
@@ -45,7 +45,8 @@
 {
     int64_t took_ms = world_ms(dispatch->world) - run->placed_ms;
     int away = spec->rack && (!view->executor.rack || strcmp(spec->rack, view->executor.rack) != 0);
-    return away && dispatch->settings.far_pct > 100 ? took_ms * 100 / dispatch->settings.far_pct : took_ms;
+    return away && dispatch->settings.remote_data_pct > 100 ? took_ms * 100 / dispatch->settings.remote_data_pct
+                                                            : took_ms;
 }
 
 void step_pace_learn(struct dispatch *dispatch, struct executor_view *view, const struct run *run)
@@ -53,7 +54,7 @@
     int64_t first;
     const struct step_spec *spec = step_of_run(run, &first);
     int64_t took_ms = run_took_ms(dispatch, view, spec, run);
-    if (took_ms <= 0 || spec->lasting || run->job->rows[run->no].saved || job_over(run->job))
+    if (took_ms <= 0 || spec->long_running || run->job->rows[run->no].checkpoint || job_over(run->job))
         return;
     struct step_progress *progress = progress_of(dispatch, run->job, first);
     int64_t n = progress->n_ended++, mean_ms = n ? progress->ended_ms / n : 0;
@@ -65,9 +66,9 @@
         pct = SLOW_PCT_MAX;
     int64_t typical_pct = dispatch->typical_pct > TYPICAL_PCT_MIN ? dispatch->typical_pct : TYPICAL_PCT_MIN;
     dispatch->typical_pct += (pct - dispatch->typical_pct) / TYPICAL_SHARE;
-    view->slow_pct += (pct * 100 / typical_pct - view->slow_pct) / PACE_SHARE;
-    if (view->slow_pct < SLOW_PCT_MIN)
-        view->slow_pct = SLOW_PCT_MIN;
+    view->duration_pct += (pct * 100 / typical_pct - view->duration_pct) / PACE_SHARE;
+    if (view->duration_pct < SLOW_PCT_MIN)
+        view->duration_pct = SLOW_PCT_MIN;
 }
 
 void step_end_pending(struct dispatch *dispatch, struct run *run)
--- a/src/dispatch/leader_watch.c
+++ b/src/dispatch/leader_watch.c
@@ -44,8 +44,8 @@
 
 static const struct step_spec *spec_of(const struct run *run)
 {
-    int64_t time, step, index;
-    job_place(run->job, run->no, &time, &step, &index);
+    int64_t repetition, step, index;
+    job_row_position(run->job, run->no, &repetition, &step, &index);
     return &run->job->spec.steps[step];
 }
 
@@ -74,7 +74,7 @@
         return;
     }
     /* not for lasting steps, whose percent has no meaning, and only while the executor answers */
-    if (!spec->lasting && run->started_ms && !view->executor.silent_ms && now_ms - run->seen_ms < FRESH_MS &&
+    if (!spec->long_running && run->started_ms && !view->executor.silent_ms && now_ms - run->seen_ms < FRESH_MS &&
         now_ms - run->percent_ms > stall_ms(dispatch) && run->percent >= 0) {
         executor_view_judge(dispatch, view, 1, 2);
         run_stop(dispatch, run);
@@ -121,7 +121,7 @@
     Pvoid_t *cell = JudyLFirst(dispatch->record->jobs, &id, PJE0);
     for (; cell; cell = JudyLNext(dispatch->record->jobs, &id, PJE0)) {
         const struct job *job = *cell;
-        if (!job_over(job) || job->rows || wall_ms - job->ended_ms < dispatch->settings.shown_ms + FORGET_MS)
+        if (!job_over(job) || job->rows || wall_ms - job->ended_ms < dispatch->settings.job_retention_ms + FORGET_MS)
             continue;
         if (!op)
             op = record_op_make_forget(dispatch_op(dispatch));
--- a/src/dispatch/messages.c
+++ b/src/dispatch/messages.c
@@ -5,11 +5,12 @@
 SCHEMA(run_ref_schema, run_ref, ref_fields);
 
 static const struct field active_fields[] = {INT(run_active, job), INT(run_active, task), INT(run_active, attempt),
-                                             INT(run_active, percent), STR(run_active, saved)};
+                                             INT(run_active, percent), STR_NAMED(run_active, checkpoint, "saved")};
 SCHEMA(run_active_schema, run_active, active_fields);
 
-static const struct field ended_fields[] = {INT(run_ended, seq),     INT(run_ended, job), INT(run_ended, task),
-                                            INT(run_ended, attempt), INT(run_ended, how), STR(run_ended, saved)};
+static const struct field ended_fields[] = {INT(run_ended, seq),  INT(run_ended, job),
+                                            INT(run_ended, task), INT(run_ended, attempt),
+                                            INT(run_ended, how),  STR_NAMED(run_ended, checkpoint, "saved")};
 SCHEMA(run_ended_schema, run_ended, ended_fields);
 
 static const struct field refused_fields[] = {INT(run_refused, job), INT(run_refused, task), INT(run_refused, attempt),
@@ -28,7 +29,7 @@
                                                INT_NAMED(executor_state, departure_ms, "departureMs"),
                                                INT_NAMED(executor_state, warmup_ms, "warmupMs"),
                                                INT_NAMED(executor_state, silent_ms, "silentMs"),
-                                               INT_NAMED(executor_state, over_ms, "overMs")};
+                                               INT_NAMED(executor_state, lease_left_ms, "overMs")};
 SCHEMA(executor_state_schema, executor_state, executor_fields);
 
 static const struct field report_fields[] = {
@@ -47,7 +48,7 @@
 SCHEMA(agent_report_schema, agent_report, report_fields);
 
 static const struct field start_fields[] = {INT(run_start, job), INT(run_start, task), INT(run_start, attempt),
-                                            STR(run_start, text), STR(run_start, saved)};
+                                            STR(run_start, text), STR_NAMED(run_start, checkpoint, "saved")};
 SCHEMA(run_start_schema, run_start, start_fields);
 
 static const struct field orders_fields[] = {
@@ -59,7 +60,7 @@
     STR_NAMED(agent_orders, incarnation, "life"),
     INT(agent_orders, seen),
     INT_NAMED(agent_orders, drain_seen, "drainSeen"),
-    INT_NAMED(agent_orders, pace_ms, "paceMs"),
+    INT_NAMED(agent_orders, poll_delay_ms, "paceMs"),
     LIST(agent_orders, starts, n_starts, run_start_schema),
     LIST(agent_orders, stops, n_stops, run_ref_schema),
     LIST_NAMED(agent_orders, ends_seen, "endsSeen", n_ends_seen, run_ref_schema),
--- a/src/dispatch/messages.h
+++ b/src/dispatch/messages.h
@@ -16,20 +16,28 @@
     END_STOPPED, /* by an order */
     END_LAPSED,  /* its lease ran out */
     END_BROKEN,
-    END_ALONE, /* a gang member whose gang did not come together in time */
-    END_ABSENT /* it never ran there and, proven by a stop, never will */
+    END_GANG_TIMEOUT, /* a gang member whose gang did not come together in time */
+    END_NEVER_RAN     /* it never ran there and, proven by a stop, never will */
 };
 /* Why an executor refused a call. EPOCH: it knows a higher epoch; OLD: the attempt is outdated there; LATE: the call
  * came too late; BAD: a bad request; SICK: overloaded or unavailable. */
-enum start_refusal { REFUSED_NOT, REFUSED_EPOCH, REFUSED_OLD, REFUSED_LATE, REFUSED_ROOM, REFUSED_BAD, REFUSED_SICK };
+enum start_refusal {
+    REFUSED_NONE,
+    REFUSED_STALE_EPOCH,
+    REFUSED_OUTDATED,
+    REFUSED_LATE,
+    REFUSED_NO_CAPACITY,
+    REFUSED_BAD_REQUEST,
+    REFUSED_UNAVAILABLE
+};
 
 /* A task of a job in one number: its repetition (time), step and index within the step. */
 enum { TASK_INDEX_BITS = 24, TASK_STEP_BITS = 8 };
-static inline int64_t task_of(int64_t time, int64_t step, int64_t index)
+static inline int64_t task_of(int64_t repetition, int64_t step, int64_t index)
 {
-    return (time << (TASK_INDEX_BITS + TASK_STEP_BITS)) | (step << TASK_INDEX_BITS) | index;
+    return (repetition << (TASK_INDEX_BITS + TASK_STEP_BITS)) | (step << TASK_INDEX_BITS) | index;
 }
-static inline int64_t task_time(int64_t task) { return task >> (TASK_INDEX_BITS + TASK_STEP_BITS); }
+static inline int64_t task_repetition(int64_t task) { return task >> (TASK_INDEX_BITS + TASK_STEP_BITS); }
 static inline int64_t task_step(int64_t task) { return (task >> TASK_INDEX_BITS) & ((1 << TASK_STEP_BITS) - 1); }
 static inline int64_t task_index(int64_t task) { return task & ((1 << TASK_INDEX_BITS) - 1); }
 
@@ -40,13 +48,13 @@
 /* A run that executes. percent: its progress; saved: its newest checkpoint or NULL. */
 struct run_active {
     int64_t job, task, attempt, percent;
-    char *saved;
+    char *checkpoint;
 };
-/* A run that ended. seq: the executor's number of the end, rising within an incarnation; 0 for END_ABSENT, which
+/* A run that ended. seq: the executor's number of the end, rising within an incarnation; 0 for END_NEVER_RAN, which
  * comes from the agent itself; how: enum run_end. */
 struct run_ended {
     int64_t seq, job, task, attempt, how;
-    char *saved;
+    char *checkpoint;
 };
 /* A start that the executor refused. reason: enum start_refusal. */
 struct run_refused {
@@ -61,8 +69,8 @@
     int64_t cpu_milli, memory_mb, gpus; /* what it has in all */
     int64_t draining, departure_ms;     /* departure_ms: least time left; 0: unknown */
     int64_t warmup_ms;
-    int64_t silent_ms; /* since it last answered a call; 0: it answers */
-    int64_t over_ms;   /* all runs on it lapse within so many ms unless their lease is renewed */
+    int64_t silent_ms;     /* since it last answered a call; 0: it answers */
+    int64_t lease_left_ms; /* all runs on it lapse within so many ms unless their lease is renewed */
 };
 
 /* Agent to leader, every REPORT_MS and whenever there is something new. present 0: no incarnation is known.
@@ -88,7 +96,7 @@
 /* An order to start a run. text: the job's; saved: the checkpoint to resume from, or NULL. */
 struct run_start {
     int64_t job, task, attempt;
-    char *text, *saved;
+    char *text, *checkpoint;
 };
 
 /* Leader to agent, in answer to each report and whenever there is something new.
@@ -98,14 +106,14 @@
     int64_t epoch, stamp_ms, lease_ms, leader;
     int64_t number; /* rises within an epoch; orders with a lower number than the newest taken are dropped */
     char *incarnation;
-    int64_t seen;       /* ends up to this seq are committed */
-    int64_t pace_ms;    /* delay of the next poll after one with ends, so that several come in one; 0: the default */
-    int64_t drain_seen; /* the leader knows that it drains: no more starts follow */
+    int64_t seen;          /* ends up to this seq are committed */
+    int64_t poll_delay_ms; /* delay of the next poll after one with ends, so that several come in one; 0: the default */
+    int64_t drain_seen;    /* the leader knows that it drains: no more starts follow */
     struct run_start *starts;
     int64_t n_starts;
     struct run_ref *stops;
     int64_t n_stops;
-    struct run_ref *ends_seen; /* acknowledges END_ABSENT ends and refusals */
+    struct run_ref *ends_seen; /* acknowledges END_NEVER_RAN ends and refusals */
     int64_t n_ends_seen;
     char **incarnations_seen;
     int64_t n_incarnations_seen;
--- a/src/dispatch/plan.c
+++ b/src/dispatch/plan.c
@@ -15,13 +15,14 @@
                           int64_t candidate)
 {
     plan_take(plan->round, candidate, entry_step(entry));
-    plan->places = plan_array_reserve(plan->places, &plan->round->cap_places, plan->n + 1, sizeof *plan->places);
-    plan->places[plan->n++] = (struct placement){.job = entry->job,
-                                                 .time = entry->time,
-                                                 .step = entry->step,
-                                                 .no = no,
-                                                 .attempt = attempt,
-                                                 .candidate = candidate};
+    plan->placements =
+        plan_array_reserve(plan->placements, &plan->round->cap_places, plan->n + 1, sizeof *plan->placements);
+    plan->placements[plan->n++] = (struct placement){.job = entry->job,
+                                                     .repetition = entry->repetition,
+                                                     .step = entry->step,
+                                                     .no = no,
+                                                     .attempt = attempt,
+                                                     .candidate = candidate};
 }
 
 /* Places all members or none; they are alike, so room for as many in total is enough. */
@@ -46,11 +47,11 @@
     return round->n_rows;
 }
 
-static int64_t place_tasks(struct plan *plan, const struct plan_entry *entry, int64_t most)
+static int64_t place_tasks(struct plan *plan, const struct plan_entry *entry, int64_t max_placements)
 {
     struct plan_round *round = plan->round;
     int64_t n = 0;
-    for (; n < round->n_rows && n < most; n++) {
+    for (; n < round->n_rows && n < max_placements; n++) {
         int64_t candidate = plan_choose(round, entry_step(entry), NULL);
         if (candidate < 0)
             break;
@@ -71,7 +72,7 @@
 static void blocked_add(struct plan *plan, const struct plan_entry *entry, int64_t n)
 {
     struct plan_round *round = plan->round;
-    int64_t priority = JOB_RULED(round->in->record, entry->job, priority);
+    int64_t priority = JOB_EFFECTIVE_RULE(round->in->record, entry->job, priority);
     plan->blocked += n;
     plan->blocked_cpu_milli[entry->job->queue] += n * entry_step(entry)->cpu_milli;
     if (priority < plan->blocked_priority) {
@@ -88,17 +89,17 @@
 
 /* How many tasks may be placed so that keep_free stays free for more urgent queues. It does not apply while half of the
  * service is free, or to work that would be late otherwise. */
-static int64_t placeable_max(const struct plan_round *round, const struct plan_entry *entry, int64_t most)
+static int64_t placeable_max(const struct plan_round *round, const struct plan_entry *entry, int64_t max_placements)
 {
     const struct plan_service *service = &round->services[entry->service];
     const struct step_spec *step = entry_step(entry);
     int64_t keep = round->in->keep_free ? round->in->keep_free[entry->job->queue] : 0;
     if (keep <= 0 || entry->spare_ms <= 0 || service->free_cpu * 2 > service->total_cpu || !step->cpu_milli)
-        return most;
+        return max_placements;
     int64_t n = (service->free_cpu - keep) / step->cpu_milli;
     if (n < 0 || (step->gang && n < step->task_count))
         return 0;
-    return n < most ? n : most;
+    return n < max_placements ? n : max_placements;
 }
 
 /* Places as much of one entry as there is room for. Returns 0 where the round is full. */
@@ -106,37 +107,37 @@
 {
     struct plan_round *round = plan->round;
     const struct step_spec *step = entry_step(entry);
-    int64_t waiting = entry->job->waiting[entry->time * entry->job->spec.n_steps + entry->step];
-    int64_t most = round->in->most - plan->n, n = 0;
-    if (most <= 0)
+    int64_t waiting = entry->job->waiting[entry->repetition * entry->job->spec.n_steps + entry->step];
+    int64_t max_placements = round->in->max_placements - plan->n, n = 0;
+    if (max_placements <= 0)
         return 0;
-    most = turns_room(round, entry, most);
-    if (!most)
+    max_placements = outlet_placement_limit(round, entry, max_placements);
+    if (!max_placements)
         return 1;
     /* where it cannot fit, one row is enough to find that it is blocked */
     int full = entry->service < 0 || plan_surely_full(round, entry);
-    if (!plan_gather(round, entry, full ? 1 : most))
+    if (!plan_gather(round, entry, full ? 1 : max_placements))
         return 1;
     if (entry->service >= 0) {
-        int64_t kept = placeable_max(round, entry, most);
+        int64_t kept = placeable_max(round, entry, max_placements);
         if (!kept)
             return 1;
-        most = kept < most && !step->gang ? kept : most;
+        max_placements = kept < max_placements && !step->gang ? kept : max_placements;
         const struct plan_service *service = &round->services[entry->service];
         round->respect_holds = !(service->reserved && !entry->job->n_placed &&
                                  service->free_cpu * 2 > service->total_cpu && plan_waited_ms(round, entry) > IDLE_MS);
         if (!plan_surely_full(round, entry)) {
-            if (step->gang && step->task_count > most && plan->n)
+            if (step->gang && step->task_count > max_placements && plan->n)
                 return 0;
             plan_judge(round, entry);
-            n = step->gang ? place_gang(plan, entry) : place_tasks(plan, entry, most);
-            if (n < round->n_rows && n < most)
+            n = step->gang ? place_gang(plan, entry) : place_tasks(plan, entry, max_placements);
+            if (n < round->n_rows && n < max_placements)
                 failed_add(round, entry);
         }
         round->respect_holds = 1;
     }
-    turns_placed(round, entry, n);
-    if (n < round->n_rows && n < most)
+    outlet_count_placed(round, entry, n);
+    if (n < round->n_rows && n < max_placements)
         blocked_add(plan, entry, waiting - round->n_busy - n);
     return 1;
 }
@@ -167,7 +168,7 @@
     if (plan->round)
         plan_round_free(plan->round);
     free(plan->round);
-    free(plan->places);
+    free(plan->placements);
     free(plan->blocked_cpu_milli);
-    *plan = (struct plan){.places = NULL};
+    *plan = (struct plan){.placements = NULL};
 }
--- a/src/dispatch/plan.h
+++ b/src/dispatch/plan.h
@@ -13,16 +13,16 @@
     int64_t n_labels;
     int64_t agent, incarnation_no; /* incarnation_no: index into record->incarnations, -1: none yet */
     int64_t cpu_milli, memory_mb, gpus, cpu_free, memory_free, gpus_free;
-    int64_t open;       /* takes new work: ready, not draining, not quarantined */
-    int64_t departs_ms; /* steady clock at which it is gone; INT64_MAX: it stays */
-    int64_t slow_pct;   /* duration of work there in percent of that elsewhere */
-    int64_t failures;   /* recent failures and refusals, decayed; makes it less preferred */
+    int64_t open;         /* takes new work: ready, not draining, not quarantined */
+    int64_t departs_ms;   /* steady clock at which it is gone; INT64_MAX: it stays */
+    int64_t duration_pct; /* duration of work there in percent of that elsewhere */
+    int64_t failures;     /* recent failures and refusals, decayed; makes it less preferred */
 };
 
 /* One task placed on a candidate (its index); a gang has one for each member. */
 struct placement {
     struct job *job;
-    int64_t time, step;
+    int64_t repetition, step;
     int64_t no; /* index of its row */
     int64_t attempt;
     int64_t candidate;
@@ -33,8 +33,8 @@
     struct candidate *candidates;
     int64_t n_candidates;
     int64_t now_ms, wall_ms, early_ms; /* steady clock; time of day; allowance to begin early */
-    int64_t far_pct;                   /* duration of work away from its data in percent, say 150 */
-    int64_t most;                      /* at most so many placements in one round */
+    int64_t remote_data_pct;           /* duration of work away from its data in percent, say 150 */
+    int64_t max_placements;            /* at most so many placements in one round */
     /* by queue: thousandths of a core of its service to leave free for more urgent queues
      * while its own work has time to spare; NULL: none */
     const int64_t *keep_free;
@@ -51,7 +51,7 @@
  * placed alone, at the start of a round. */
 struct plan {
     struct plan_round *round; /* internal */
-    struct placement *places;
+    struct placement *placements;
     int64_t n;
     int64_t next_due_ms;        /* time of day at which the next repetition may begin; INT64_MAX: none */
     int64_t blocked;            /* tasks ready to start that found no room */
@@ -73,5 +73,5 @@
 /* Chooses placed rows to preempt so that the most urgent blocked tasks find room: rows of less urgent queues only,
  * those that lose the fewest core-milliseconds first, with a discount for steps that checkpoint. Fills at most `most`
  * victims, in no order, and returns their number. busy() must already report the rows that plan_make() has placed. */
-int64_t plan_victims(const struct plan_input *input, struct victim *victims, int64_t most);
+int64_t plan_victims(const struct plan_input *input, struct victim *victims, int64_t max_placements);
 #endif
--- a/src/dispatch/plan_candidate.c
+++ b/src/dispatch/plan_candidate.c
@@ -77,12 +77,12 @@
     }
     if (!fits(step, candidate->cpu_milli, candidate->memory_mb, candidate->gpus))
         return -1;
-    int64_t pct = candidate->slow_pct > 0 ? candidate->slow_pct : 100;
-    if (step->rack && !plan_same(step->rack, candidate->rack) && round->in->far_pct > 100)
-        pct = pct * round->in->far_pct / 100;
+    int64_t pct = candidate->duration_pct > 0 ? candidate->duration_pct : 100;
+    if (step->rack && !plan_same(step->rack, candidate->rack) && round->in->remote_data_pct > 100)
+        pct = pct * round->in->remote_data_pct / 100;
     int64_t estimate_ms = step->estimate_ms ? step->estimate_ms : GUESS_MS;
     int64_t left_ms = candidate->departs_ms - round->in->now_ms, need_ms = estimate_ms * pct / 100;
-    int early = candidate->departs_ms != INT64_MAX && (step->lasting || left_ms < need_ms);
+    int early = candidate->departs_ms != INT64_MAX && (step->long_running || left_ms < need_ms);
     if (early && left_ms < need_ms / 2) {
         round->only_room = 0;
         return -1;
@@ -104,7 +104,7 @@
     }
     if (!step->per_executor)
         return;
-    int64_t first = entry->time * job->tasks + job->first[entry->step];
+    int64_t first = entry->repetition * job->tasks + job->first[entry->step];
     for (int64_t no = first; no < first + step->task_count; no++) {
         const struct row *row = &job->rows[no];
         if (row->state == ROW_PLACED && row->incarnation >= 0 && row->incarnation < round->in->record->n_incarnations &&
@@ -138,7 +138,7 @@
 
 int64_t plan_choose(const struct plan_round *round, const struct step_spec *step, const char *rack)
 {
-    int spread = !step->gang && !step->lasting && step->estimate_ms < SHORT_MS;
+    int spread = !step->gang && !step->long_running && step->estimate_ms < SHORT_MS;
     int64_t best = -1, best_cost = 0, best_rest = 0;
     for (int64_t i = 0; i < round->in->n_candidates; i++) {
         const struct candidate *candidate = &round->in->candidates[i];
--- a/src/dispatch/plan_round.c
+++ b/src/dispatch/plan_round.c
@@ -83,24 +83,26 @@
         }
         longest = rest[s] > longest ? rest[s] : longest;
     }
-    int64_t aim_ms = longest * JOB_RULED(record, job, stretch_pct) / 100 + JOB_RULED(record, job, target_ms);
+    int64_t aim_ms =
+        longest * JOB_EFFECTIVE_RULE(record, job, stretch_pct) / 100 + JOB_EFFECTIVE_RULE(record, job, target_ms);
     return aim_ms > 0 ? aim_ms : 1;
 }
 
-static void entry_add(struct plan_round *round, struct job *job, int64_t time, int64_t step, int64_t aim_ms,
+static void entry_add(struct plan_round *round, struct job *job, int64_t repetition, int64_t step, int64_t aim_ms,
                       int64_t rest_ms)
 {
     const struct record *record = round->in->record;
-    int64_t due_ms = job_due_ms(job, time), wall_ms = round->in->wall_ms;
+    int64_t due_ms = job_due_ms(job, repetition), wall_ms = round->in->wall_ms;
     int64_t since_ms = due_ms > job->accepted_ms ? due_ms : job->accepted_ms;
-    int64_t priority = JOB_RULED(record, job, priority);
+    int64_t priority = JOB_EFFECTIVE_RULE(record, job, priority);
     round->entries =
         plan_array_reserve(round->entries, &round->cap_entries, round->n_entries + 1, sizeof *round->entries);
     struct plan_entry *entry = &round->entries[round->n_entries++];
-    *entry = (struct plan_entry){.job = job, .time = time, .step = step, .service = round->queue_service[job->queue]};
-    if (job->spec.steps[step].lasting) {
+    *entry = (struct plan_entry){
+        .job = job, .repetition = repetition, .step = step, .service = round->queue_service[job->queue]};
+    if (job->spec.steps[step].long_running) {
         /* earns by its time running, however old it is: only its present wait counts */
-        int64_t first = time * job->tasks + job->first[step];
+        int64_t first = repetition * job->tasks + job->first[step];
         for (int64_t no = first; no < first + job->spec.steps[step].task_count; no++)
             if (job->rows[no].state == ROW_WAITING) {
                 since_ms = job->rows[no].since_ms;
@@ -108,15 +110,15 @@
             }
     }
     if (job->rules)
-        since_ms = turns_since_ms(round, job, since_ms);
+        since_ms = outlet_wait_start_ms(round, job, since_ms);
     int64_t age_ms = wall_ms > since_ms ? wall_ms - since_ms : 0;
     int64_t risen = age_ms / (AGEING_AIMS * aim_ms);
     entry->since_ms = since_ms;
-    entry->waiting_cpu_milli = job->waiting[time * job->spec.n_steps + step] * job->spec.steps[step].cpu_milli;
+    entry->waiting_cpu_milli = job->waiting[repetition * job->spec.n_steps + step] * job->spec.steps[step].cpu_milli;
     entry->urgency = (int32_t)(priority > risen ? priority - risen : 0);
     entry->spare_ms = aim_ms - age_ms - 2 * job->spec.steps[step].estimate_ms;
     entry->slack_ms = aim_ms - age_ms - rest_ms * REST_PCT / 100;
-    if (!job->spec.steps[step].lasting)
+    if (!job->spec.steps[step].long_running)
         entry->lateness = age_ms > HOPELESS_AIMS * aim_ms ? HOPELESS : entry->slack_ms < 0 ? LATE : IN_TIME;
 }
 
@@ -136,25 +138,25 @@
         return left->since_ms < right->since_ms ? -1 : 1;
     if (left->job->index != right->job->index)
         return left->job->index < right->job->index ? -1 : 1;
-    if (left->time != right->time)
-        return left->time < right->time ? -1 : 1;
+    if (left->repetition != right->repetition)
+        return left->repetition < right->repetition ? -1 : 1;
     return left->step < right->step ? -1 : left->step > right->step;
 }
 
-static int64_t job_begins_ms(const struct plan_input *in, const struct job *job, int64_t time)
+static int64_t job_begins_ms(const struct plan_input *in, const struct job *job, int64_t repetition)
 {
-    int64_t due_ms = job_due_ms(job, time);
+    int64_t due_ms = job_due_ms(job, repetition);
     return due_ms ? due_ms - in->early_ms * EARLY_PCT / 100 : 0;
 }
 
 /* Whether a step may be placed: all before it are done, or will be by what is committed ahead of this round. */
-static int step_begins(const struct plan_input *in, const struct job *job, int64_t time, int64_t step)
+static int step_begins(const struct plan_input *in, const struct job *job, int64_t repetition, int64_t step)
 {
     const struct step_spec *spec = &job->spec.steps[step];
     for (int64_t i = 0; i < spec->n_depends_on; i++) {
-        int64_t before = spec->depends_on[i], left = job->left[time * job->spec.n_steps + before];
+        int64_t before = spec->depends_on[i], left = job->left[repetition * job->spec.n_steps + before];
         if (left &&
-            (!in->ends_pending || left > in->ends_pending(in->arg, job, time * job->tasks + job->first[before])))
+            (!in->ends_pending || left > in->ends_pending(in->arg, job, repetition * job->tasks + job->first[before])))
             return 0;
     }
     return 1;
@@ -166,27 +168,27 @@
     round->n_entries = 0;
     *next_due_ms = INT64_MAX;
     candidates_begin(round);
-    turns_begin(round);
+    outlet_limits_begin(round);
     for (struct job *job = in->record->oldest; job; job = job->next) {
         int64_t aim_ms = 0, rest[STEPS_MAX];
-        if (job->rules && !turns_may_begin(round, job, job_begins_ms(in, job, 0) <= in->wall_ms))
+        if (job->rules && !outlet_job_may_start(round, job, job_begins_ms(in, job, 0) <= in->wall_ms))
             continue; /* by its outlet's rules others go first */
         if (job_over(job))
             continue; /* still live only until its runs have ended */
-        for (int64_t time = 0; job->rows && time < job->times; time++) {
-            int64_t begin_ms = job_begins_ms(in, job, time);
+        for (int64_t repetition = 0; job->rows && repetition < job->repetitions; repetition++) {
+            int64_t begin_ms = job_begins_ms(in, job, repetition);
             if (begin_ms > in->wall_ms) {
                 if (begin_ms < *next_due_ms)
                     *next_due_ms = begin_ms;
                 break;
             }
-            if (job->rules && !turns_open(round, job, time, next_due_ms))
+            if (job->rules && !outlet_hours_open(round, job, repetition, next_due_ms))
                 continue;
             for (int64_t step = 0; step < job->spec.n_steps; step++) {
-                if (job->waiting[time * job->spec.n_steps + step] <= 0 || !step_begins(in, job, time, step))
+                if (job->waiting[repetition * job->spec.n_steps + step] <= 0 || !step_begins(in, job, repetition, step))
                     continue;
                 aim_ms = aim_ms ? aim_ms : job_aim_ms(in->record, job, rest);
-                entry_add(round, job, time, step, aim_ms, rest[step]);
+                entry_add(round, job, repetition, step, aim_ms, rest[step]);
             }
         }
     }
@@ -203,16 +205,16 @@
     free(round->incarnation_candidate);
     free(round->rows);
     free(round->outlet_runs);
-    turns_free(round);
+    outlet_limits_free(round);
     *round = (struct plan_round){.in = NULL};
 }
 
-int plan_gather(struct plan_round *round, const struct plan_entry *entry, int64_t most)
+int plan_gather(struct plan_round *round, const struct plan_entry *entry, int64_t max_placements)
 {
     const struct step_spec *step = entry_step(entry);
     const struct job *job = entry->job;
-    int64_t first = entry->time * job->tasks + job->first[entry->step];
-    int64_t waiting = job->waiting[entry->time * job->spec.n_steps + entry->step];
+    int64_t first = entry->repetition * job->tasks + job->first[entry->step];
+    int64_t waiting = job->waiting[entry->repetition * job->spec.n_steps + entry->step];
     /* where rows in progress are placed is not known here: such steps wait until the record has them */
     int whole = step->gang || step->per_executor;
     round->n_rows = round->n_busy = 0;
@@ -227,7 +229,7 @@
                 return 0;
             continue;
         }
-        if (round->n_rows >= most && !whole)
+        if (round->n_rows >= max_placements && !whole)
             break;
         round->rows = plan_array_reserve(round->rows, &round->cap_rows, round->n_rows + 1, sizeof *round->rows);
         round->rows[round->n_rows++] = no;
@@ -238,8 +240,8 @@
 int64_t plan_waited_ms(const struct plan_round *round, const struct plan_entry *entry)
 {
     const struct job *job = entry->job;
-    int64_t base = entry->time * job->tasks;
-    int64_t since_ms = job->rows[base + job->first[entry->step]].since_ms, due_ms = job_due_ms(job, entry->time);
+    int64_t base = entry->repetition * job->tasks;
+    int64_t since_ms = job->rows[base + job->first[entry->step]].since_ms, due_ms = job_due_ms(job, entry->repetition);
     const struct step_spec *step = entry_step(entry);
     if (round->n_rows)
         since_ms = job->rows[round->rows[0]].since_ms;
--- a/src/dispatch/plan_round.h
+++ b/src/dispatch/plan_round.h
@@ -9,7 +9,7 @@
 /* A step of one repetition that is ready to start and has WAITING rows. */
 struct plan_entry {
     struct job *job;
-    int64_t time, step;
+    int64_t repetition, step;
     int64_t since_ms;          /* ready since, time of day; the older goes first */
     int32_t urgency;           /* the queue's priority less its ageing; 0 goes first */
     int64_t spare_ms;          /* time left until it must begin to be in time, by its estimates */
@@ -65,7 +65,7 @@
 /* Frees all arrays and zeroes the round. */
 void plan_round_free(struct plan_round *round);
 /* Fills round->rows with the rows to place, at most `most`; returns 0: none, or not now. */
-int plan_gather(struct plan_round *round, const struct plan_entry *entry, int64_t most);
+int plan_gather(struct plan_round *round, const struct plan_entry *entry, int64_t max_placements);
 /* How long the entry has been ready to start, in ms. */
 int64_t plan_waited_ms(const struct plan_round *round, const struct plan_entry *entry);
 /* The step that an entry stands for. */
@@ -74,23 +74,23 @@
     return &entry->job->spec.steps[entry->step];
 }
 
-/* rules/turns.c: order and limits of an outlet's jobs. turns_may_begin(), turns_open() and
- * turns_since_ms() are for jobs that belong to an outlet only. */
-void turns_begin(struct plan_round *round);
+/* rules/turns.c: order and limits of an outlet's jobs. outlet_job_may_start(), outlet_hours_open() and
+ * outlet_wait_start_ms() are for jobs that belong to an outlet only. */
+void outlet_limits_begin(struct plan_round *round);
 /* Whether the job may begin or go on. To be called once for each live job, in order of acceptance; due: its first
  * repetition is due. */
-int turns_may_begin(struct plan_round *round, const struct job *job, int due);
+int outlet_job_may_start(struct plan_round *round, const struct job *job, int due);
 /* Whether a repetition may be placed: it has begun, or the outlet's hours are open; else lowers next_due_ms to the
  * next opening. */
-int turns_open(const struct plan_round *round, const struct job *job, int64_t time, int64_t *next_due_ms);
+int outlet_hours_open(const struct plan_round *round, const struct job *job, int64_t repetition, int64_t *next_due_ms);
 /* since_ms, but not before the newest opening of the hours. */
-int64_t turns_since_ms(const struct plan_round *round, const struct job *job, int64_t since_ms);
+int64_t outlet_wait_start_ms(const struct plan_round *round, const struct job *job, int64_t since_ms);
 /* How many tasks of the entry may be placed now under its outlet's limit, up to `most`; 0: none, or not the whole
  * gang. */
-int64_t turns_room(const struct plan_round *round, const struct plan_entry *entry, int64_t most);
+int64_t outlet_placement_limit(const struct plan_round *round, const struct plan_entry *entry, int64_t max_placements);
 /* Counts n placed tasks of the entry. */
-void turns_placed(struct plan_round *round, const struct plan_entry *entry, int64_t n);
-void turns_free(struct plan_round *round);
+void outlet_count_placed(struct plan_round *round, const struct plan_entry *entry, int64_t n);
+void outlet_limits_free(struct plan_round *round);
 
 /* plan_candidate.c */
 /* Fills cost and used of all candidates for the entry's step. */
--- a/src/dispatch/plan_victims.c
+++ b/src/dispatch/plan_victims.c
@@ -71,7 +71,7 @@
         loss /= SAVED_SHARE;
     if (step->gang)
         loss *= step->task_count;
-    return (loss + 1) * (step->lasting ? LASTING_LOSS : 1);
+    return (loss + 1) * (step->long_running ? LASTING_LOSS : 1);
 }
 
 static void room_add(struct plan_candidate *candidate, const struct step_spec *step, int64_t sign)
@@ -87,13 +87,13 @@
     struct plan_round *round = search->round;
     const struct record *record = round->in->record;
     for (struct job *job = record->oldest; job; job = job->next) {
-        for (int64_t no = 0; job->rows && job->n_placed && no < job->times * job->tasks; no++) {
+        for (int64_t no = 0; job->rows && job->n_placed && no < job->repetitions * job->tasks; no++) {
             const struct row *row = &job->rows[no];
-            int64_t time, step, index;
+            int64_t repetition, step, index;
             if (row->state != ROW_PLACED || row->incarnation < 0 || row->incarnation >= record->n_incarnations ||
                 round->incarnation_candidate[row->incarnation] < 0)
                 continue;
-            job_place(job, no, &time, &step, &index);
+            job_row_position(job, no, &repetition, &step, &index);
             struct victim_option option = {.job = job,
                                            .step = &job->spec.steps[step],
                                            .no = no,
@@ -103,8 +103,8 @@
                 continue;
             }
             option.loss = loss_of(round, option.step, row);
-            if (JOB_RULED(record, job, priority) > search->least_urgent)
-                search->least_urgent = JOB_RULED(record, job, priority);
+            if (JOB_EFFECTIVE_RULE(record, job, priority) > search->least_urgent)
+                search->least_urgent = JOB_EFFECTIVE_RULE(record, job, priority);
             option.gang = option.step->gang ? no - index : -1;
             if (search->n == search->cap) {
                 search->cap = search->cap * 2 + 64;
@@ -131,7 +131,7 @@
 static int may_stop(const struct search *search, const struct victim_option *option, int64_t priority, int gangs)
 {
     return !option->chosen && (gangs || option->gang < 0) &&
-           JOB_RULED(search->round->in->record, option->job, priority) > priority;
+           JOB_EFFECTIVE_RULE(search->round->in->record, option->job, priority) > priority;
 }
 
 /* Chooses (sign 1) a row with its whole gang, or gives it back (-1). Returns the number of rows. */
@@ -155,7 +155,7 @@
                                int keep)
 {
     const struct step_spec *step = entry_step(entry);
-    int64_t priority = JOB_RULED(search->round->in->record, entry->job, priority);
+    int64_t priority = JOB_EFFECTIVE_RULE(search->round->in->record, entry->job, priority);
     int64_t want = plan_candidate_holds(search->round, candidate, step, 0) + 1, loss = 0, n = 0, n_taken = 0,
             enough = 0;
     struct victim_option *taken[64];
@@ -243,10 +243,10 @@
     }
 }
 
-int64_t plan_victims(const struct plan_input *input, struct victim *victims, int64_t most)
+int64_t plan_victims(const struct plan_input *input, struct victim *victims, int64_t max_placements)
 {
     struct plan_round round = {.in = input};
-    struct search search = {.round = &round, .left = most};
+    struct search search = {.round = &round, .left = max_placements};
     int64_t next_due_ms, n = 0, tried = 0;
     plan_round_begin(&round, input, &next_due_ms);
     for (int64_t i = 0; i < input->n_candidates; i++)
@@ -260,9 +260,9 @@
         const struct plan_entry *entry = &round.entries[i];
         const struct step_spec *step = entry_step(entry);
         if (entry->service < 0 || entry->lateness == HOPELESS ||
-            JOB_RULED(input->record, entry->job, priority) >= search.least_urgent)
+            JOB_EFFECTIVE_RULE(input->record, entry->job, priority) >= search.least_urgent)
             continue;
-        int64_t room = turns_room(&round, entry, most);
+        int64_t room = outlet_placement_limit(&round, entry, max_placements);
         if (!room || !plan_gather(&round, entry, room))
             continue;
         round.n_rows = round.n_rows > room && !step->gang ? room : round.n_rows;
@@ -273,7 +273,7 @@
         if (entry_clear(&search, entry, rack, 0) || entry_clear(&search, entry, rack, 1))
             victims_settle(&search, entry, rack);
     }
-    for (int64_t i = 0; i < search.n && n < most; i++)
+    for (int64_t i = 0; i < search.n && n < max_placements; i++)
         if (search.items[i].chosen)
             victims[n++] = (struct victim){.job = search.items[i].job, .no = search.items[i].no};
     free(search.items);
--- a/src/dispatch/record.c
+++ b/src/dispatch/record.c
@@ -11,44 +11,44 @@
 
 int job_over(const struct job *job) { return job->state >= JOB_DONE; }
 
-void job_place(const struct job *job, int64_t no, int64_t *time, int64_t *step, int64_t *index)
+void job_row_position(const struct job *job, int64_t no, int64_t *repetition, int64_t *step, int64_t *index)
 {
     int64_t rest = no % job->tasks, s = job->spec.n_steps - 1;
     while (job->first[s] > rest)
         s--;
-    *time = no / job->tasks;
+    *repetition = no / job->tasks;
     *step = s;
     *index = rest - job->first[s];
 }
 
-int job_step_begins(const struct job *job, int64_t time, int64_t step)
+int job_step_begins(const struct job *job, int64_t repetition, int64_t step)
 {
     const struct step_spec *spec = &job->spec.steps[step];
     for (int64_t i = 0; i < spec->n_depends_on; i++)
-        if (job->left[time * job->spec.n_steps + spec->depends_on[i]])
+        if (job->left[repetition * job->spec.n_steps + spec->depends_on[i]])
             return 0;
     return 1;
 }
 
-int64_t job_due_ms(const struct job *job, int64_t time)
+int64_t job_due_ms(const struct job *job, int64_t repetition)
 {
-    return job->spec.repeats > 0 ? job->spec.start_ms + time * job->spec.interval_ms : 0;
+    return job->spec.repeats > 0 ? job->spec.start_ms + repetition * job->spec.interval_ms : 0;
 }
 
 int64_t job_row(const struct job *job, int64_t task)
 {
-    int64_t time = task_time(task), step = task_step(task), index = task_index(task);
-    if (!job->rows || task < 0 || time >= job->times || step >= job->spec.n_steps ||
+    int64_t repetition = task_repetition(task), step = task_step(task), index = task_index(task);
+    if (!job->rows || task < 0 || repetition >= job->repetitions || step >= job->spec.n_steps ||
         index >= job->spec.steps[step].task_count)
         return -1;
-    return time * job->tasks + job->first[step] + index;
+    return repetition * job->tasks + job->first[step] + index;
 }
 
 int64_t job_task(const struct job *job, int64_t no)
 {
-    int64_t time, step, index;
-    job_place(job, no, &time, &step, &index);
-    return task_of(time, step, index);
+    int64_t repetition, step, index;
+    job_row_position(job, no, &repetition, &step, &index);
+    return task_of(repetition, step, index);
 }
 
 uint64_t job_hash(const struct job_spec *spec, const char *queue)
@@ -66,8 +66,8 @@
 {
     int64_t steps = job->spec.n_steps, n;
     job->tasks = job_spec_tasks(&job->spec);
-    job->times = job_spec_times(&job->spec);
-    n = job->times * steps;
+    job->repetitions = job_spec_repetitions(&job->spec);
+    n = job->repetitions * steps;
     job->first = must_alloc(sizeof(int64_t) * (size_t)(steps + 3 * n));
     job->left = job->first + steps;
     job->waiting = job->left + n;
@@ -76,15 +76,15 @@
         job->first[s] = job->first[s - 1] + job->spec.steps[s - 1].task_count;
     for (int64_t i = 0; i < n; i++)
         job->left[i] = job->waiting[i] = job->spec.steps[i % steps].task_count;
-    job->rows = must_alloc(sizeof *job->rows * (size_t)(job->times * job->tasks));
-    for (int64_t no = 0; no < job->times * job->tasks; no++)
+    job->rows = must_alloc(sizeof *job->rows * (size_t)(job->repetitions * job->tasks));
+    for (int64_t no = 0; no < job->repetitions * job->tasks; no++)
         job->rows[no] = (struct row){.state = ROW_WAITING, .incarnation = -1, .since_ms = job->accepted_ms};
 }
 
 void job_close(struct job *job)
 {
-    for (int64_t no = 0; job->rows && no < job->times * job->tasks; no++)
-        free(job->rows[no].saved);
+    for (int64_t no = 0; job->rows && no < job->repetitions * job->tasks; no++)
+        free(job->rows[no].checkpoint);
     free(job->rows);
     free(job->first);
     job->rows = NULL;
--- a/src/dispatch/record.h
+++ b/src/dispatch/record.h
@@ -17,7 +17,7 @@
  * same) or NULL, as in all DONE rows. */
 struct row {
     int32_t state, failures, attempt, incarnation;
-    char *saved;
+    char *checkpoint;
     int64_t since_ms; /* when it came to this state, time of day */
 };
 
@@ -29,7 +29,7 @@
  * spec_hash still tells whether a job submitted again is the same. */
 struct job {
     struct job_spec spec;
-    int64_t queue, state, tasks, times, accepted_ms, ended_ms, n_placed, n_done;
+    int64_t queue, state, tasks, repetitions, accepted_ms, ended_ms, n_placed, n_done;
     int64_t *first, *left, *waiting, *counted; /* one allocation, owned by first */
     struct row *rows;
     struct job *next, *prev; /* live jobs, in order of acceptance */
@@ -112,15 +112,15 @@
 /* Whether the job is done, failed or cancelled; it may still have rows, see struct job. */
 int job_over(const struct job *job);
 /* priority, attempts_max, stretch_pct or target_ms of a job: by its outlet's rules, else by its queue. */
-#define JOB_RULED(record, job, rule)                                                     \
+#define JOB_EFFECTIVE_RULE(record, job, rule)                                            \
     ((job)->rules && (job)->rules->values.rule != RULE_UNSET ? (job)->rules->values.rule \
                                                              : (record)->queues[(job)->queue].config.rule)
 /* The repetition, step and index of a row. The job must be live, here and below. */
-void job_place(const struct job *job, int64_t no, int64_t *time, int64_t *step, int64_t *index);
+void job_row_position(const struct job *job, int64_t no, int64_t *repetition, int64_t *step, int64_t *index);
 /* Whether all steps that this step depends on are done in this repetition. */
-int job_step_begins(const struct job *job, int64_t time, int64_t step);
+int job_step_begins(const struct job *job, int64_t repetition, int64_t step);
 /* Time of day at which a repetition is due. */
-int64_t job_due_ms(const struct job *job, int64_t time); /* 0: at once */
+int64_t job_due_ms(const struct job *job, int64_t repetition); /* 0: at once */
 /* The row of a task_of() number, -1: there is none, or the job is not live; and the reverse. */
 int64_t job_row(const struct job *job, int64_t task);
 int64_t job_task(const struct job *job, int64_t no);
--- a/src/dispatch/record_rows.c
+++ b/src/dispatch/record_rows.c
@@ -10,7 +10,7 @@
     struct job *job;
     struct row *row;
     const struct step_spec *step;
-    int64_t no, time, group; /* group: of left, waiting and counted */
+    int64_t no, repetition, group; /* group: of left, waiting and counted */
 };
 
 /* Returns 0 where there is no such row. */
@@ -24,8 +24,8 @@
                                   .row = &job->rows[no],
                                   .step = &job->spec.steps[task_step(task)],
                                   .no = no,
-                                  .time = task_time(task)};
-    position->group = position->time * job->spec.n_steps + task_step(task);
+                                  .repetition = task_repetition(task)};
+    position->group = position->repetition * job->spec.n_steps + task_step(task);
     return 1;
 }
 
@@ -49,10 +49,10 @@
     row->since_ms = at_ms;
 }
 
-static void row_set_saved(struct row *row, const char *saved)
+static void row_set_saved(struct row *row, const char *checkpoint)
 {
-    free(row->saved);
-    row->saved = must_dup(saved);
+    free(row->checkpoint);
+    row->checkpoint = must_dup(checkpoint);
 }
 
 /* --- placing ------------------------------------------------------------ */
@@ -91,7 +91,7 @@
 {
     return !job_over(position->job) && position->row->state == ROW_WAITING && position->row->incarnation != CLAIMED &&
            run->attempt > position->row->attempt && run->attempt <= INT32_MAX &&
-           job_step_begins(position->job, position->time, task_step(run->task));
+           job_step_begins(position->job, position->repetition, task_step(run->task));
 }
 
 /* A gang is placed as a whole or not at all: releases its claims of this op and refuses the rest. */
@@ -155,7 +155,7 @@
 static struct row_range row_range_of(const struct position *position, int whole)
 {
     int64_t step = position->step - position->job->spec.steps;
-    return whole ? (struct row_range){position->time * position->job->tasks + position->job->first[step],
+    return whole ? (struct row_range){position->repetition * position->job->tasks + position->job->first[step],
                                       position->step->task_count}
                  : (struct row_range){position->no, 1};
 }
@@ -171,7 +171,7 @@
     }
     for (int64_t no = row_range.from; no < row_range.from + row_range.n; no++)
         record_notify(record, job, no);
-    if (job->n_done == job->times * job->tasks)
+    if (job->n_done == job->repetitions * job->tasks)
         job_end(record, job, JOB_DONE, at_ms);
 }
 
@@ -181,16 +181,16 @@
                            int64_t at_ms)
 {
     struct job *job = position->job;
-    int64_t max = JOB_RULED(record, job, attempts_max);
+    int64_t max = JOB_EFFECTIVE_RULE(record, job, attempts_max);
     int gang = position->step->gang != 0;
-    int failed =
-        end->how == END_FAILED && !position->step->lasting && !(gang && job->counted[position->group] == end->attempt);
-    int saved = end->saved && *end->saved;
-    struct row_range row_range = row_range_of(position, gang && (failed || saved));
+    int failed = end->how == END_FAILED && !position->step->long_running &&
+                 !(gang && job->counted[position->group] == end->attempt);
+    int checkpoint = end->checkpoint && *end->checkpoint;
+    struct row_range row_range = row_range_of(position, gang && (failed || checkpoint));
     for (int64_t no = row_range.from; no < row_range.from + row_range.n; no++) {
         job->rows[no].failures += failed;
-        if (saved)
-            row_set_saved(&job->rows[no], end->saved);
+        if (checkpoint)
+            row_set_saved(&job->rows[no], end->checkpoint);
     }
     if (failed)
         job->counted[position->group] = end->attempt;
@@ -208,9 +208,9 @@
     struct position position;
     if (!row_find(record, end->job, end->task, &position) || end->attempt < 1 || position.row->attempt != end->attempt)
         return 0;
-    int placed = position.row->state == ROW_PLACED, done = end->how == END_DONE && !position.step->lasting;
+    int placed = position.row->state == ROW_PLACED, done = end->how == END_DONE && !position.step->long_running;
     if (!placed && !(done && position.row->state == ROW_WAITING && !job_over(position.job) &&
-                     job_step_begins(position.job, position.time, task_step(end->task))))
+                     job_step_begins(position.job, position.repetition, task_step(end->task))))
         return 0;
     if (job_over(position.job)) {
         row_transition(record, &position, position.row, ROW_WAITING, -1, at_ms);
--- a/src/dispatch/record_snapshot.c
+++ b/src/dispatch/record_snapshot.c
@@ -27,11 +27,11 @@
 /* A row that has changed since the job was accepted; since_ms is relative to that time. */
 struct stored_row {
     int64_t no, state, failures, attempt, incarnation, since_ms;
-    char *saved;
+    char *checkpoint;
 };
 /* A job as stored. hash: the bits of spec_hash. spec, rows and counted are of live jobs only. */
 struct stored_job {
-    int64_t id, queue, state, tasks, times, n_done, accepted_ms, ended_ms, index, hash;
+    int64_t id, queue, state, tasks, repetitions, n_done, accepted_ms, ended_ms, index, hash;
     struct job_spec *spec;
     struct stored_row *rows;
     int64_t n_rows;
@@ -64,14 +64,14 @@
                                           INT(stored_row, attempt),
                                           INT_NAMED(stored_row, incarnation, "life"),
                                           INT_NAMED(stored_row, since_ms, "sinceMs"),
-                                          STR(stored_row, saved)};
+                                          STR_NAMED(stored_row, checkpoint, "saved")};
 static SCHEMA(stored_row_schema, stored_row, row_fields);
 
 static const struct field job_fields[] = {INT(stored_job, id),
                                           INT(stored_job, queue),
                                           INT(stored_job, state),
                                           INT(stored_job, tasks),
-                                          INT(stored_job, times),
+                                          INT_NAMED(stored_job, repetitions, "times"),
                                           INT_NAMED(stored_job, n_done, "nDone"),
                                           INT_NAMED(stored_job, accepted_ms, "acceptedMs"),
                                           INT_NAMED(stored_job, ended_ms, "endedMs"),
@@ -96,7 +96,7 @@
 
 static int row_is_initial(const struct job *job, const struct row *row)
 {
-    return row->state == ROW_WAITING && !row->failures && !row->attempt && !row->saved &&
+    return row->state == ROW_WAITING && !row->failures && !row->attempt && !row->checkpoint &&
            row->since_ms == job->accepted_ms;
 }
 
@@ -106,7 +106,7 @@
                                 .queue = job->queue,
                                 .state = job->state,
                                 .tasks = job->tasks,
-                                .times = job->times,
+                                .repetitions = job->repetitions,
                                 .n_done = job->n_done,
                                 .accepted_ms = job->accepted_ms,
                                 .ended_ms = job->ended_ms,
@@ -117,12 +117,12 @@
     if (job->rows) {
         stored.spec = (struct job_spec *)&job->spec;
         stored.counted = job->counted;
-        stored.n_counted = job->times * job->spec.n_steps;
-        for (int64_t no = 0; no < job->times * job->tasks; no++)
+        stored.n_counted = job->repetitions * job->spec.n_steps;
+        for (int64_t no = 0; no < job->repetitions * job->tasks; no++)
             n += !row_is_initial(job, &job->rows[no]);
         stored.rows = must_alloc(sizeof *stored.rows * (size_t)n);
     }
-    for (int64_t no = 0; n && no < job->times * job->tasks; no++) {
+    for (int64_t no = 0; n && no < job->repetitions * job->tasks; no++) {
         const struct row *row = &job->rows[no];
         if (!row_is_initial(job, row))
             stored.rows[stored.n_rows++] = (struct stored_row){.no = no,
@@ -131,7 +131,7 @@
                                                                .attempt = row->attempt,
                                                                .incarnation = row->incarnation,
                                                                .since_ms = row->since_ms - job->accepted_ms,
-                                                               .saved = row->saved};
+                                                               .checkpoint = row->checkpoint};
     }
     item_pack(to, &stored_job_schema, &stored);
     free(stored.rows);
@@ -188,7 +188,7 @@
 
 static enum sagehitch_error take_row(struct record *record, struct job *job, struct stored_row *stored)
 {
-    if (stored->no < 0 || stored->no >= job->times * job->tasks || stored->state < ROW_WAITING ||
+    if (stored->no < 0 || stored->no >= job->repetitions * job->tasks || stored->state < ROW_WAITING ||
         stored->state > ROW_FAILED ||
         (stored->state == ROW_PLACED && (stored->incarnation < 0 || stored->incarnation >= record->n_incarnations)))
         return ERROR_BAD_FRAME;
@@ -197,14 +197,14 @@
     while (step + 1 < job->spec.n_steps && job->first[step + 1] <= rest)
         step++;
     group += step;
-    free(row->saved);
+    free(row->checkpoint);
     *row = (struct row){.state = (int32_t)stored->state,
                         .failures = (int32_t)stored->failures,
                         .attempt = (int32_t)stored->attempt,
                         .incarnation = stored->state == ROW_PLACED ? (int32_t)stored->incarnation : -1,
-                        .saved = stored->saved,
+                        .checkpoint = stored->checkpoint,
                         .since_ms = job->accepted_ms + stored->since_ms};
-    stored->saved = NULL;
+    stored->checkpoint = NULL;
     job->waiting[group] -= row->state != ROW_WAITING;
     job->left[group] -= row->state == ROW_DONE;
     if (row->state == ROW_PLACED)
@@ -220,7 +220,7 @@
     job->spec = *stored->spec;
     *stored->spec = (struct job_spec){0};
     job_open(job);
-    int64_t groups = job->times * job->spec.n_steps, last = -1;
+    int64_t groups = job->repetitions * job->spec.n_steps, last = -1;
     if (stored->n_counted != groups)
         return ERROR_BAD_FRAME;
     memcpy(job->counted, stored->counted, sizeof *job->counted * (size_t)groups);
@@ -248,7 +248,7 @@
                         .queue = stored.queue,
                         .state = stored.state,
                         .tasks = stored.tasks,
-                        .times = stored.times,
+                        .repetitions = stored.repetitions,
                         .n_done = stored.n_done,
                         .accepted_ms = stored.accepted_ms,
                         .ended_ms = stored.ended_ms,
--- a/src/rules/turns.c
+++ b/src/rules/turns.c
@@ -22,10 +22,10 @@
         abort();
 }
 
-void turns_begin(struct plan_round *round)
+void outlet_limits_begin(struct plan_round *round)
 {
     int64_t n = round->in->record->rules.n_outlets;
-    turns_free(round);
+    outlet_limits_free(round);
     if (!n)
         return;
     round->outlet_runs = must_grow(round->outlet_runs, sizeof *round->outlet_runs * (size_t)n);
@@ -33,7 +33,7 @@
         round->outlet_runs[i] = 0;
 }
 
-void turns_free(struct plan_round *round)
+void outlet_limits_free(struct plan_round *round)
 {
     Word_t freed;
     J1FA(freed, round->not_begun);
@@ -44,8 +44,8 @@
 /* Tasks that count against running_most: placed, or being placed. */
 static int64_t runs_of(const struct plan_round *round, const struct job *job)
 {
-    int64_t n = job->n_placed, left = job->times * job->tasks - job->n_done - job->n_placed;
-    for (int64_t no = 0; round->in->busy && left > 0 && !job_over(job) && no < job->times * job->tasks; no++)
+    int64_t n = job->n_placed, left = job->repetitions * job->tasks - job->n_done - job->n_placed;
+    for (int64_t no = 0; round->in->busy && left > 0 && !job_over(job) && no < job->repetitions * job->tasks; no++)
         n += job->rows[no].state == ROW_WAITING && round->in->busy(round->in->arg, job, no);
     return n;
 }
@@ -54,12 +54,12 @@
 static int never_blocks(const struct job *job)
 {
     for (int64_t s = 0; s < job->spec.n_steps; s++)
-        if (job->spec.steps[s].lasting)
+        if (job->spec.steps[s].long_running)
             return 1;
-    return job->times > 1;
+    return job->repetitions > 1;
 }
 
-int turns_may_begin(struct plan_round *round, const struct job *job, int due)
+int outlet_job_may_start(struct plan_round *round, const struct job *job, int due)
 {
     Word_t line = line_of(job);
     int64_t in_turn = job->rules->values.in_turn;
@@ -74,44 +74,44 @@
     return may && !over;
 }
 
-static int time_begun(const struct job *job, int64_t time)
+static int time_begun(const struct job *job, int64_t repetition)
 {
-    for (int64_t no = time * job->tasks; no < (time + 1) * job->tasks; no++)
+    for (int64_t no = repetition * job->tasks; no < (repetition + 1) * job->tasks; no++)
         if (job->rows[no].attempt)
             return 1;
     return 0;
 }
 
-int turns_open(const struct plan_round *round, const struct job *job, int64_t time, int64_t *next_due_ms)
+int outlet_hours_open(const struct plan_round *round, const struct job *job, int64_t repetition, int64_t *next_due_ms)
 {
     const struct rule_values *values = &job->rules->values;
     int64_t wall_ms = round->in->wall_ms;
-    if (rules_open(values, wall_ms) || time_begun(job, time))
+    if (rules_open(values, wall_ms) || time_begun(job, repetition))
         return 1;
     if (rules_opens_ms(values, wall_ms) < *next_due_ms)
         *next_due_ms = rules_opens_ms(values, wall_ms);
     return 0;
 }
 
-int64_t turns_since_ms(const struct plan_round *round, const struct job *job, int64_t since_ms)
+int64_t outlet_wait_start_ms(const struct plan_round *round, const struct job *job, int64_t since_ms)
 {
     int64_t opened_ms = rules_opened_ms(&job->rules->values, round->in->wall_ms);
     return opened_ms > since_ms ? opened_ms : since_ms;
 }
 
-int64_t turns_room(const struct plan_round *round, const struct plan_entry *entry, int64_t most)
+int64_t outlet_placement_limit(const struct plan_round *round, const struct plan_entry *entry, int64_t limit)
 {
     const struct job_rules *rules = entry->job->rules;
     if (!rules || rules->values.running_most <= 0)
-        return most;
+        return limit;
     const struct step_spec *step = entry_step(entry);
     int64_t room = rules->values.running_most - round->outlet_runs[rules->outlet];
     if (room <= 0 || (step->gang && room < step->task_count))
         return 0;
-    return room < most && !step->gang ? room : most;
+    return room < limit && !step->gang ? room : limit;
 }
 
-void turns_placed(struct plan_round *round, const struct plan_entry *entry, int64_t n)
+void outlet_count_placed(struct plan_round *round, const struct plan_entry *entry, int64_t n)
 {
     if (entry->job->rules)
         round->outlet_runs[entry->job->rules->outlet] += n;
--- a/tests/bench/slopes_frames.c
+++ b/tests/bench/slopes_frames.c
@@ -126,7 +126,7 @@
                                           .memory_mb = 256000,
                                           .gpus = 2,
                                           .departure_ms = 0,
-                                          .over_ms = 2500}};
+                                          .lease_left_ms = 2500}};
     struct agent_orders o = {.epoch = 5,
                              .stamp_ms = 86400000,
                              .lease_ms = 3000,
--- a/tests/bench/slopes_leader.c
+++ b/tests/bench/slopes_leader.c
@@ -65,7 +65,7 @@
     if (h->n_ended && h->ended[h->n_ended - 1].seq <= o->seen)
         h->n_ended = 0;
 }
-static int leads(void *arg) { return (void)arg, 1; }
+static int holds_lease(void *arg) { return (void)arg, 1; }
 static void barrier(void *arg, int64_t tag) { dispatch_barrier(((struct bench_leader *)arg)->d, tag, ERROR_NONE); }
 
 /* As controller.c folds an entry; the log's own part is measured in slopes_log.c. */
@@ -178,11 +178,15 @@
     const struct dispatch_settings settings = {.lease_ms = 3000,
                                                .gang_timeout_ms = 3000,
                                                .early_ms = 250,
-                                               .shown_ms = 120000,
-                                               .far_pct = 150,
+                                               .job_retention_ms = 120000,
+                                               .remote_data_pct = 150,
                                                .restore_ms = 600};
-    const struct dispatch_calls calls = {
-        .propose = propose, .answer = answer, .orders = orders, .leads = leads, .barrier = barrier, .arg = b};
+    const struct dispatch_calls calls = {.propose = propose,
+                                         .answer = answer,
+                                         .orders = orders,
+                                         .holds_lease = holds_lease,
+                                         .barrier = barrier,
+                                         .arg = b};
     b->n = executors;
     snprintf(b->size, sizeof b->size, "%lld x %lld", (long long)executors, (long long)running);
     b->hollows = must_alloc(sizeof *b->hollows * (size_t)executors);
@@ -201,7 +205,7 @@
     heap = heap_bytes();
     b->d = dispatch_new(&b->w.base, &b->record, &settings, &calls);
     int64_t from_ns = cpu_ns();
-    dispatch_lead(b->d, 5);
+    dispatch_become_leader(b->d, 5);
     told("leader: taking over", b->size, (double)(cpu_ns() - from_ns) / 1e6, "ms");
     for (int64_t i = 0; i < executors; i++)
         for (int64_t k = 0; k < running; k++)
--- a/tests/bench/slopes_plan.c
+++ b/tests/bench/slopes_plan.c
@@ -22,7 +22,7 @@
                                            .memory_free = 256000,
                                            .open = 1,
                                            .departs_ms = INT64_MAX,
-                                           .slow_pct = 100};
+                                           .duration_pct = 100};
     return candidates;
 }
 
@@ -56,8 +56,8 @@
                                 .now_ms = 1000,
                                 .wall_ms = BENCH_WALL_MS + 500,
                                 .early_ms = 250,
-                                .far_pct = 150,
-                                .most = MOST};
+                                .remote_data_pct = 150,
+                                .max_placements = MOST};
         for (int64_t k = 0; k < n_candidates; k++)
             candidates[k].cpu_free = free_milli, candidates[k].memory_free = 256000;
         int64_t from_ns = cpu_ns();
@@ -96,8 +96,8 @@
                             .now_ms = 1000,
                             .wall_ms = BENCH_WALL_MS + 500,
                             .early_ms = 250,
-                            .far_pct = 150,
-                            .most = MOST};
+                            .remote_data_pct = 150,
+                            .max_placements = MOST};
     int64_t from_ns = cpu_ns();
     plan_make(&in, &plan);
     told(same_rack ? "a round of placing: a gang of 128, one rack" : "a round of placing: a gang of 128",
--- a/tests/bench/slopes_record.c
+++ b/tests/bench/slopes_record.c
@@ -32,7 +32,7 @@
         struct service_config *s = list_more(config->services, config->n_services);
         s->name = must_printf("service-%lld", (long long)i);
         s->health_path = must_dup("/health");
-        s->guards = 1;
+        s->checks_capacity = 1;
     }
     for (int64_t i = 0; i < queues; i++) {
         queue_names(list_more(config->queues, config->n_queues), i);
--- a/tests/platform/api_test.cc
+++ b/tests/platform/api_test.cc
@@ -63,14 +63,15 @@
     EXPECT_STREQ(steps[0].rack, "r2-9");
     EXPECT_STREQ(steps[0].label, "fast");
     EXPECT_EQ(steps[0].per_executor, 2);
-    EXPECT_EQ(steps[0].n_depends_on + steps[0].gang + steps[0].checkpoints + steps[0].duplicates + steps[0].lasting, 0);
+    EXPECT_EQ(
+        steps[0].n_depends_on + steps[0].gang + steps[0].checkpoints + steps[0].duplicates + steps[0].long_running, 0);
     EXPECT_TRUE(steps[1].checkpoints && steps[1].gang && steps[1].same_rack);
     EXPECT_EQ(steps[1].memory_mb, 0);
     EXPECT_EQ(steps[1].label, nullptr);
     EXPECT_EQ(steps[1].rack, nullptr);
     ASSERT_EQ(steps[2].n_depends_on, 2);
     EXPECT_EQ(steps[2].depends_on[1], 1);
-    EXPECT_TRUE(steps[2].duplicates && steps[2].lasting);
+    EXPECT_TRUE(steps[2].duplicates && steps[2].long_running);
 }
 
 TEST(Door, JobNames)
@@ -197,8 +198,8 @@
     EXPECT_EQ(c.queues[0].stretch_pct, 225);
     ASSERT_EQ(c.n_services, 2);
     EXPECT_STREQ(c.services[0].health_path, "/up");
-    EXPECT_TRUE(c.services[0].guards);
-    EXPECT_FALSE(c.services[1].guards);
+    EXPECT_TRUE(c.services[0].checks_capacity);
+    EXPECT_FALSE(c.services[1].checks_capacity);
     EXPECT_EQ(Read(config_request(config_body, " \"0\" ")).error, 0);
 }
 
--- a/tests/platform/executor_test.cc
+++ b/tests/platform/executor_test.cc
@@ -27,8 +27,8 @@
 TEST(Executor, Start)
 {
     Call made;
-    char text[] = "say \"hi\"\n\\\x01 \u00e6", saved[] = "mark-3", none[] = "";
-    run_start start = {top_job, task_of(6, 2, 4097), 3, text, saved};
+    char text[] = "say \"hi\"\n\\\x01 \u00e6", checkpoint[] = "mark-3", none[] = "";
+    run_start start = {top_job, task_of(6, 2, 4097), 3, text, checkpoint};
     platform_executor.start(&made.call, "i-19ab", &start, 88000, 12);
     EXPECT_STREQ(made.call.method, "POST");
     EXPECT_STREQ(made.call.path, "/sagehitch/run-start");
@@ -41,7 +41,7 @@
     EXPECT_STREQ(json_string_value(json_object_get(body, "spec")), text);
     EXPECT_EQ(json_integer_value(json_object_get(body, "expiresMs")), 88000);
     EXPECT_EQ(json_integer_value(json_object_get(body, "fenceToken")), 12);
-    EXPECT_STREQ(json_string_value(json_object_get(body, "checkpointed")), saved);
+    EXPECT_STREQ(json_string_value(json_object_get(body, "checkpointed")), checkpoint);
     json_decref(body);
     Call bare;
     start = {5, task_of(0, 0, 0), 1, none, none};
@@ -80,16 +80,16 @@
     EXPECT_EQ(got.lists().active[0].task, task_of(3, 1, 9));
     EXPECT_EQ(got.lists().active[0].attempt, 2);
     EXPECT_EQ(got.lists().active[0].percent, 41);
-    EXPECT_STREQ(got.lists().active[0].saved, "m");
-    EXPECT_EQ(got.lists().active[1].saved, nullptr);
+    EXPECT_STREQ(got.lists().active[0].checkpoint, "m");
+    EXPECT_EQ(got.lists().active[1].checkpoint, nullptr);
     ASSERT_EQ(got.lists().n_ended, 6);
-    const int64_t hows[] = {END_DONE, END_FAILED, END_STOPPED, END_LAPSED, END_BROKEN, END_ALONE};
+    const int64_t hows[] = {END_DONE, END_FAILED, END_STOPPED, END_LAPSED, END_BROKEN, END_GANG_TIMEOUT};
     for (int i = 0; i < 6; i++) {
         EXPECT_EQ(got.lists().ended[i].how, hows[i]);
         EXPECT_EQ(got.lists().ended[i].seq, 4 + i);
         EXPECT_EQ(got.lists().ended[i].task, task_of(0, 0, 1 + i));
     }
-    EXPECT_STREQ(got.lists().ended[1].saved, "x");
+    EXPECT_STREQ(got.lists().ended[1].checkpoint, "x");
 }
 
 TEST(Executor, ItemsThatCannotBeRead)
@@ -113,8 +113,10 @@
 
 TEST(Executor, Refusals)
 {
-    const std::map<std::string, int> reasons = {
-        {"fence", REFUSED_EPOCH}, {"old", REFUSED_OLD}, {"late", REFUSED_LATE}, {"room", REFUSED_ROOM}};
+    const std::map<std::string, int> reasons = {{"fence", REFUSED_STALE_EPOCH},
+                                                {"old", REFUSED_OUTDATED},
+                                                {"late", REFUSED_LATE},
+                                                {"room", REFUSED_NO_CAPACITY}};
     for (const auto &[name, refusal] : reasons) {
         Answered got(409, R"({"clockMs":31,"reason":")" + name + "\"}");
         EXPECT_EQ(got.error, 0);
@@ -127,10 +129,10 @@
     EXPECT_EQ(other.error, 0);
     EXPECT_EQ(other.answer.kind, EXECUTOR_OTHER_INCARNATION);
     EXPECT_EQ(other.answer.clock_ms, -1);
-    EXPECT_EQ(Answered(400, "no").refusal(), REFUSED_BAD);
-    EXPECT_EQ(Answered(429, "").refusal(), REFUSED_SICK);
+    EXPECT_EQ(Answered(400, "no").refusal(), REFUSED_BAD_REQUEST);
+    EXPECT_EQ(Answered(429, "").refusal(), REFUSED_UNAVAILABLE);
     Answered sick(503, R"({"clockMs":6})");
-    EXPECT_EQ(sick.refusal(), REFUSED_SICK);
+    EXPECT_EQ(sick.refusal(), REFUSED_UNAVAILABLE);
     EXPECT_EQ(sick.answer.clock_ms, 6);
 }
 
@@ -147,8 +149,8 @@
 
 TEST(Executor, BeatAnswers)
 {
-    char text[] = "a\"b", saved[] = "m1";
-    run_start first = {top_job, task_of(6, 2, 4097), 3, text, saved};
+    char text[] = "a\"b", checkpoint[] = "m1";
+    run_start first = {top_job, task_of(6, 2, 4097), 3, text, checkpoint};
     run_start second = {5, task_of(0, 0, 1), 1, nullptr, nullptr};
     const run_start *runs[] = {&first, &second};
     heartbeat_orders all = {7, 58, 4000, 50, runs, runs, 2, 2}, none = {7, 0, 0, 1000, nullptr, nullptr, 0, 0};
--- a/tests/platform/fuzz_test.cc
+++ b/tests/platform/fuzz_test.cc
@@ -131,7 +131,8 @@
         for (int64_t k = 0; k < lists.n_active; k++)
             EXPECT_GE(lists.active[k].attempt, 1);
         for (int64_t k = 0; k < lists.n_ended; k++)
-            EXPECT_TRUE(lists.ended[k].seq > 0 && lists.ended[k].how >= END_DONE && lists.ended[k].how <= END_ALONE);
+            EXPECT_TRUE(lists.ended[k].seq > 0 && lists.ended[k].how >= END_DONE &&
+                        lists.ended[k].how <= END_GANG_TIMEOUT);
         listed += lists.n_active + lists.n_ended > 0;
         schema_free(&executor_response_schema, &answer);
     }
--- a/tests/platform/settings_test.cc
+++ b/tests/platform/settings_test.cc
@@ -121,9 +121,9 @@
     EXPECT_EQ(s.stop_timeout_ms, 300);
     EXPECT_EQ(s.cancel_ms, 2700);
     EXPECT_EQ(settings.early_ms, 240);
-    EXPECT_EQ(settings.shown_ms, 110000);
+    EXPECT_EQ(settings.job_retention_ms, 110000);
     EXPECT_EQ(s.drain_ms, 1900);
-    EXPECT_EQ(settings.far_pct, 175);
+    EXPECT_EQ(settings.remote_data_pct, 175);
     EXPECT_EQ(s.checkpoint_ms, 1500);
     EXPECT_EQ(settings.restore_ms, 500);
     File longer(with(good, "holdMaxMs: 4000", "holdMaxMs: 20000"));
--- a/tests/sim/cluster_judge.h
+++ b/tests/sim/cluster_judge.h
@@ -44,14 +44,14 @@
         return job;
     }
     static std::string head(standin *s) { return std::string("Life: ") + s->incarnation; }
-    void begin(standin *s, Job *job, int64_t task, int64_t attempt, const char *text = nullptr, const char *saved = "",
-               int late = 0)
+    void begin(standin *s, Job *job, int64_t task, int64_t attempt, const char *text = nullptr,
+               const char *checkpoint = "", int late = 0)
     {
         char *body = must_printf("{\"job\":%lld,\"task\":%lld,\"attempt\":%lld,\"text\":\"text of %llx\",\"saved\":"
                                  "\"%s\","
                                  "\"until\":%lld,\"epoch\":1}",
                                  (long long)job->id, (long long)task, (long long)attempt, (unsigned long long)job->id,
-                                 saved, (long long)standin_clock_ms(s) + 6000);
+                                 checkpoint, (long long)standin_clock_ms(s) + 6000);
         if (text) {
             std::string other = body;
             size_t at = other.find("text of");
--- a/tests/sim/cluster_judge_test.cc
+++ b/tests/sim/cluster_judge_test.cc
@@ -188,8 +188,8 @@
     stop(x[0], job, 0, 1);
     run(500);
     ASSERT_EQ(x[0]->n_ended, 1);
-    std::string saved = x[0]->ended[0].saved;
-    begin(x[1], job, 0, 2, nullptr, saved.c_str());
+    std::string checkpoint = x[0]->ended[0].checkpoint;
+    begin(x[1], job, 0, 2, nullptr, checkpoint.c_str());
     clean();
 }
 
@@ -197,12 +197,12 @@
 {
     Job *job = sent(SCHEMA_GANG);
     job->rows[0].saved_ms = 500;
-    char *saved = must_printf("%llx.0@500", (unsigned long long)job->id);
-    begin(x[0], job, 0, 1, nullptr, saved);
+    char *checkpoint = must_printf("%llx.0@500", (unsigned long long)job->id);
+    begin(x[0], job, 0, 1, nullptr, checkpoint);
     clean();
     begin(x[1], job, 1, 1);
     finds("UNASKED");
-    free(saved);
+    free(checkpoint);
 }
 
 TEST_F(Judge, StartLongAfterCancel)
--- a/tests/sim/season.h
+++ b/tests/sim/season.h
@@ -87,10 +87,10 @@
             record_start(&n->r);
             dispatch_settings settings = {};
             settings.lease_ms = 3000, settings.gang_timeout_ms = 5000, settings.restore_ms = 600;
-            settings.early_ms = 100, settings.shown_ms = 4 * 3600000, settings.far_pct = 150;
+            settings.early_ms = 100, settings.job_retention_ms = 4 * 3600000, settings.remote_data_pct = 150;
             dispatch_calls calls = {};
             calls.propose = propose, calls.answer = answer, calls.orders = orders, calls.arg = n;
-            calls.leads = [](void *) { return 1; };
+            calls.holds_lease = [](void *) { return 1; };
             calls.barrier = [](void *, int64_t) {};
             n->d = dispatch_new(n, &n->r, &settings, &calls);
         }
@@ -163,11 +163,11 @@
                 proposals.pop_front();
             }
             proposals.clear();
-            dispatch_follow(leader->d);
+            dispatch_become_follower(leader->d);
         }
         leader = nodes[no].get();
         catch_up(leader);
-        dispatch_lead(leader->d, ++epoch);
+        dispatch_become_leader(leader->d, ++epoch);
     }
     // A node comes back from its snapshot, or from the whole log on an empty disk.
     void restart(size_t no)
@@ -243,7 +243,7 @@
         if (run != e.runs.end() && run->second.attempt == ref.attempt)
             finish(e, run, END_STOPPED);
         else
-            e.ended.push_back({0, ref.job, ref.task, ref.attempt, END_ABSENT, nullptr});
+            e.ended.push_back({0, ref.job, ref.task, ref.attempt, END_NEVER_RAN, nullptr});
         e.next_ms = 0;
     }
     void start(Standin &e, const run_start &s)
--- a/tests/unit/agent_beat_test.cc
+++ b/tests/unit/agent_beat_test.cc
@@ -137,7 +137,7 @@
     EXPECT_TRUE(rig.is_pending(1));
     EXPECT_EQ(rig.how_ended(1), 0);
     rig.run(1200);
-    EXPECT_EQ(rig.how_ended(1), END_ABSENT);
+    EXPECT_EQ(rig.how_ended(1), END_NEVER_RAN);
     EXPECT_EQ(rig.tells_start, 2);
     rig.ex.room = 5;
     rig.ends_seen(1, 1);
@@ -169,7 +169,7 @@
     EXPECT_TRUE(rig.is_pending(1));
     reaches = rig.beats = true;
     rig.run(500);
-    EXPECT_EQ(rig.how_ended(1), END_ABSENT);
+    EXPECT_EQ(rig.how_ended(1), END_NEVER_RAN);
     EXPECT_EQ(rig.ex.barred[Key(1, 1)], 1);
 }
 
@@ -184,7 +184,7 @@
     rig.run(1000);
     EXPECT_TRUE(rig.ex.starts.empty());
     EXPECT_EQ(rig.tells_start, 0);
-    EXPECT_EQ(rig.refusal(1), REFUSED_ROOM);
+    EXPECT_EQ(rig.refusal(1), REFUSED_NO_CAPACITY);
 }
 
 TEST(AgentByBeat, a_new_incarnation_ends_the_old_and_late_beats_do_not_count)
@@ -264,9 +264,9 @@
                 answered_at = 0;
             }
         };
-        int64_t over_at = rig.now + rig.r().executor.over_ms;
+        int64_t over_at = rig.now + rig.r().executor.lease_left_ms;
         for (int i = 0; i < 9000 && !rig.ex.lapsed_at; i++) {
-            over_at = std::max(over_at, rig.r().stamp_ms + rig.r().executor.over_ms);
+            over_at = std::max(over_at, rig.r().stamp_ms + rig.r().executor.lease_left_ms);
             rig.run(1);
         }
         EXPECT_GT(rig.ex.lapsed_at, 0);
@@ -284,7 +284,7 @@
     rig.start(1, 1);
     rig.run(1000);
     EXPECT_TRUE(rig.ex.starts.empty());
-    EXPECT_EQ(rig.how_ended(1), END_ABSENT);
+    EXPECT_EQ(rig.how_ended(1), END_NEVER_RAN);
 }
 
 TEST(AgentByBeat, silence_is_told_and_one_that_left_is_over)
--- a/tests/unit/agent_executor.h
+++ b/tests/unit/agent_executor.h
@@ -45,7 +45,7 @@
                         int64_t epoch)
 {
     make_call(call, "start", incarnation,
-              words({epoch, expires, s->job, s->task, s->attempt}) + (s->saved ? s->saved : "-"));
+              words({epoch, expires, s->job, s->task, s->attempt}) + (s->checkpoint ? s->checkpoint : "-"));
 }
 inline void codec_stop(struct executor_call *call, const char *incarnation, const struct run_ref *r, int64_t epoch)
 {
@@ -79,11 +79,11 @@
     if (status == 500)
         return ERROR_BAD_JSON;
     std::istringstream in(body);
-    int64_t refusal = REFUSED_NOT;
+    int64_t refusal = REFUSED_NONE;
     in >> response->clock_ms >> refusal;
     if (status == 421)
         executor_response_other_incarnation(response);
-    else if (refusal != REFUSED_NOT)
+    else if (refusal != REFUSED_NONE)
         executor_response_refuse(response, (start_refusal)refusal);
     else
         read_lists(in, executor_response_accept(response));
@@ -124,7 +124,7 @@
     if (lists.empty())
         return 0;
     std::istringstream account(lists);
-    int64_t refusal = REFUSED_NOT;
+    int64_t refusal = REFUSED_NONE;
     account >> beat->account.clock_ms >> refusal;
     read_lists(account, &beat->account.lists);
     return 0;
@@ -202,10 +202,10 @@
         in >> epoch;
         if (sick > 0 && what == "start") {
             sick--;
-            return plain(REFUSED_SICK);
+            return plain(REFUSED_UNAVAILABLE);
         }
         if (epoch < fence)
-            return plain(REFUSED_EPOCH);
+            return plain(REFUSED_STALE_EPOCH);
         fence = epoch;
         if (what == "look") {
             int64_t seen, expires;
@@ -238,9 +238,9 @@
         if (active.count(key) && active[key] == attempt)
             return plain(0);
         if (barred.count(key) && barred[key] >= attempt)
-            return plain(REFUSED_OLD);
+            return plain(REFUSED_OUTDATED);
         if ((int64_t)active.size() >= room)
-            return plain(REFUSED_ROOM);
+            return plain(REFUSED_NO_CAPACITY);
         active[key] = attempt;
         starts.push_back(std::to_string(task) + "." + std::to_string(attempt));
         return plain(0);
--- a/tests/unit/agent_lease_test.cc
+++ b/tests/unit/agent_lease_test.cc
@@ -67,7 +67,7 @@
     rig.orders();
     rig.run(4000);
     EXPECT_TRUE(rig.ex.starts.empty());
-    EXPECT_EQ(rig.how_ended(1), END_ABSENT);
+    EXPECT_EQ(rig.how_ended(1), END_NEVER_RAN);
 }
 
 TEST(AgentLease, grant_of_a_report_without_the_incarnation_holds_nothing)
@@ -97,9 +97,9 @@
     rig.run(1000);
     EXPECT_TRUE(rig.is_active(1, 1));
     rig.calls_get(LOST);
-    for (int i = 0; i < 12000 && !(rig.r().executor.silent_ms && !rig.r().executor.over_ms); i++)
+    for (int i = 0; i < 12000 && !(rig.r().executor.silent_ms && !rig.r().executor.lease_left_ms); i++)
         rig.run(1);
-    EXPECT_EQ(rig.r().executor.over_ms, 0) << "holds must not be sent anew to a silent executor";
+    EXPECT_EQ(rig.r().executor.lease_left_ms, 0) << "holds must not be sent anew to a silent executor";
     EXPECT_NE(rig.ex.lapsed_at, 0);
     EXPECT_LE(rig.ex.lapsed_at, rig.now);
 }
@@ -112,11 +112,11 @@
     rig.start(1, 1);
     rig.run(9000);
     EXPECT_GT(rig.r().executor.silent_ms, 0);
-    EXPECT_EQ(rig.r().executor.over_ms, 0);
+    EXPECT_EQ(rig.r().executor.lease_left_ms, 0);
     rig.calls_get(CARRIED);
     rig.run(6000);
     EXPECT_TRUE(rig.ex.starts.empty());
-    EXPECT_EQ(rig.how_ended(1), END_ABSENT);
+    EXPECT_EQ(rig.how_ended(1), END_NEVER_RAN);
 }
 
 TEST(AgentLease, restarted_agent_reckons_with_holds_of_the_former)
@@ -131,7 +131,7 @@
     rig.beat("A", 2);
     rig.run(400);
     EXPECT_TRUE(rig.r().present);
-    EXPECT_GT(rig.r().executor.over_ms, 0);
+    EXPECT_GT(rig.r().executor.lease_left_ms, 0);
     rig.executor_up = true;
     rig.run(2000);
     EXPECT_TRUE(rig.r().ready);
@@ -170,7 +170,7 @@
     rig.after = [&] { EXPECT_EQ(rig.refusal(1), 0); };
     rig.start(1, 1);
     rig.run(1500); // the look that proves it may wait for a poll under way
-    EXPECT_EQ(rig.how_ended(1), END_ABSENT);
+    EXPECT_EQ(rig.how_ended(1), END_NEVER_RAN);
     rig.ex.room = 10;
     rig.run(4000);
     EXPECT_TRUE(rig.ex.starts.empty());
--- a/tests/unit/agent_rig.h
+++ b/tests/unit/agent_rig.h
@@ -207,7 +207,7 @@
             c.answer = ex.carry_out(c.what, c.body, waits);
             int64_t clock = 0, refusal = 0;
             std::istringstream(c.answer) >> clock >> refusal;
-            *c.turned_away = refusal == REFUSED_ROOM || refusal == REFUSED_SICK;
+            *c.turned_away = refusal == REFUSED_NO_CAPACITY || refusal == REFUSED_UNAVAILABLE;
             c.poll = waits > 0 && ex.ended.empty();
             c.answer_by = now + waits;
             c.not_before = c.poll ? 0 : now + answer_delay();
--- a/tests/unit/agent_test.cc
+++ b/tests/unit/agent_test.cc
@@ -112,7 +112,7 @@
     rig.after = [&] { EXPECT_EQ(rig.refusal(1), 0); };
     rig.start(1, 1);
     rig.run(2500);
-    EXPECT_EQ(rig.how_ended(1), END_ABSENT);
+    EXPECT_EQ(rig.how_ended(1), END_NEVER_RAN);
     rig.ex.room = 10;
     rig.run(4000);
     EXPECT_TRUE(rig.ex.starts.empty());
@@ -125,7 +125,7 @@
     rig.ex.room = 0;
     rig.start(1, 1);
     rig.run(700);
-    EXPECT_EQ(rig.refusal(1), REFUSED_ROOM);
+    EXPECT_EQ(rig.refusal(1), REFUSED_NO_CAPACITY);
     rig.ends_seen(1, 1);
     rig.run(700);
     EXPECT_EQ(rig.refusal(1), 0);
@@ -149,7 +149,7 @@
     rig.ex.sick = 100;
     rig.start(2, 1);
     rig.run(2500);
-    EXPECT_EQ(rig.refusal(2), REFUSED_SICK);
+    EXPECT_EQ(rig.refusal(2), REFUSED_UNAVAILABLE);
 }
 
 TEST(Agent, end_is_told_until_committed_and_seen_never_before)
@@ -186,7 +186,7 @@
     rig.start(1, 1);
     rig.run(1000);
     EXPECT_EQ(rig.times("start"), 0);
-    EXPECT_EQ(rig.refusal(1), REFUSED_ROOM);
+    EXPECT_EQ(rig.refusal(1), REFUSED_NO_CAPACITY);
     EXPECT_TRUE(rig.r().executor.draining);
 }
 
@@ -200,7 +200,7 @@
     rig.run(200);
     rig.beat("A", 100, 1);
     rig.run(2500);
-    EXPECT_EQ(rig.how_ended(1), END_ABSENT);
+    EXPECT_EQ(rig.how_ended(1), END_NEVER_RAN);
     EXPECT_EQ(rig.times("start"), 1);
     rig.run(3000);
     EXPECT_TRUE(rig.ex.starts.empty());
@@ -216,10 +216,10 @@
     rig.run(300);
     rig.stop(1, 1);
     rig.run(300);
-    EXPECT_EQ(rig.how_ended(1), END_ABSENT);
+    EXPECT_EQ(rig.how_ended(1), END_NEVER_RAN);
     rig.run(4000);
     EXPECT_TRUE(rig.ex.starts.empty()) << "the late start was turned away";
-    EXPECT_EQ(rig.how_ended(1), END_ABSENT);
+    EXPECT_EQ(rig.how_ended(1), END_NEVER_RAN);
     rig.ends_seen(1, 1);
     rig.run(400);
     EXPECT_EQ(rig.how_ended(1), 0);
--- a/tests/unit/executor_response_test.cc
+++ b/tests/unit/executor_response_test.cc
@@ -14,7 +14,7 @@
     if (kind == EXECUTOR_ACCEPTED)
         executor_response_accept(&response);
     else if (kind == EXECUTOR_REFUSED)
-        executor_response_refuse(&response, REFUSED_ROOM);
+        executor_response_refuse(&response, REFUSED_NO_CAPACITY);
     else if (kind == EXECUTOR_OTHER_INCARNATION)
         executor_response_other_incarnation(&response);
     return response;
@@ -32,7 +32,7 @@
         else
             EXPECT_DEATH(executor_response_lists(&response), "") << kind;
         if (kind == EXECUTOR_REFUSED)
-            EXPECT_EQ(executor_response_refusal(&response), REFUSED_ROOM);
+            EXPECT_EQ(executor_response_refusal(&response), REFUSED_NO_CAPACITY);
         else
             EXPECT_DEATH(executor_response_refusal(&response), "") << kind;
     }
@@ -43,7 +43,7 @@
     for (int64_t kind = EXECUTOR_ACCEPTED; kind <= EXECUTOR_OTHER_INCARNATION; kind++) {
         executor_response response = response_of(kind);
         EXPECT_DEATH(executor_response_accept(&response), "") << kind;
-        EXPECT_DEATH(executor_response_refuse(&response, REFUSED_OLD), "") << kind;
+        EXPECT_DEATH(executor_response_refuse(&response, REFUSED_OUTDATED), "") << kind;
         EXPECT_DEATH(executor_response_other_incarnation(&response), "") << kind;
     }
 }
--- a/tests/unit/leader_rig.h
+++ b/tests/unit/leader_rig.h
@@ -51,18 +51,18 @@
 struct Executor {
     int64_t agent;
     std::string incarnation;
-    int64_t cpu = 1000, epoch = 1, silent_ms = 0, over_ms = 5000, draining = 0, seq = 0, percent = -1;
+    int64_t cpu = 1000, epoch = 1, silent_ms = 0, lease_left_ms = 5000, draining = 0, seq = 0, percent = -1;
     int64_t orders_taken = 0;
     bool up = true, deaf = false;
     std::set<Ref> active;
     std::vector<std::pair<Ref, std::pair<int64_t, int64_t>>> ended; // seq, how
-    std::map<Ref, std::string> saved;
+    std::map<Ref, std::string> checkpoint;
     std::map<Ref, int64_t> refused;
     int64_t end(Ref r, int64_t how)
     {
         active.erase(r);
         refused.erase(r);
-        ended.push_back({r, {how == END_ABSENT ? 0 : ++seq, how}});
+        ended.push_back({r, {how == END_NEVER_RAN ? 0 : ++seq, how}});
         return seq;
     }
 };
@@ -101,7 +101,7 @@
     int64_t now = 1000, wall = 1000000, epoch = 1;
     record r = {};
     struct dispatch *d = nullptr;
-    bool leads = true, auto_commit = true;
+    bool holds_lease = true, auto_commit = true;
     std::deque<std::unique_ptr<Batch>> log; // proposed, not committed
     std::vector<int64_t> barriers;
     std::map<int64_t, std::vector<Answer>> answers; // by ticket
@@ -143,7 +143,7 @@
                 e.active.insert({o->starts[i].job, o->starts[i].task, o->starts[i].attempt});
         of(arg)->orders.push_back(std::move(copy));
     }
-    static int leads_now(void *arg) { return of(arg)->leads; }
+    static int leads_now(void *arg) { return of(arg)->holds_lease; }
     static void barrier(void *arg, int64_t tag) { of(arg)->barriers.push_back(tag); }
 
     Rig() : world()
@@ -166,7 +166,7 @@
         EXPECT_EQ(record_apply(&r, &op), 0);
         schema_free(&record_op_schema, &op);
         begin();
-        dispatch_lead(d, epoch);
+        dispatch_become_leader(d, epoch);
     }
     ~Rig()
     {
@@ -177,8 +177,8 @@
     {
         settings.lease_ms = LEASE;
         settings.early_ms = EARLY;
-        settings.shown_ms = 60000;
-        settings.far_pct = 150;
+        settings.job_retention_ms = 60000;
+        settings.remote_data_pct = 150;
         settings.gang_timeout_ms = 3000;
         settings.restore_ms = 600;
         struct dispatch_calls c = {propose, answer, take_orders, leads_now, barrier, static_cast<void *>(this)};
@@ -191,7 +191,7 @@
         log.clear();
         orders.clear();
         begin();
-        dispatch_lead(d, ++epoch);
+        dispatch_become_leader(d, ++epoch);
     }
 
     // --- the log
@@ -305,13 +305,14 @@
         to.executor.rack = must_dup("r0");
         to.executor.zone = must_dup("z");
         to.executor.cpu_milli = e.cpu, to.executor.memory_mb = 100000;
-        to.executor.draining = e.draining, to.executor.silent_ms = e.silent_ms, to.executor.over_ms = e.over_ms;
+        to.executor.draining = e.draining, to.executor.silent_ms = e.silent_ms,
+        to.executor.lease_left_ms = e.lease_left_ms;
         for (const Ref &a : e.active)
             record_build::more_of(to.active, to.n_active) = {std::get<0>(a), std::get<1>(a), std::get<2>(a), e.percent,
                                                              nullptr};
         for (const auto &end : e.ended) {
             run_ref x = ref_of(end.first);
-            char *text = e.saved.count(end.first) ? must_dup(e.saved[end.first].c_str()) : nullptr;
+            char *text = e.checkpoint.count(end.first) ? must_dup(e.checkpoint[end.first].c_str()) : nullptr;
             record_build::more_of(to.ended, to.n_ended) = {end.second.first,  x.job, x.task, x.attempt,
                                                            end.second.second, text};
         }
--- a/tests/unit/leader_test.cc
+++ b/tests/unit/leader_test.cc
@@ -66,10 +66,10 @@
     int64_t under_way = t.request_job(2, NORMAL, {Rig::step(1, 10)});
     dispatch_flush(t.d);
     int64_t gathered = t.request_job(3, NORMAL, {Rig::step(1, 10)});
-    t.leads = false;
+    t.holds_lease = false;
     int64_t read = t.request_state(1);
     ASSERT_EQ(t.barriers.size(), 1u);
-    dispatch_follow(t.d);
+    dispatch_become_follower(t.d);
     int64_t after = t.request_state(1);
     for (int64_t request : {state, under_way, gathered, read, after}) {
         ASSERT_EQ(t.answers[request].size(), 1u) << request;
@@ -85,7 +85,7 @@
 {
     t.executor();
     t.add(1, NORMAL, {Rig::step(2, 1000)});
-    t.leads = false;
+    t.holds_lease = false;
     int64_t request = t.request_state(1);
     t.run(300);
     EXPECT_TRUE(t.answers[request].empty());
@@ -260,12 +260,12 @@
     job *j = t.add(1, NORMAL, {s});
     t.run(100);
     ASSERT_EQ(j->n_placed, 3);
-    e.saved[{1, 0, 1}] = "half";
+    e.checkpoint[{1, 0, 1}] = "half";
     e.end({1, 0, 1}, END_STOPPED);
     t.report(e);
     size_t mark = t.orders.size();
     t.settle();
-    ASSERT_STREQ(j->rows[2].saved, "half");
+    ASSERT_STREQ(j->rows[2].checkpoint, "half");
     t.run(600);
     for (int64_t task : {1, 2}) {
         EXPECT_EQ(t.starts({1, task, 1}, mark), 0) << task;
@@ -307,13 +307,13 @@
     Executor *first = t.home_of(j);
     ASSERT_TRUE(first);
     ASSERT_GT(t.starts({1, 0, 1}), 0);
-    first->refused[{1, 0, 1}] = REFUSED_SICK;
+    first->refused[{1, 0, 1}] = REFUSED_UNAVAILABLE;
     size_t mark = t.orders.size();
     t.run(3000);
     EXPECT_GT(t.stops({1, 0, 1}, mark), 0);
     EXPECT_EQ(t.starts({1, 0, 1}, mark + 1), 0);
     EXPECT_EQ(j->rows[0].attempt, 1) << "the refused call may still be carried out";
-    first->end({1, 0, 1}, END_ABSENT);
+    first->end({1, 0, 1}, END_NEVER_RAN);
     t.run(100);
     EXPECT_EQ(j->rows[0].attempt, 2);
     EXPECT_GT(t.starts({1, 0, 2}), 0);
--- a/tests/unit/leader_time_test.cc
+++ b/tests/unit/leader_time_test.cc
@@ -48,7 +48,7 @@
     t.add(1, NORMAL, {Rig::step(1, 500)});
     t.run(1000);
     ASSERT_EQ(e.active.size(), 1u);
-    t.leads = false;
+    t.holds_lease = false;
     size_t mark = t.orders.size();
     int64_t ms = lapsed_after({1, 0, 1}, LAPSE_MS + 1000);
     EXPECT_GT(ms, LAPSE_MS);
@@ -75,11 +75,11 @@
     t.add(1, NORMAL, {Rig::step(1, 500)});
     t.run(300);
     t.auto_commit = false;
-    e.silent_ms = 1000, e.over_ms = 10;
+    e.silent_ms = 1000, e.lease_left_ms = 10;
     t.report(e);
     dispatch_flush(t.d);
     ASSERT_TRUE(t.log.empty());
-    e.over_ms = 0;
+    e.lease_left_ms = 0;
     t.report(e);
     dispatch_flush(t.d);
     ASSERT_EQ(t.log.size(), 1u);
@@ -94,7 +94,7 @@
     t.add(1, NORMAL, {Rig::step(1, 500)});
     t.run(300);
     t.auto_commit = false;
-    e.silent_ms = 1000, e.over_ms = 0;
+    e.silent_ms = 1000, e.lease_left_ms = 0;
     t.report(e);
     dispatch_flush(t.d);
     EXPECT_TRUE(t.log.empty());
--- a/tests/unit/plan_order_test.cc
+++ b/tests/unit/plan_order_test.cc
@@ -5,7 +5,7 @@
 {
 
 struct PlanOrder : testing::Test {
-    Site t;
+    PlanFixture t;
     std::vector<int64_t> keep;
     void TearDown() override { t.drop(); }
     void round()
@@ -23,7 +23,7 @@
             EXPECT_EQ(t.p.n, 1);
             if (t.p.n != 1)
                 break;
-            job *j = t.p.places[0].job;
+            job *j = t.p.placements[0].job;
             t.commit();
             t.move(j, 0, ROW_DONE);
             got.push_back(j);
@@ -36,10 +36,10 @@
 {
     t.candidate_add(1000);
     int64_t q = t.queue(0, 1000); // aim 2500; late from 1750 on, hopeless from 7500 on
-    job *hopeless = t.add(q, {Site::step(1, 1000)}, WALL - 7600);
-    job *late = t.add(q, {Site::step(1, 1000)}, WALL - 1800);
-    job *later = t.add(q, {Site::step(1, 1000)}, WALL - 2400);
-    job *in_time = t.add(q, {Site::step(1, 1000)}, WALL - 1700);
+    job *hopeless = t.add(q, {PlanFixture::step(1, 1000)}, WALL - 7600);
+    job *late = t.add(q, {PlanFixture::step(1, 1000)}, WALL - 1800);
+    job *later = t.add(q, {PlanFixture::step(1, 1000)}, WALL - 2400);
+    job *in_time = t.add(q, {PlanFixture::step(1, 1000)}, WALL - 1700);
     EXPECT_EQ(order(4), (std::vector<const job *>{in_time, later, late, hopeless}));
 }
 
@@ -47,8 +47,8 @@
 {
     t.candidate_add(1000);
     int64_t wide = t.queue(0, 9000), tight = t.queue(0, 1000);
-    job *old = t.add(wide, {Site::step(1, 1000)}, WALL - 3000);
-    job *young = t.add(tight, {Site::step(1, 1000)}, WALL);
+    job *old = t.add(wide, {PlanFixture::step(1, 1000)}, WALL - 3000);
+    job *young = t.add(tight, {PlanFixture::step(1, 1000)}, WALL);
     EXPECT_EQ(order(2), (std::vector<const job *>{young, old}));
 }
 
@@ -56,9 +56,9 @@
 {
     t.candidate_add(1000);
     int64_t q = t.queue(0, 9000);
-    job *wide = t.add(q, {Site::step(3, 1000, 100)}, WALL - 3000);
-    job *small = t.add(q, {Site::step(1, 1000, 5000)}, WALL);
-    job *late = t.add(q, {Site::step(1, 500, 100)}, WALL - 9200);
+    job *wide = t.add(q, {PlanFixture::step(3, 1000, 100)}, WALL - 3000);
+    job *small = t.add(q, {PlanFixture::step(1, 1000, 5000)}, WALL);
+    job *late = t.add(q, {PlanFixture::step(1, 500, 100)}, WALL - 9200);
     EXPECT_EQ(order(1), (std::vector<const job *>{small}));
     t.round();
     EXPECT_EQ(t.placed_of(wide), 1);
@@ -69,8 +69,8 @@
 {
     t.candidate_add(1000);
     int64_t urgent = t.queue(0), patient = t.queue(2), idle = t.queue(1);
-    t.add(urgent, {Site::step(3, 800)});
-    t.add(patient, {Site::step(2, 700)});
+    t.add(urgent, {PlanFixture::step(3, 800)});
+    t.add(patient, {PlanFixture::step(2, 700)});
     t.round();
     EXPECT_EQ(t.p.blocked, 4);
     EXPECT_EQ(t.p.blocked_cpu_milli[urgent], 1600);
@@ -85,12 +85,12 @@
 {
     t.candidate_add(1000);
     int64_t q = t.queue(0, 10000);
-    step_spec end = Site::step(1, 1000, 8000);
+    step_spec end = PlanFixture::step(1, 1000, 8000);
     end.depends_on = static_cast<int64_t *>(must_alloc(sizeof(int64_t)));
     end.n_depends_on = 1;
-    job *single = t.add(q, {Site::step(1, 1000, 8000)}, WALL - 500); // slack 22000 - 500 - 6000
+    job *single = t.add(q, {PlanFixture::step(1, 1000, 8000)}, WALL - 500); // slack 22000 - 500 - 6000
     // both have the same longest first step; the chain's aim is 23500, of which 6750 are its rest
-    job *chain = t.add(q, {Site::step(1, 1000, 1000), end}, WALL - 3000);
+    job *chain = t.add(q, {PlanFixture::step(1, 1000, 1000), end}, WALL - 3000);
     t.round();
     EXPECT_EQ(t.placed_of(chain), 1);
     EXPECT_EQ(t.placed_of(single), 0);
@@ -104,7 +104,7 @@
         t.candidate_add(10000);
         urgent = t.queue(0), patient = t.queue(4, target_ms);
         keep = {0, 2500};
-        job *taken = t.add(urgent, {Site::step(1, taken_cpu)});
+        job *taken = t.add(urgent, {PlanFixture::step(1, taken_cpu)});
         t.round();
         t.commit();
         ASSERT_EQ(taken->rows[0].state, ROW_PLACED);
@@ -114,7 +114,7 @@
 TEST_F(Kept, PatientWorkLeavesTheRoomThatIsKept)
 {
     begin(6000);
-    job *j = t.add(patient, {Site::step(9, 1000)});
+    job *j = t.add(patient, {PlanFixture::step(9, 1000)});
     round();
     EXPECT_EQ(t.placed_of(j), 1); // 4000 free, 2500 kept
 }
@@ -122,7 +122,7 @@
 TEST_F(Kept, AGangThatWouldNotLeaveItIsNotPlaced)
 {
     begin(6000);
-    step_spec s = Site::step(2, 1000);
+    step_spec s = PlanFixture::step(2, 1000);
     s.gang = 1;
     job *j = t.add(patient, {s});
     round();
@@ -135,7 +135,7 @@
 TEST_F(Kept, UrgentWorkTakesIt)
 {
     begin(6000);
-    job *j = t.add(urgent, {Site::step(9, 1000)});
+    job *j = t.add(urgent, {PlanFixture::step(9, 1000)});
     round();
     EXPECT_EQ(t.placed_of(j), 4);
 }
@@ -143,7 +143,7 @@
 TEST_F(Kept, PatientWorkThatRunsLateTakesIt)
 {
     begin(6000, 3000); // aim 4500, to be begun 2000 before it
-    job *early = t.add(patient, {Site::step(9, 1000)}, WALL - 2400);
+    job *early = t.add(patient, {PlanFixture::step(9, 1000)}, WALL - 2400);
     round();
     EXPECT_EQ(t.placed_of(early), 1);
     for (int64_t i = 0; i < t.p.n; i++) // give the round's room back
@@ -157,7 +157,7 @@
 {
     begin(4900);
     keep[1] = 5000;
-    job *j = t.add(patient, {Site::step(2, 1000)});
+    job *j = t.add(patient, {PlanFixture::step(2, 1000)});
     round();
     EXPECT_EQ(t.placed_of(j), 2);
 }
--- a/tests/unit/plan_random_test.cc
+++ b/tests/unit/plan_random_test.cc
@@ -11,17 +11,17 @@
     bool one_in(int64_t n) { return below(n) == 0; }
 };
 
-void build(Site &t, Random &random, bool old)
+void build(PlanFixture &t, Random &random, bool old)
 {
     static const char *const racks[] = {"r0", "r1", "r2"};
-    t.most = random.one_in(4) ? 1 + random.below(20) : 300;
+    t.max_placements = random.one_in(4) ? 1 + random.below(20) : 300;
     for (int64_t i = 0, n = 1 + random.below(12); i < n; i++) {
         int64_t no =
             t.candidate_add(1000 * (1 + random.below(8)), racks[random.below(3)], random.one_in(4) ? "other" : "s",
                             random.one_in(3) ? "big" : nullptr, random.one_in(4) ? 4 : 0);
         candidate &s = t.candidates[(size_t)no];
         s.open = !random.one_in(8);
-        s.slow_pct = random.one_in(4) ? 250 : 100;
+        s.duration_pct = random.one_in(4) ? 250 : 100;
         s.failures = random.one_in(4) ? random.below(5) : 0;
         if (random.one_in(10))
             s.departs_ms = 5000 + random.below(4000);
@@ -34,10 +34,10 @@
         std::vector<step_spec> steps;
         int64_t n_steps = 1 + random.below(3), repeats = random.one_in(4) ? 1 + random.below(4) : 0;
         for (int64_t k = 0; k < n_steps; k++) {
-            step_spec s = Site::step(1 + random.below(6), 250 * random.below(12), 500 * random.below(10));
+            step_spec s = PlanFixture::step(1 + random.below(6), 250 * random.below(12), 500 * random.below(10));
             s.memory_mb = 250 * random.below(12);
             s.gang = random.one_in(4), s.same_rack = s.gang && random.one_in(2);
-            s.checkpoints = random.one_in(3), s.lasting = random.one_in(8);
+            s.checkpoints = random.one_in(3), s.long_running = random.one_in(8);
             s.per_executor = random.one_in(4) ? 1 + random.below(2) : 0;
             s.gpus = random.one_in(8) ? 1 + random.below(2) : 0;
             if (random.one_in(4))
@@ -52,11 +52,11 @@
         }
         int64_t accepted = old ? WALL - random.below(20000) : WALL - random.below(900);
         job *j = t.add(random.below(5), steps, accepted, repeats, WALL - 2000 + random.below(4000), random.below(2000));
-        for (int64_t no = 0; no < j->times * j->tasks; no++) {
-            int64_t time, step, index;
-            job_place(j, no, &time, &step, &index);
+        for (int64_t no = 0; no < j->repetitions * j->tasks; no++) {
+            int64_t repetition, step, index;
+            job_row_position(j, no, &repetition, &step, &index);
             j->rows[no].attempt = (int32_t)random.below(3);
-            if (random.one_in(3) && !j->spec.steps[step].gang && job_step_begins(j, time, step))
+            if (random.one_in(3) && !j->spec.steps[step].gang && job_step_begins(j, repetition, step))
                 t.move(j, no, ROW_DONE);
             else if (random.one_in(10))
                 t.busy.insert({j, no});
@@ -76,17 +76,17 @@
 }
 
 // Every placement on its own, and all of them together against the seats as they were.
-void check_round(Site &t, const std::vector<candidate> &before)
+void check_round(PlanFixture &t, const std::vector<candidate> &before)
 {
     std::set<std::pair<job *, int64_t>> seen;
     std::map<std::tuple<job *, int64_t, int64_t>, std::vector<const placement *>> groups;
     std::vector<candidate> after = before;
     for (int64_t i = 0; i < t.p.n; i++) {
-        const placement *at = &t.p.places[i];
+        const placement *at = &t.p.placements[i];
         job *j = at->job;
-        int64_t time, step, index;
-        job_place(j, at->no, &time, &step, &index);
-        ASSERT_EQ(time, at->time);
+        int64_t repetition, step, index;
+        job_row_position(j, at->no, &repetition, &step, &index);
+        ASSERT_EQ(repetition, at->repetition);
         ASSERT_EQ(step, at->step);
         const step_spec &k = j->spec.steps[step];
         EXPECT_FALSE(job_over(j)) << "a job that is over";
@@ -94,15 +94,15 @@
         EXPECT_EQ(j->rows[at->no].state, ROW_WAITING);
         EXPECT_FALSE(t.busy.count({j, at->no})) << "a row spoken for";
         EXPECT_GT(at->attempt, j->rows[at->no].attempt);
-        EXPECT_LE(job_due_ms(j, time), t.wall_ms + EARLY) << "before its time";
+        EXPECT_LE(job_due_ms(j, repetition), t.wall_ms + EARLY) << "before its time";
         for (int64_t d = 0; d < k.n_depends_on; d++)
             for (int64_t n = 0; n < j->spec.steps[k.depends_on[d]].task_count; n++)
-                EXPECT_EQ(j->rows[time * j->tasks + j->first[k.depends_on[d]] + n].state, ROW_DONE) << "order";
+                EXPECT_EQ(j->rows[repetition * j->tasks + j->first[k.depends_on[d]] + n].state, ROW_DONE) << "order";
         candidate &s = after[(size_t)at->candidate];
         EXPECT_STREQ(s.service, t.r.queues[j->queue].config.service);
         EXPECT_TRUE(holds(s, k, true)) << "label, open or size";
         s.cpu_free -= k.cpu_milli, s.memory_free -= k.memory_mb, s.gpus_free -= k.gpus;
-        groups[{j, time, step}].push_back(at);
+        groups[{j, repetition, step}].push_back(at);
     }
     for (size_t i = 0; i < after.size(); i++) {
         EXPECT_GE(after[i].cpu_free, 0) << "seat " << i;
@@ -112,41 +112,41 @@
         EXPECT_EQ(after[i].memory_free, t.candidates[i].memory_free);
         EXPECT_EQ(after[i].gpus_free, t.candidates[i].gpus_free);
     }
-    for (auto &[key, places] : groups) {
-        auto [j, time, step] = key;
+    for (auto &[key, placements] : groups) {
+        auto [j, repetition, step] = key;
         const step_spec &k = j->spec.steps[step];
         if (k.gang) {
-            EXPECT_EQ((int64_t)places.size(), k.task_count) << "a gang in part";
-            for (const placement *at : places)
-                EXPECT_EQ(at->attempt, places[0]->attempt);
+            EXPECT_EQ((int64_t)placements.size(), k.task_count) << "a gang in part";
+            for (const placement *at : placements)
+                EXPECT_EQ(at->attempt, placements[0]->attempt);
         }
         std::map<int64_t, int64_t> used;
         for (int64_t n = 0; n < k.task_count; n++) {
-            const row &w = j->rows[time * j->tasks + j->first[step] + n];
+            const row &w = j->rows[repetition * j->tasks + j->first[step] + n];
             if (w.state == ROW_PLACED)
                 used[w.incarnation]++;
         }
-        for (const placement *at : places)
+        for (const placement *at : placements)
             EXPECT_TRUE(++used[t.candidates[(size_t)at->candidate].incarnation_no] <= k.per_executor || !k.per_executor)
                 << "too many on one";
     }
-    EXPECT_TRUE(t.p.n <= t.most || groups.size() == 1) << "more than was asked for";
+    EXPECT_TRUE(t.p.n <= t.max_placements || groups.size() == 1) << "more than was asked for";
 }
 
 // Nothing that would fit was left out. Holds only where no room is held for others.
-void check_nothing_left(Site &t)
+void check_nothing_left(PlanFixture &t)
 {
     std::set<std::pair<job *, int64_t>> placed;
     for (int64_t i = 0; i < t.p.n; i++)
-        placed.insert({t.p.places[i].job, t.p.places[i].no});
+        placed.insert({t.p.placements[i].job, t.p.placements[i].no});
     int64_t left = 0;
     for (job *j = t.r.oldest; j; j = j->next) {
-        for (int64_t no = 0; no < j->times * j->tasks && !job_over(j); no++) {
-            int64_t time, step, index;
-            job_place(j, no, &time, &step, &index);
+        for (int64_t no = 0; no < j->repetitions * j->tasks && !job_over(j); no++) {
+            int64_t repetition, step, index;
+            job_row_position(j, no, &repetition, &step, &index);
             const step_spec &k = j->spec.steps[step];
             if (j->rows[no].state != ROW_WAITING || placed.count({j, no}) || t.busy.count({j, no}) || k.gang ||
-                k.per_executor || !job_step_begins(j, time, step) || job_due_ms(j, time) > t.wall_ms)
+                k.per_executor || !job_step_begins(j, repetition, step) || job_due_ms(j, repetition) > t.wall_ms)
                 continue;
             left++;
             for (const candidate &s : t.candidates) {
@@ -164,7 +164,7 @@
 {
     for (unsigned seed = 0; seed < 600 && !testing::Test::HasFailure(); seed++) {
         SCOPED_TRACE("seed " + std::to_string(seed));
-        Site t;
+        PlanFixture t;
         Random random(seed);
         bool old = seed % 2;
         build(t, random, old);
@@ -172,11 +172,11 @@
             std::vector<candidate> before = t.candidates;
             t.round();
             check_round(t, before);
-            if (!old && t.p.n + 6 <= t.most) // else a gang of up to six may have ended the round
+            if (!old && t.p.n + 6 <= t.max_placements) // else a gang of up to six may have ended the round
                 check_nothing_left(t);
             t.commit();
             for (job *j = t.r.oldest; j; j = j->next)
-                for (int64_t no = 0; no < j->times * j->tasks; no++)
+                for (int64_t no = 0; no < j->repetitions * j->tasks; no++)
                     if (j->rows[no].state == ROW_PLACED && random.one_in(4))
                         t.move(j, no, random.one_in(3) ? ROW_WAITING : ROW_DONE);
         }
@@ -189,35 +189,35 @@
     int64_t named = 0;
     for (unsigned seed = 0; seed < 600 && !testing::Test::HasFailure(); seed++) {
         SCOPED_TRACE("seed " + std::to_string(seed));
-        Site t;
+        PlanFixture t;
         Random random(seed);
         build(t, random, false);
         t.busy.clear();
         for (job *j = t.r.oldest; j; j = j->next)
             if (j->queue == 0)
                 t.r.queues[0].config.priority = 2;
-        t.most = 300;
+        t.max_placements = 300;
         t.round();
         t.commit();
         int64_t urgent = t.queue(0);
-        step_spec s = Site::step(1, 1000);
+        step_spec s = PlanFixture::step(1, 1000);
         s.gang = random.one_in(3), s.task_count = s.gang ? 3 : 1 + random.below(2);
         job *j = t.add(urgent, {s});
         t.wall_ms += 100;
         t.round();
         t.commit();
-        int64_t without = t.placed_of(j), most = 1 + random.below(30);
-        std::vector<victim> v = t.victims(most);
+        int64_t without = t.placed_of(j), max_placements = 1 + random.below(30);
+        std::vector<victim> v = t.victims(max_placements);
         std::set<std::pair<job *, int64_t>> seen;
-        EXPECT_LE((int64_t)v.size(), most);
+        EXPECT_LE((int64_t)v.size(), max_placements);
         int64_t least = INT64_MAX;
         for (const victim &x : v) {
-            int64_t time, step, index;
+            int64_t repetition, step, index;
             EXPECT_TRUE(seen.insert({x.job, x.no}).second);
             EXPECT_EQ(x.job->rows[x.no].state, ROW_PLACED);
             EXPECT_FALSE(job_over(x.job));
             least = std::min(least, t.r.queues[x.job->queue].config.priority);
-            job_place(x.job, x.no, &time, &step, &index);
+            job_row_position(x.job, x.no, &repetition, &step, &index);
             for (int64_t n = 0; x.job->spec.steps[step].gang && n < x.job->spec.steps[step].task_count; n++)
                 EXPECT_TRUE(std::count_if(v.begin(), v.end(), [&](const victim &y) {
                     return y.job == x.job && y.no == x.no - index + n;
@@ -234,7 +234,7 @@
         t.round();
         int64_t helped = 0;
         for (int64_t i = 0; i < t.p.n; i++)
-            helped += t.r.queues[t.p.places[i].job->queue].config.priority < least;
+            helped += t.r.queues[t.p.placements[i].job->queue].config.priority < least;
         EXPECT_GT(helped, 0) << "stopped for nothing; before " << without;
         t.drop();
     }
--- a/tests/unit/plan_site.h
+++ b/tests/unit/plan_site.h
@@ -29,17 +29,17 @@
 }
 
 // A record built by hand, its seats, and one round after another.
-struct Site {
+struct PlanFixture {
     record r = {};
     std::deque<std::string> names;
     std::vector<char *> labelled;
     std::vector<candidate> candidates;
     std::set<std::pair<const job *, int64_t>> busy;
     plan p = {};
-    int64_t wall_ms = WALL, most = 300, next_id = 1;
+    int64_t wall_ms = WALL, max_placements = 300, next_id = 1;
 
-    Site() { record_start(&r); }
-    ~Site()
+    PlanFixture() { record_start(&r); }
+    ~PlanFixture()
     {
         plan_free(&p);
         record_end(&r);
@@ -73,7 +73,7 @@
         struct incarnation *l = more(r.incarnations, r.n_incarnations);
         l->name = must_dup(s.incarnation);
         s.cpu_milli = s.cpu_free = cpu, s.memory_mb = s.memory_free = cpu, s.gpus = s.gpus_free = gpus;
-        s.open = 1, s.departs_ms = INT64_MAX, s.slow_pct = 100;
+        s.open = 1, s.departs_ms = INT64_MAX, s.duration_pct = 100;
         candidates.push_back(s);
         return (int64_t)candidates.size() - 1;
     }
@@ -102,9 +102,9 @@
     void move(job *j, int64_t no, int state, int64_t candidate = -1)
     {
         row *w = &j->rows[no];
-        int64_t time, s, index, group;
-        job_place(j, no, &time, &s, &index);
-        group = time * j->spec.n_steps + s;
+        int64_t repetition, s, index, group;
+        job_row_position(j, no, &repetition, &s, &index);
+        group = repetition * j->spec.n_steps + s;
         const step_spec *spec = &j->spec.steps[s];
         if (w->state == ROW_PLACED) {
             struct candidate *at = &candidates[(size_t)w->incarnation];
@@ -124,12 +124,13 @@
         }
         w->state = state, w->incarnation = (int32_t)candidate, w->since_ms = wall_ms;
     }
-    static int is_busy(void *arg, const job *j, int64_t no) { return (int)((Site *)arg)->busy.count({j, no}); }
+    static int is_busy(void *arg, const job *j, int64_t no) { return (int)((PlanFixture *)arg)->busy.count({j, no}); }
     plan_input input()
     {
         plan_input in = {};
         in.record = &r, in.candidates = candidates.data(), in.n_candidates = (int64_t)candidates.size();
-        in.now_ms = 5000, in.wall_ms = wall_ms, in.early_ms = EARLY, in.far_pct = 150, in.most = most;
+        in.now_ms = 5000, in.wall_ms = wall_ms, in.early_ms = EARLY, in.remote_data_pct = 150,
+        in.max_placements = max_placements;
         in.busy = is_busy, in.arg = this;
         return in;
     }
@@ -142,7 +143,7 @@
     void commit()
     {
         for (int64_t i = 0; i < p.n; i++) {
-            const placement *at = &p.places[i];
+            const placement *at = &p.placements[i];
             const step_spec *s = &at->job->spec.steps[at->step];
             candidate *to = &candidates[(size_t)at->candidate];
             to->cpu_free += s->cpu_milli, to->memory_free += s->memory_mb, to->gpus_free += s->gpus;
@@ -161,14 +162,14 @@
     {
         int64_t n = 0;
         for (int64_t i = 0; i < p.n; i++)
-            n += p.places[i].job == j;
+            n += p.placements[i].job == j;
         return n;
     }
-    int64_t candidate_of(const job *j) const
+    int64_t placed_on(const job *j) const
     {
         for (int64_t i = 0; i < p.n; i++)
-            if (p.places[i].job == j)
-                return p.places[i].candidate;
+            if (p.placements[i].job == j)
+                return p.placements[i].candidate;
         return -1;
     }
     std::vector<char **> owned;
--- a/tests/unit/plan_test.cc
+++ b/tests/unit/plan_test.cc
@@ -5,15 +5,15 @@
 {
 
 struct Plan : testing::Test {
-    Site t;
+    PlanFixture t;
     void TearDown() override { t.drop(); }
 };
 
 TEST_F(Plan, TheUrgentOneGetsTheRoomForOne)
 {
     t.candidate_add(1000);
-    job *later = t.add(t.queue(2), {Site::step(1, 1000)}, WALL - 500);
-    job *first = t.add(t.queue(1), {Site::step(1, 1000)});
+    job *later = t.add(t.queue(2), {PlanFixture::step(1, 1000)}, WALL - 500);
+    job *first = t.add(t.queue(1), {PlanFixture::step(1, 1000)});
     t.round();
     EXPECT_EQ(t.placed_of(first), 1);
     EXPECT_EQ(t.placed_of(later), 0);
@@ -25,9 +25,9 @@
 {
     t.candidate_add(2000);
     int64_t q = t.queue(0, 1000); // aim 2500: hopeless from 7500 on
-    job *hopeless = t.add(q, {Site::step(1, 1000)}, WALL - 8000);
-    job *fresh = t.add(q, {Site::step(1, 1000)}, WALL);
-    job *old = t.add(q, {Site::step(1, 1000)}, WALL - 7000);
+    job *hopeless = t.add(q, {PlanFixture::step(1, 1000)}, WALL - 8000);
+    job *fresh = t.add(q, {PlanFixture::step(1, 1000)}, WALL);
+    job *old = t.add(q, {PlanFixture::step(1, 1000)}, WALL - 7000);
     t.round();
     EXPECT_EQ(t.placed_of(old), 1);
     EXPECT_EQ(t.placed_of(fresh), 1);
@@ -37,8 +37,8 @@
 TEST_F(Plan, WaitingLiftsAJobByAClass)
 {
     t.candidate_add(1000);
-    job *aged = t.add(t.queue(2, 1000), {Site::step(1, 1000)}, WALL - 20500); // two times four aims of 2500
-    job *fresh = t.add(t.queue(1, 1000), {Site::step(1, 1000)});
+    job *aged = t.add(t.queue(2, 1000), {PlanFixture::step(1, 1000)}, WALL - 20500); // two times four aims of 2500
+    job *fresh = t.add(t.queue(1, 1000), {PlanFixture::step(1, 1000)});
     t.round();
     EXPECT_EQ(t.placed_of(aged), 1);
     EXPECT_EQ(t.placed_of(fresh), 0);
@@ -48,11 +48,11 @@
 {
     for (int i = 0; i < 2; i++)
         t.candidate_add(i ? 2000 : 4000);
-    job *small = t.add(t.queue(1), {Site::step(40, 1000)});
+    job *small = t.add(t.queue(1), {PlanFixture::step(40, 1000)});
     t.round();
     t.commit();
     ASSERT_EQ(t.p.n, 6);
-    job *big = t.add(t.queue(0), {Site::step(1, 4000)});
+    job *big = t.add(t.queue(0), {PlanFixture::step(1, 4000)});
     t.wall_ms += 2000;
     for (int k = 0; k < 4 && !t.placed_of(big); k++) {
         for (int64_t no = 0; no < small->tasks; no++)
@@ -63,7 +63,8 @@
             }
         t.round();
         for (int64_t i = 0; i < t.p.n; i++)
-            EXPECT_TRUE(t.p.places[i].job == big || t.p.places[i].candidate == 1) << "took the room that is held";
+            EXPECT_TRUE(t.p.placements[i].job == big || t.p.placements[i].candidate == 1)
+                << "took the room that is held";
         t.commit();
     }
     EXPECT_EQ(t.placed_of(big), 1);
@@ -73,10 +74,10 @@
 {
     for (int i = 0; i < 4; i++)
         t.candidate_add(2000);
-    job *small = t.add(t.queue(1), {Site::step(200, 1000)});
+    job *small = t.add(t.queue(1), {PlanFixture::step(200, 1000)});
     t.round();
     t.commit();
-    step_spec s = Site::step(6, 1000);
+    step_spec s = PlanFixture::step(6, 1000);
     s.gang = 1;
     job *gang = t.add(t.queue(1), {s});
     gang->accepted_ms -= 10;
@@ -99,14 +100,14 @@
 {
     t.candidate_add(4000);
     t.candidate_add(4000);
-    job *some = t.add(t.queue(0), {Site::step(1, 1000)});
+    job *some = t.add(t.queue(0), {PlanFixture::step(1, 1000)});
     t.round();
     t.commit();
     ASSERT_EQ(t.placed_of(some), 1);
-    step_spec s = Site::step(2, 4000);
+    step_spec s = PlanFixture::step(2, 4000);
     s.gang = 1;
     t.add(t.queue(1), {s});
-    job *small = t.add(t.queue(2), {Site::step(1, 500)});
+    job *small = t.add(t.queue(2), {PlanFixture::step(1, 500)});
     t.wall_ms += 1600;
     t.round();
     EXPECT_EQ(t.placed_of(small), 0);
@@ -119,14 +120,14 @@
 {
     t.candidate_add(4000, "r0");
     int64_t near = t.candidate_add(4000, "r1");
-    step_spec s = Site::step(5, 1000);
+    step_spec s = PlanFixture::step(5, 1000);
     s.rack = must_dup("r1");
     t.add(t.queue(0), {s});
     t.round();
     ASSERT_EQ(t.p.n, 5);
     int64_t there = 0;
     for (int64_t i = 0; i < t.p.n; i++)
-        there += t.p.places[i].candidate == near;
+        there += t.p.placements[i].candidate == near;
     EXPECT_EQ(there, 4);
 }
 
@@ -134,34 +135,34 @@
 {
     t.candidate_add(4000);
     int64_t tight = t.candidate_add(3000);
-    job *short_one = t.add(t.queue(0), {Site::step(1, 1000, 500)});
+    job *short_one = t.add(t.queue(0), {PlanFixture::step(1, 1000, 500)});
     t.round();
-    EXPECT_EQ(t.candidate_of(short_one), 0);
+    EXPECT_EQ(t.placed_on(short_one), 0);
     t.commit();
     t.move(short_one, 0, ROW_DONE);
-    job *long_one = t.add(t.queue(0), {Site::step(1, 1000, 20000)});
+    job *long_one = t.add(t.queue(0), {PlanFixture::step(1, 1000, 20000)});
     t.round();
-    EXPECT_EQ(t.candidate_of(long_one), tight);
+    EXPECT_EQ(t.placed_on(long_one), tight);
 }
 
 TEST_F(Plan, SeatsThatFailLeaveOrCrawlAreShunned)
 {
     for (int i = 0; i < 4; i++)
         t.candidate_add(1000);
-    t.candidates[0].failures = 3, t.candidates[1].slow_pct = 300, t.candidates[2].departs_ms = 5000 + 900;
-    job *j = t.add(t.queue(0), {Site::step(1, 1000)});
+    t.candidates[0].failures = 3, t.candidates[1].duration_pct = 300, t.candidates[2].departs_ms = 5000 + 900;
+    job *j = t.add(t.queue(0), {PlanFixture::step(1, 1000)});
     t.round();
-    EXPECT_EQ(t.candidate_of(j), 3);
+    EXPECT_EQ(t.placed_on(j), 3);
 }
 
 TEST_F(Plan, AGangOfOneRackWaitsAWhileForItThenSpreads)
 {
     for (int i = 0; i < 4; i++)
         t.candidate_add(2000, i < 2 ? "r0" : "r1");
-    job *some = t.add(t.queue(0), {Site::step(2, 1000)});
+    job *some = t.add(t.queue(0), {PlanFixture::step(2, 1000)});
     t.move(some, 0, ROW_PLACED, 0);
     t.move(some, 1, ROW_PLACED, 2);
-    step_spec s = Site::step(4, 1000);
+    step_spec s = PlanFixture::step(4, 1000);
     s.gang = s.same_rack = 1;
     job *gang = t.add(t.queue(0), {s});
     t.round();
@@ -171,39 +172,39 @@
     t.round();
     EXPECT_EQ(t.placed_of(gang), 4);
     for (int64_t i = 0; i < t.p.n; i++) // not committed: the room comes back
-        t.candidates[(size_t)t.p.places[i].candidate].cpu_free += 1000,
-            t.candidates[(size_t)t.p.places[i].candidate].memory_free += 1000;
+        t.candidates[(size_t)t.p.placements[i].candidate].cpu_free += 1000,
+            t.candidates[(size_t)t.p.placements[i].candidate].memory_free += 1000;
     t.move(some, 1, ROW_DONE);
     t.round();
     ASSERT_EQ(t.placed_of(gang), 4);
     for (int64_t i = 0; i < t.p.n; i++)
-        EXPECT_STREQ(t.candidates[(size_t)t.p.places[i].candidate].rack, "r1");
+        EXPECT_STREQ(t.candidates[(size_t)t.p.placements[i].candidate].rack, "r1");
 }
 
 TEST_F(Plan, TimesBeginWhenDueAndTheNextIsTold)
 {
     t.candidate_add(9000);
-    job *j = t.add(t.queue(0), {Site::step(1, 1000)}, WALL - 100, 3, WALL - 5000, 6000);
+    job *j = t.add(t.queue(0), {PlanFixture::step(1, 1000)}, WALL - 100, 3, WALL - 5000, 6000);
     t.round();
     ASSERT_EQ(t.p.n, 1);
-    EXPECT_EQ(t.p.places[0].time, 0);
+    EXPECT_EQ(t.p.placements[0].repetition, 0);
     EXPECT_GT(t.p.next_due_ms, WALL);
     EXPECT_LE(t.p.next_due_ms, WALL + 1000);
     t.commit();
     t.wall_ms = t.p.next_due_ms;
     t.round();
     ASSERT_EQ(t.placed_of(j), 1);
-    EXPECT_EQ(t.p.places[0].time, 1);
+    EXPECT_EQ(t.p.placements[0].repetition, 1);
     EXPECT_GE(t.wall_ms, job_due_ms(j, 1) - EARLY / 2);
 }
 
 TEST_F(Plan, AGangLargerThanARoundGoesAlone)
 {
     t.candidate_add(9000);
-    t.most = 2;
-    step_spec s = Site::step(4, 1000);
+    t.max_placements = 2;
+    step_spec s = PlanFixture::step(4, 1000);
     s.gang = 1;
-    job *one = t.add(t.queue(0), {Site::step(1, 1000)});
+    job *one = t.add(t.queue(0), {PlanFixture::step(1, 1000)});
     job *gang = t.add(t.queue(1), {s});
     t.round();
     EXPECT_EQ(t.placed_of(one), 1);
@@ -216,7 +217,7 @@
 TEST_F(Plan, WhatCouldEverFit)
 {
     plan_input in = t.input();
-    step_spec s = Site::step(4, 3000);
+    step_spec s = PlanFixture::step(4, 3000);
     job_spec spec = {};
     spec.steps = &s, spec.n_steps = 1;
     EXPECT_TRUE(plan_could_fit(&in, &spec, "s")) << "no seat is known yet";
@@ -244,15 +245,15 @@
     t.candidate_add(1000);
     t.candidate_add(1000);
     int64_t low = t.queue(2);
-    step_spec s = Site::step(1, 1000, 60000), saved = s, lasting = s;
-    saved.checkpoints = 1, lasting.lasting = 1;
-    job *a = t.add(low, {s}), *b = t.add(low, {saved}), *c = t.add(low, {lasting});
+    step_spec s = PlanFixture::step(1, 1000, 60000), saved = s, long_running = s;
+    saved.checkpoints = 1, long_running.long_running = 1;
+    job *a = t.add(low, {s}), *b = t.add(low, {saved}), *c = t.add(low, {long_running});
     t.move(a, 0, ROW_PLACED, 0);
     t.move(b, 0, ROW_PLACED, 1);
     t.move(c, 0, ROW_PLACED, 2);
     t.wall_ms += 5000;
     EXPECT_TRUE(t.victims(9).empty()) << "nothing waits";
-    job *urgent = t.add(t.queue(1), {Site::step(1, 1000)}, t.wall_ms);
+    job *urgent = t.add(t.queue(1), {PlanFixture::step(1, 1000)}, t.wall_ms);
     std::vector<victim> v = t.victims(9);
     ASSERT_EQ(v.size(), 1u);
     EXPECT_EQ(v[0].job, b);
@@ -273,11 +274,11 @@
     t.candidate_add(1000);
     t.candidate_add(1000);
     int64_t low = t.queue(2);
-    job *ending = t.add(low, {Site::step(2, 1000)}), *other = t.add(low, {Site::step(1, 1000)});
+    job *ending = t.add(low, {PlanFixture::step(2, 1000)}), *other = t.add(low, {PlanFixture::step(1, 1000)});
     t.move(ending, 0, ROW_PLACED, 0);
     t.move(other, 0, ROW_PLACED, 1);
     ending->state = JOB_CANCELLED;
-    t.add(t.queue(0), {Site::step(1, 1000)});
+    t.add(t.queue(0), {PlanFixture::step(1, 1000)});
     t.round();
     EXPECT_EQ(t.p.n, 0);
     EXPECT_EQ(t.p.blocked, 1);
--- a/tests/unit/record_build.h
+++ b/tests/unit/record_build.h
@@ -17,7 +17,7 @@
 struct Step {
     int64_t tasks;
     std::vector<int64_t> after;
-    bool gang = false, lasting = false;
+    bool gang = false, long_running = false;
 };
 struct Spec {
     std::vector<Step> steps;
@@ -50,7 +50,7 @@
         step.task_count = from.steps[s].tasks;
         step.cpu_milli = 100;
         step.gang = from.steps[s].gang;
-        step.lasting = from.steps[s].lasting;
+        step.long_running = from.steps[s].long_running;
         step.n_depends_on = (int64_t)from.steps[s].after.size();
         if (step.n_depends_on)
             step.depends_on = (int64_t *)must_alloc(sizeof(int64_t) * from.steps[s].after.size());
@@ -88,7 +88,7 @@
 
 struct End {
     int64_t job, task, attempt, how;
-    std::string saved;
+    std::string checkpoint;
 };
 
 // Ops of one batch; what is taken from it by apply is freed with it.
@@ -129,7 +129,7 @@
         for (const End &end : ends) {
             run_ended &to = more_of(op.ended, op.n_ended);
             to.job = end.job, to.task = end.task, to.attempt = end.attempt, to.how = end.how;
-            to.saved = end.saved.empty() ? nullptr : dup(end.saved);
+            to.checkpoint = end.checkpoint.empty() ? nullptr : dup(end.checkpoint);
         }
     }
     void forget(int64_t at_ms, const std::vector<int64_t> &ids)
--- a/tests/unit/record_model.h
+++ b/tests/unit/record_model.h
@@ -20,7 +20,7 @@
 struct ModelRow {
     int state = ROW_WAITING;
     int64_t failures = 0, attempt = 0, since_ms = 0;
-    std::string incarnation, saved;
+    std::string incarnation, checkpoint;
 };
 struct ModelJob {
     int64_t id, state = JOB_PENDING, accepted_ms, ended_ms = 0;
@@ -53,14 +53,14 @@
     ModelRow *row(int64_t id, int64_t task)
     {
         ModelJob *j = job(id);
-        Place at{task_time(task), task_step(task), task_index(task)};
+        Place at{task_repetition(task), task_step(task), task_index(task)};
         return j && j->rows_there && j->rows.count(at) ? &j->rows[at] : nullptr;
     }
     bool ready(ModelJob &j, int64_t task)
     {
         for (auto &[at, row] : j.rows)
             for (int64_t before : step(j, task_step(task)).after)
-                if (std::get<0>(at) == task_time(task) && std::get<1>(at) == before && row.state != ROW_DONE)
+                if (std::get<0>(at) == task_repetition(task) && std::get<1>(at) == before && row.state != ROW_DONE)
                     return false;
         return true;
     }
@@ -116,12 +116,12 @@
             if (good)
                 seen.insert({run.job, run.task, 0});
             else if (r && step(*j, task_step(run.task)).gang)
-                refused.insert({run.job, task_time(run.task), task_step(run.task)});
+                refused.insert({run.job, task_repetition(run.task), task_step(run.task)});
             ok.push_back(good);
         }
         for (size_t i = 0; i < runs.size(); i++) {
             const run_ref &run = runs[i];
-            if (!ok[i] || refused.count({run.job, task_time(run.task), task_step(run.task)}))
+            if (!ok[i] || refused.count({run.job, task_repetition(run.task), task_step(run.task)}))
                 continue;
             ModelRow *r = row(run.job, run.task);
             r->state = ROW_PLACED, r->attempt = run.attempt, r->incarnation = incarnation, r->since_ms = now;
@@ -139,18 +139,19 @@
         const Step &s = step(j, task_step(e.task));
         std::vector<ModelRow *> group;
         for (auto &[at, other] : j.rows)
-            if (&other == r || (s.gang && std::get<0>(at) == task_time(e.task) && std::get<1>(at) == task_step(e.task)))
+            if (&other == r ||
+                (s.gang && std::get<0>(at) == task_repetition(e.task) && std::get<1>(at) == task_step(e.task)))
                 group.push_back(&other);
         if (j.over()) {
             if (r->state == ROW_PLACED)
                 leave(*r, ROW_WAITING, now), settle(j, now);
             return;
         }
-        if (e.how == END_DONE && !s.lasting) {
+        if (e.how == END_DONE && !s.long_running) {
             if (r->state != ROW_PLACED && !(r->state == ROW_WAITING && ready(j, e.task)))
                 return;
             for (ModelRow *g : group)
-                leave(*g, ROW_DONE, now), g->saved = "";
+                leave(*g, ROW_DONE, now), g->checkpoint = "";
             settle(j, now);
             return;
         }
@@ -158,10 +159,10 @@
             return;
         leave(*r, ROW_WAITING, now);
         for (ModelRow *g : group)
-            if (!e.saved.empty())
-                g->saved = e.saved;
-        if (e.how != END_FAILED || s.lasting ||
-            (s.gang && !j.failed_once.insert({task_time(e.task), task_step(e.task), e.attempt}).second))
+            if (!e.checkpoint.empty())
+                g->checkpoint = e.checkpoint;
+        if (e.how != END_FAILED || s.long_running ||
+            (s.gang && !j.failed_once.insert({task_repetition(e.task), task_step(e.task), e.attempt}).second))
             return;
         for (ModelRow *g : group)
             g->failures++;
@@ -191,21 +192,21 @@
         int64_t n_placed = 0, n_done = 0, no = 0;
         std::map<std::pair<int64_t, int64_t>, int64_t> left, waiting;
         for (auto &[at, row] : m.rows) { // in the order of the record's rows
-            auto [time, step, index] = at;
+            auto [repetition, step, index] = at;
             const struct row *is = &j->rows[no];
-            ASSERT_EQ(job_row(j, task_of(time, step, index)), no++);
-            ASSERT_EQ(is->state, row.state) << m.id << " " << time << " " << step << " " << index;
+            ASSERT_EQ(job_row(j, task_of(repetition, step, index)), no++);
+            ASSERT_EQ(is->state, row.state) << m.id << " " << repetition << " " << step << " " << index;
             ASSERT_EQ(is->failures, row.failures);
             ASSERT_EQ(is->attempt, row.attempt);
             ASSERT_EQ(is->since_ms, row.since_ms);
-            ASSERT_EQ(is->saved ? is->saved : "", row.saved);
+            ASSERT_EQ(is->checkpoint ? is->checkpoint : "", row.checkpoint);
             ASSERT_EQ(is->incarnation < 0 ? "" : r->incarnations[is->incarnation].name, row.incarnation);
             n_placed += row.state == ROW_PLACED;
             n_done += row.state == ROW_DONE;
-            left[{time, step}] += row.state != ROW_DONE;
-            waiting[{time, step}] += row.state == ROW_WAITING;
+            left[{repetition, step}] += row.state != ROW_DONE;
+            waiting[{repetition, step}] += row.state == ROW_WAITING;
         }
-        ASSERT_EQ(no, j->times * j->tasks);
+        ASSERT_EQ(no, j->repetitions * j->tasks);
         ASSERT_EQ(j->n_placed, n_placed);
         ASSERT_EQ(j->n_done, n_done);
         for (auto &[at, n] : left) {
--- a/tests/unit/record_model_test.cc
+++ b/tests/unit/record_model_test.cc
@@ -13,7 +13,7 @@
 
     static std::tuple<int, int64_t, int64_t, std::string> seen(const struct row *row)
     {
-        return {row->state, row->attempt, row->failures, row->saved ? row->saved : ""};
+        return {row->state, row->attempt, row->failures, row->checkpoint ? row->checkpoint : ""};
     }
     static void hear(void *arg, struct job *job, int64_t no)
     {
@@ -25,7 +25,7 @@
         } else {
             auto &list = l->rows[job->spec.id];
             list.clear();
-            for (int64_t i = 0; i < job->times * job->tasks; i++)
+            for (int64_t i = 0; i < job->repetitions * job->tasks; i++)
                 list.push_back(seen(&job->rows[i]));
         }
     }
@@ -33,7 +33,7 @@
     {
         ASSERT_EQ((int64_t)rows.size(), r->n_live);
         for (const struct job *j = r->oldest; j; j = j->next)
-            for (int64_t i = 0; i < j->times * j->tasks; i++)
+            for (int64_t i = 0; i < j->repetitions * j->tasks; i++)
                 ASSERT_EQ(rows[j->spec.id].at((size_t)i), seen(&j->rows[i])) << j->spec.id << " row " << i;
     }
 };
@@ -75,11 +75,13 @@
             if (!j || !j->rows_there)
                 continue;
             auto at = std::next(j->rows.begin(), pick((int64_t)j->rows.size()));
-            auto [time, step, index] = at->first;
+            auto [repetition, step, index] = at->first;
             bool whole = model.step(*j, step).gang && pick(8);
             for (auto &[place, row] : j->rows)
-                if (std::get<0>(place) == time && std::get<1>(place) == step && (whole || std::get<2>(place) == index))
-                    runs.push_back({j->id, task_of(time, step, std::get<2>(place)), row.attempt + (pick(20) ? 1 : 0)});
+                if (std::get<0>(place) == repetition && std::get<1>(place) == step &&
+                    (whole || std::get<2>(place) == index))
+                    runs.push_back(
+                        {j->id, task_of(repetition, step, std::get<2>(place)), row.attempt + (pick(20) ? 1 : 0)});
             if (!runs.empty() && !pick(20))
                 runs.push_back(runs[(size_t)pick((int64_t)runs.size())]);
         }
@@ -94,8 +96,8 @@
             if (!j || !j->rows_there)
                 continue;
             auto at = std::next(j->rows.begin(), pick((int64_t)j->rows.size()));
-            auto [time, step, index] = at->first;
-            ends.push_back({j->id, task_of(time, step, index), at->second.attempt - (pick(10) ? 0 : 1),
+            auto [repetition, step, index] = at->first;
+            ends.push_back({j->id, task_of(repetition, step, index), at->second.attempt - (pick(10) ? 0 : 1),
                             pick(2) ? (int64_t)END_DONE : END_DONE + pick(7),
                             pick(3) ? "" : "s" + std::to_string(pick(1000))});
         }
--- a/tests/unit/record_test.cc
+++ b/tests/unit/record_test.cc
@@ -202,7 +202,7 @@
     EXPECT_EQ(end({{1, 0, 2, END_DONE, ""}}), ERROR_STALE);
     EXPECT_EQ(end({{1, 0, 1, END_DONE, ""}, {1, 0, 1, END_DONE, ""}, {1, 1, 1, END_STOPPED, "half"}}), 0);
     EXPECT_EQ(end({{1, 0, 1, END_DONE, ""}}), ERROR_STALE);
-    EXPECT_STREQ(job(1)->rows[1].saved, "half");
+    EXPECT_STREQ(job(1)->rows[1].checkpoint, "half");
     EXPECT_EQ(job(1)->n_done, 1);
     EXPECT_EQ(job(1)->waiting[0], 1);
     now = 2000;
@@ -245,12 +245,12 @@
     EXPECT_EQ(end({{1, 0, 1, END_FAILED, "s1"}, {1, 1, 1, END_FAILED, ""}}), 0);
     for (int no = 0; no < 3; no++) {
         EXPECT_EQ(job(1)->rows[no].failures, 1);
-        EXPECT_STREQ(job(1)->rows[no].saved, "s1");
+        EXPECT_STREQ(job(1)->rows[no].checkpoint, "s1");
     }
     EXPECT_EQ(job(1)->rows[2].state, ROW_PLACED);
     EXPECT_EQ(job(1)->rows[3].failures, 0);
     EXPECT_EQ(end({{1, 2, 1, END_BROKEN, "s2"}}), 0);
-    EXPECT_STREQ(job(1)->rows[0].saved, "s2");
+    EXPECT_STREQ(job(1)->rows[0].checkpoint, "s2");
     place({{1, 0, 2}, {1, 1, 2}, {1, 2, 2}});
     told.clear();
     now = 3000;
@@ -301,7 +301,7 @@
     }
     EXPECT_EQ(job(1)->rows[0].failures, 0);
     EXPECT_EQ(job(1)->state, JOB_ACTIVE);
-    EXPECT_STREQ(job(1)->rows[0].saved, "kept");
+    EXPECT_STREQ(job(1)->rows[0].checkpoint, "kept");
 }
 
 TEST_F(Record, NoAttemptsMaxCountsAsOne)
@@ -317,12 +317,12 @@
 {
     add(1, {{{2, {}}, {3, {0}}}, 3});
     struct job *j = job(1);
-    EXPECT_EQ(j->times, 3);
+    EXPECT_EQ(j->repetitions, 3);
     EXPECT_EQ(job_due_ms(j, 2), 5200);
     for (int64_t no = 0; no < 15; no++) {
-        int64_t time, step, index;
-        job_place(j, no, &time, &step, &index);
-        EXPECT_EQ(no, time * 5 + (step ? 2 : 0) + index);
+        int64_t repetition, step, index;
+        job_row_position(j, no, &repetition, &step, &index);
+        EXPECT_EQ(no, repetition * 5 + (step ? 2 : 0) + index);
         EXPECT_EQ(job_row(j, job_task(j, no)), no);
     }
     EXPECT_EQ(job_row(j, task_of(3, 0, 0)), -1);
--- a/tests/unit/rules_test.cc
+++ b/tests/unit/rules_test.cc
@@ -202,10 +202,10 @@
     EXPECT_EQ(of_job(2), nullptr);
     EXPECT_EQ(of_job(4)->of_head, 2);
     EXPECT_EQ(of_job(4)->values.priority, 1);
-    EXPECT_EQ(JOB_RULED(&r, record_job(&r, 1), priority), 7);
-    EXPECT_EQ(JOB_RULED(&r, record_job(&r, 1), attempts_max), 1);
-    EXPECT_EQ(JOB_RULED(&r, record_job(&r, 2), attempts_max), 4);
-    EXPECT_EQ(JOB_RULED(&r, record_job(&r, 4), attempts_max), 4) << "no longer ruled: the queue's";
+    EXPECT_EQ(JOB_EFFECTIVE_RULE(&r, record_job(&r, 1), priority), 7);
+    EXPECT_EQ(JOB_EFFECTIVE_RULE(&r, record_job(&r, 1), attempts_max), 1);
+    EXPECT_EQ(JOB_EFFECTIVE_RULE(&r, record_job(&r, 2), attempts_max), 4);
+    EXPECT_EQ(JOB_EFFECTIVE_RULE(&r, record_job(&r, 4), attempts_max), 4) << "no longer ruled: the queue's";
     EXPECT_EQ(add(1, "south"), ERROR_KEY_TAKEN);
     EXPECT_EQ(add(1, ""), ERROR_KEY_TAKEN);
     EXPECT_EQ(add(2, "north"), ERROR_KEY_TAKEN);
