--- a/tests/unit/turns_test.cc
+++ b/tests/unit/turns_test.cc
@@ -5,7 +5,7 @@
 {
 
 struct Turns : testing::Test {
-    Site t;
+    PlanFixture t;
     int64_t q = 0;
     rule_values values = {};
 
@@ -36,11 +36,11 @@
         t.round();
         t.commit();
         for (int64_t i = 0; i < t.p.n; i++)
-            t.p.places[i].job->state = JOB_ACTIVE;
+            t.p.placements[i].job->state = JOB_ACTIVE;
     }
     void done(job *j)
     {
-        for (int64_t no = 0; no < j->times * j->tasks; no++)
+        for (int64_t no = 0; no < j->repetitions * j->tasks; no++)
             t.move(j, no, ROW_DONE);
         j->state = JOB_DONE;
         record_unlink(&t.r, j);
@@ -50,9 +50,10 @@
 TEST_F(Turns, EachBeginsOnceTheOnesBeforeHaveBegun)
 {
     values.in_turn = TURN_BEGUN;
-    job *a = add(0, {Site::step(2, 100)}), *b = add(0, {Site::step(1, 100)}), *other = add(1, {Site::step(1, 100)});
+    job *a = add(0, {PlanFixture::step(2, 100)}), *b = add(0, {PlanFixture::step(1, 100)}),
+        *other = add(1, {PlanFixture::step(1, 100)});
     values.priority = 0; // more urgent than the ones before it, and yet
-    job *c = add(0, {Site::step(1, 100)});
+    job *c = add(0, {PlanFixture::step(1, 100)});
     round();
     EXPECT_EQ(t.placed_of(a), 2);
     EXPECT_EQ(t.placed_of(b), 0);
@@ -67,11 +68,11 @@
 TEST_F(Turns, EachBeginsOnceTheOnesBeforeAreOver)
 {
     values.in_turn = TURN_OVER;
-    job *a = add(0, {Site::step(1, 100)}), *b = add(0, {Site::step(1, 100)});
+    job *a = add(0, {PlanFixture::step(1, 100)}), *b = add(0, {PlanFixture::step(1, 100)});
     int64_t other = t.queue(5);
-    job *elsewhere = add(0, {Site::step(1, 100)}, other);
+    job *elsewhere = add(0, {PlanFixture::step(1, 100)}, other);
     values.in_turn = TURN_ANY;
-    job *any = add(0, {Site::step(1, 100)});
+    job *any = add(0, {PlanFixture::step(1, 100)});
     round();
     EXPECT_EQ(t.placed_of(a), 1);
     EXPECT_EQ(t.placed_of(elsewhere), 1) << "another queue's";
@@ -89,13 +90,13 @@
 TEST_F(Turns, WhatIsNotDueOrGoesOnForeverHoldsNobodyUp)
 {
     values.in_turn = TURN_OVER;
-    job *later = add(0, {Site::step(1, 100)}, q, 3, WALL + 600000);
-    step_spec s = Site::step(1, 100);
-    s.lasting = 1;
-    job *lasting = add(0, {s}), *after = add(0, {Site::step(1, 100)});
+    job *later = add(0, {PlanFixture::step(1, 100)}, q, 3, WALL + 600000);
+    step_spec s = PlanFixture::step(1, 100);
+    s.long_running = 1;
+    job *long_running = add(0, {s}), *after = add(0, {PlanFixture::step(1, 100)});
     round();
     EXPECT_EQ(t.placed_of(later), 0);
-    EXPECT_EQ(t.placed_of(lasting), 1);
+    EXPECT_EQ(t.placed_of(long_running), 1);
     EXPECT_EQ(t.placed_of(after), 0);
     round();
     EXPECT_EQ(t.placed_of(after), 1);
@@ -104,7 +105,8 @@
 TEST_F(Turns, NoMoreAtOnceThanTheRulesAllow)
 {
     values.running_most = 3;
-    job *a = add(0, {Site::step(2, 100)}), *b = add(0, {Site::step(4, 100)}), *other = add(1, {Site::step(3, 100)});
+    job *a = add(0, {PlanFixture::step(2, 100)}), *b = add(0, {PlanFixture::step(4, 100)}),
+        *other = add(1, {PlanFixture::step(3, 100)});
     round();
     EXPECT_EQ(t.placed_of(a) + t.placed_of(b), 3);
     EXPECT_EQ(t.placed_of(other), 3);
@@ -124,9 +126,9 @@
 TEST_F(Turns, AGangIsPlacedWholeOrNotAtAll)
 {
     values.running_most = 3;
-    step_spec s = Site::step(2, 100);
+    step_spec s = PlanFixture::step(2, 100);
     s.gang = 1;
-    job *a = add(0, {Site::step(2, 100)}), *b = add(0, {s});
+    job *a = add(0, {PlanFixture::step(2, 100)}), *b = add(0, {s});
     round();
     EXPECT_EQ(t.placed_of(a), 2);
     EXPECT_EQ(t.placed_of(b), 0);
@@ -140,7 +142,7 @@
     const int64_t minute = 60000, day = WALL / 86400000 * 86400000;
     values.opens_at_min = 8 * 60, values.closes_at_min = 9 * 60;
     t.wall_ms = day + 7 * 60 * minute;
-    job *a = add(0, {Site::step(1, 100), Site::step(1, 100)});
+    job *a = add(0, {PlanFixture::step(1, 100), PlanFixture::step(1, 100)});
     a->spec.steps[1].depends_on = (int64_t *)must_alloc(sizeof(int64_t)), a->spec.steps[1].n_depends_on = 1;
     round();
     EXPECT_EQ(t.p.n, 0);
@@ -149,7 +151,7 @@
     round();
     EXPECT_EQ(t.placed_of(a), 1);
     t.wall_ms += minute;
-    job *b = add(0, {Site::step(1, 100)});
+    job *b = add(0, {PlanFixture::step(1, 100)});
     t.move(a, 0, ROW_DONE);
     round();
     EXPECT_EQ(t.placed_of(a), 1) << "what has begun goes on";
@@ -163,11 +165,11 @@
     values.opens_at_min = 8 * 60, values.closes_at_min = 18 * 60, values.target_ms = 1000;
     t.wall_ms = day - 5 * 60 * minute;
     one_candidate();
-    job *night = add(0, {Site::step(1, 100)});
+    job *night = add(0, {PlanFixture::step(1, 100)});
     t.wall_ms = day + 8 * 60 * minute + 100;
     schema_defaults(&rule_values_schema, &values);
     values.target_ms = 1000;
-    job *fresh = add(1, {Site::step(1, 100)});
+    job *fresh = add(1, {PlanFixture::step(1, 100)});
     round();
     EXPECT_EQ(t.placed_of(night), 1);
     EXPECT_EQ(t.placed_of(fresh), 0);
@@ -176,14 +178,14 @@
 TEST_F(Turns, UrgencyIsTheRulesAndElseTheQueues)
 {
     one_candidate();
-    job *plain = t.add(q, {Site::step(1, 100)}, t.wall_ms), *without = add(0, {Site::step(1, 100)});
+    job *plain = t.add(q, {PlanFixture::step(1, 100)}, t.wall_ms), *without = add(0, {PlanFixture::step(1, 100)});
     values.priority = 4;
-    job *urgent = add(1, {Site::step(1, 100)});
+    job *urgent = add(1, {PlanFixture::step(1, 100)});
     round();
     EXPECT_EQ(t.placed_of(urgent), 1);
     EXPECT_EQ(t.placed_of(plain) + t.placed_of(without), 0);
     values.priority = 2;
-    job *more = add(0, {Site::step(1, 100)});
+    job *more = add(0, {PlanFixture::step(1, 100)});
     t.round();
     std::vector<victim> v = t.victims(5);
     ASSERT_EQ(v.size(), 1u);
