--- a/sim/oracle_promises.c
+++ b/sim/oracle_promises.c
@@ -50,7 +50,7 @@
 /* Settings as of a version; the calendar changes states under the same one. */
 int64_t oracle_content(const struct config_tree *config_tree)
 {
-    json_t *whole = config_tree_whole(config_tree);
+    json_t *whole = config_tree_to_json(config_tree);
     char *text = json_dumps(whole, JSON_COMPACT | JSON_SORT_KEYS);
     int64_t hash = (int64_t)(hash_text(text) | 1);
     json_decref(whole);
--- a/sim/sim_fleet.c
+++ b/sim/sim_fleet.c
@@ -58,9 +58,9 @@
 static struct machine *duty_machine(struct sim *sim, const char *name)
 {
     const struct config_tree *config_tree = config_tree_now(sim);
-    const struct duty *duty = config_tree ? config_tree_duty(config_tree, name) : NULL;
-    for (int64_t i = 0; duty && i < sim->n; i++)
-        if ((int64_t)sim->machines[i]->base.self == duty->owner)
+    const struct ownership *ownership = config_tree ? config_tree_ownership(config_tree, name) : NULL;
+    for (int64_t i = 0; ownership && i < sim->n; i++)
+        if ((int64_t)sim->machines[i]->base.self == ownership->owner)
             return sim->machines[i];
     return NULL;
 }
--- a/sim/sim_net.c
+++ b/sim/sim_net.c
@@ -238,9 +238,9 @@
     if (event->kind == EVT_ON_TIMER)
         on_timer(m);
     else if (event->kind == EVT_FRAME && m->kind == M_KEEPER)
-        keeper_take(&m->core.keeper, event->frame->bytes.at, event->frame->bytes.len);
+        keeper_on_frame(&m->core.keeper, event->frame->bytes.at, event->frame->bytes.len);
     else if (event->kind == EVT_FRAME && m->kind == M_NODE)
-        node_take(&m->core.node, event->frame->bytes.at, event->frame->bytes.len);
+        node_on_frame(&m->core.node, event->frame->bytes.at, event->frame->bytes.len);
     else if (event->kind == EVT_REQUEST)
         request(m, event);
     else if (event->kind == EVT_ANSWER)
--- a/src/config_tree/config_tree.c
+++ b/src/config_tree/config_tree.c
@@ -22,8 +22,9 @@
     INT(planned, state)};
 SCHEMA(planned_schema, planned, planned_fields);
 
-static const struct field duty_fields[] = {STR(duty, name), INT(duty, owner), INT(duty, boot), INT(duty, epoch)};
-SCHEMA(duty_schema, duty, duty_fields);
+static const struct field duty_fields[] = {STR(ownership, name), INT(ownership, owner), INT(ownership, boot),
+                                           INT(ownership, epoch)};
+SCHEMA(ownership_schema, ownership, duty_fields);
 
 static const struct field seen_fields[] = {INT(config_tree_seen, who), INT(config_tree_seen, req),
                                            INT_NAMED(config_tree_seen, error, "problem"),
@@ -32,18 +33,20 @@
 
 static const struct field config_tree_fields[] = {
     INT(config_tree, version), LIST(config_tree, branches, n_branches, branch_schema),
-    LIST(config_tree, calendar, n_calendar, planned_schema), LIST(config_tree, duties, n_duties, duty_schema),
+    LIST(config_tree, calendar, n_calendar, planned_schema),
+    LIST_NAMED(config_tree, ownerships, "duties", n_ownerships, ownership_schema),
     LIST(config_tree, seen, n_seen, seen_schema)};
 SCHEMA(config_tree_schema, config_tree, config_tree_fields);
 
-static const struct field op_fields[] = {INT(config_tree_op, kind),
-                                         INT(config_tree_op, who),
-                                         INT(config_tree_op, req),
-                                         INT(config_tree_op, expect),
-                                         STR(config_tree_op, path),
-                                         STR(config_tree_op, json),
-                                         PTR(config_tree_op, planned, planned_schema),
-                                         LIST(config_tree_op, duties, n_duties, duty_schema)};
+static const struct field op_fields[] = {
+    INT(config_tree_op, kind),
+    INT(config_tree_op, who),
+    INT(config_tree_op, req),
+    INT(config_tree_op, expect),
+    STR(config_tree_op, path),
+    STR(config_tree_op, json),
+    PTR(config_tree_op, planned, planned_schema),
+    LIST_NAMED(config_tree_op, ownerships, "duties", n_ownerships, ownership_schema)};
 SCHEMA(config_tree_op_schema, config_tree_op, op_fields);
 
 static const struct field result_fields[] = {INT_NAMED(config_tree_result, error, "problem"),
@@ -51,11 +54,11 @@
                                              STR(config_tree_result, expected)};
 SCHEMA(config_tree_result_schema, config_tree_result, result_fields);
 
-const struct duty *config_tree_duty(const struct config_tree *config_tree, const char *name)
+const struct ownership *config_tree_ownership(const struct config_tree *config_tree, const char *name)
 {
-    for (int64_t i = 0; i < config_tree->n_duties; i++)
-        if (!strcmp(config_tree->duties[i].name, name))
-            return &config_tree->duties[i];
+    for (int64_t i = 0; i < config_tree->n_ownerships; i++)
+        if (!strcmp(config_tree->ownerships[i].name, name))
+            return &config_tree->ownerships[i];
     return NULL;
 }
 
@@ -67,8 +70,8 @@
     return NULL;
 }
 
-const struct planned *config_tree_drained(const struct config_tree *config_tree, const char *executor, int64_t at_ms,
-                                          int64_t ahead_ms)
+const struct planned *config_tree_drain(const struct config_tree *config_tree, const char *executor, int64_t at_ms,
+                                        int64_t ahead_ms)
 {
     for (int64_t i = 0; i < config_tree->n_calendar; i++) {
         const struct planned *p = &config_tree->calendar[i];
@@ -81,11 +84,11 @@
 
 static void fold_duties(struct config_tree *config_tree, const struct config_tree_op *op)
 {
-    for (int64_t i = 0; i < op->n_duties; i++) {
-        const struct duty *given = &op->duties[i];
-        struct duty *have = (struct duty *)(uintptr_t)config_tree_duty(config_tree, given->name);
+    for (int64_t i = 0; i < op->n_ownerships; i++) {
+        const struct ownership *given = &op->ownerships[i];
+        struct ownership *have = (struct ownership *)(uintptr_t)config_tree_ownership(config_tree, given->name);
         if (!have) {
-            have = list_more(config_tree->duties, config_tree->n_duties);
+            have = list_more(config_tree->ownerships, config_tree->n_ownerships);
             have->name = must_dup(given->name);
         }
         if (given->epoch <= have->epoch)
@@ -178,7 +181,7 @@
     int rc = ERROR_NONE;
     const struct config_tree_seen *seen = seen_before(config_tree, op);
     config_tree->generation++;
-    if (op->kind == CH_DUTIES) {
+    if (op->kind == CONFIG_OP_OWNERSHIPS) {
         fold_duties(config_tree, op);
         result->version = config_tree->version;
         return;
@@ -188,17 +191,17 @@
         result->version = seen->version;
         return;
     }
-    if (op->kind != CH_DUE && op->expect != config_tree->version)
+    if (op->kind != CONFIG_OP_APPLY_PLANNED && op->expect != config_tree->version)
         rc = ERROR_STALE;
-    else if (op->kind == CH_WHOLE)
-        rc = config_tree_set_whole(config_tree, op->json, &validation_error);
-    else if (op->kind == CH_BRANCH)
+    else if (op->kind == CONFIG_OP_REPLACE)
+        rc = config_tree_replace(config_tree, op->json, &validation_error);
+    else if (op->kind == CONFIG_OP_BRANCH)
         rc = config_tree_set_branch(config_tree, op->path ? op->path : "", op->json, &validation_error);
-    else if (op->kind == CH_PLAN && op->planned)
+    else if (op->kind == CONFIG_OP_PLAN && op->planned)
         rc = fold_plan(config_tree, op->planned, &validation_error);
-    else if (op->kind == CH_UNPLAN)
+    else if (op->kind == CONFIG_OP_UNPLAN)
         rc = fold_unplan(config_tree, op->path);
-    else if (op->kind == CH_DUE)
+    else if (op->kind == CONFIG_OP_APPLY_PLANNED)
         rc = fold_due(config_tree, op->path, &validation_error);
     else
         rc = ERROR_BAD_FRAME;
--- a/src/config_tree/config_tree.h
+++ b/src/config_tree/config_tree.h
@@ -20,7 +20,7 @@
 };
 
 /* name: "shard/N" or "home/EXECUTOR". Invariant: epoch only rises. */
-struct duty {
+struct ownership {
     char *name;
     int64_t owner, boot, epoch;
 };
@@ -37,22 +37,30 @@
     int64_t n_branches;
     struct planned *calendar;
     int64_t n_calendar;
-    struct duty *duties;
-    int64_t n_duties;
+    struct ownership *ownerships;
+    int64_t n_ownerships;
     struct config_tree_seen *seen;
     int64_t n_seen;
     int64_t generation; /* changes with each fold; views compare it */
 };
 
-enum config_tree_op_kind { CH_WHOLE = 1, CH_BRANCH, CH_PLAN, CH_UNPLAN, CH_DUE, CH_DUTIES, CH_EXECUTOR };
+enum config_tree_op_kind {
+    CONFIG_OP_REPLACE = 1,
+    CONFIG_OP_BRANCH,
+    CONFIG_OP_PLAN,
+    CONFIG_OP_UNPLAN,
+    CONFIG_OP_APPLY_PLANNED,
+    CONFIG_OP_OWNERSHIPS,
+    CONFIG_OP_EXECUTOR
+};
 
 /* who and req name the asker and its question, so asking again is harmless. */
 struct config_tree_op {
     int64_t kind, who, req, expect;
     char *path, *json;
     struct planned *planned;
-    struct duty *duties;
-    int64_t n_duties;
+    struct ownership *ownerships;
+    int64_t n_ownerships;
 };
 
 struct config_tree_result {
@@ -60,7 +68,7 @@
     char *path, *expected;
 };
 
-extern const struct schema branch_schema, planned_schema, duty_schema, config_tree_schema, config_tree_op_schema,
+extern const struct schema branch_schema, planned_schema, ownership_schema, config_tree_schema, config_tree_op_schema,
     config_tree_result_schema;
 
 void config_tree_apply(struct config_tree *config_tree, const struct bytes *op, struct bytes *result);
@@ -78,12 +86,12 @@
 const struct branch *config_tree_branch(const struct branch *branches, int64_t n, const char *path);
 int config_tree_set_branch(struct config_tree *config_tree, const char *path, const char *json,
                            struct validation_error *validation_error);
-int config_tree_set_whole(struct config_tree *config_tree, const char *json, struct validation_error *validation_error);
-json_t *config_tree_whole(const struct config_tree *config_tree);
+int config_tree_replace(struct config_tree *config_tree, const char *json, struct validation_error *validation_error);
+json_t *config_tree_to_json(const struct config_tree *config_tree);
 
-const struct duty *config_tree_duty(const struct config_tree *config_tree, const char *name);
+const struct ownership *config_tree_ownership(const struct config_tree *config_tree, const char *name);
 const struct planned *config_tree_planned(const struct config_tree *config_tree, const char *id);
 /* Is the executor drained by the calendar at that time, or within ahead_ms after it? */
-const struct planned *config_tree_drained(const struct config_tree *config_tree, const char *executor, int64_t at_ms,
-                                          int64_t ahead_ms);
+const struct planned *config_tree_drain(const struct config_tree *config_tree, const char *executor, int64_t at_ms,
+                                        int64_t ahead_ms);
 #endif
--- a/src/config_tree/config_tree_tree.c
+++ b/src/config_tree/config_tree_tree.c
@@ -195,7 +195,7 @@
     return put_branches(config_tree, next, n, validation_error);
 }
 
-int config_tree_set_whole(struct config_tree *config_tree, const char *json, struct validation_error *validation_error)
+int config_tree_replace(struct config_tree *config_tree, const char *json, struct validation_error *validation_error)
 {
     json_t *body = json ? json_loads(json, JSON_REJECT_DUPLICATES, NULL) : NULL;
     struct branch *next = NULL;
@@ -216,7 +216,7 @@
     return put_branches(config_tree, next, n, validation_error);
 }
 
-json_t *config_tree_whole(const struct config_tree *config_tree)
+json_t *config_tree_to_json(const struct config_tree *config_tree)
 {
     json_t *out = json_object();
     for (int64_t i = 0; i < config_tree->n_branches; i++)
--- a/src/config_tree/settings.h
+++ b/src/config_tree/settings.h
@@ -12,8 +12,8 @@
     int64_t stall_ms, preempt, preempt_ms;
     int64_t priority, payload_max, queued_max, weight, age_per_second;
     /* the whole fleet */
-    int64_t breaker_window_ms, breaker_slow_ms, breaker_errors_pct, breaker_least, breaker_open_ms;
-    int64_t batch_max, buffer_max, send_on_above, prefetch_min, prefetch_max;
+    int64_t breaker_window_ms, breaker_slow_ms, breaker_errors_pct, breaker_min_ops, breaker_open_ms;
+    int64_t batch_max, buffer_max, forward_above, prefetch_min, prefetch_max;
     int64_t deadline_ms, scan_every_ms, margin_ms, silent_ms, settle_ms;
     int64_t quarantine_window, quarantine_pct, quarantine_ms, probation_tasks;
 };
--- a/src/home/home.c
+++ b/src/home/home.c
@@ -77,13 +77,13 @@
 /* An executor nobody knows: whoever hears first proposes to be its home. */
 static void claim(struct node *node, int64_t request, const char *name)
 {
-    struct config_tree_op op = {.kind = CH_DUTIES};
+    struct config_tree_op op = {.kind = CONFIG_OP_OWNERSHIPS};
     struct bytes bytes = {0};
-    struct duty *duty = list_more(op.duties, op.n_duties);
-    duty->name = must_printf("home/%s", name);
-    duty->owner = (int64_t)node->w->self;
-    duty->boot = node->boot;
-    duty->epoch = 1;
+    struct ownership *ownership = list_more(op.ownerships, op.n_ownerships);
+    ownership->name = must_printf("home/%s", name);
+    ownership->owner = (int64_t)node->w->self;
+    ownership->boot = node->boot;
+    ownership->epoch = 1;
     schema_pack(&config_tree_op_schema, &op, &bytes);
     node_propose(node, GROUP_CONTROL, &bytes, 2000, claimed, request);
     schema_free(&config_tree_op_schema, &op);
@@ -105,7 +105,7 @@
     }
     struct home *home = home_find(node, state.name);
     snprintf(name, sizeof name, "home/%s", state.name);
-    const struct duty *duty = config_tree_duty(&node->config_tree, name);
+    const struct ownership *ownership = config_tree_ownership(&node->config_tree, name);
     if (strcmp(state.cluster, node->cluster_name))
         api_error(node, request, ERROR_BAD_FIELD, "this is another cluster");
     else if (!addr_parse(state.address))
@@ -113,10 +113,10 @@
     else if (home) {
         home_take_state(node, home, &state, 0);
         answer_home(node, request);
-    } else if (duty && duty->owner != (int64_t)node->w->self)
-        api_send_on(node, request, duty->owner,
+    } else if (ownership && ownership->owner != (int64_t)node->w->self)
+        api_forward(node, request, ownership->owner,
                     &(struct api_call){.shard = -1, .method = "POST", .path = "/v1/executors/report", .body = body});
-    else if (!duty && admission_open(node))
+    else if (!ownership && admission_open(node))
         claim(node, request, state.name);
     else
         api_error(node, request, ERROR_UNAVAILABLE, "no home yet");
@@ -252,7 +252,7 @@
         account_end(node, home, row, OUT_UNSTARTED, "the executor is leaving");
         return;
     }
-    node_tell(node, s->job, s->no, s->attempt, s->hold ? "hold ordered" : "start ordered", home->name);
+    node_journal_add(node, s->job, s->no, s->attempt, s->hold ? "hold ordered" : "start ordered", home->name);
     row->state = ACC_STARTING;
     row->since_ms = world_ms(node->w);
     row->start = must_alloc(sizeof *row->start);
--- a/src/home/home_account.c
+++ b/src/home/home_account.c
@@ -95,7 +95,7 @@
     if (row->state >= ACC_STARTING)
         home_health(node, home, outcome == OUT_STOPPED && row->stalled ? OUT_FAILED : outcome);
     static const char *const outcomes[] = {"done", "failed", "stopped", "lapsed", "unstarted", "gone"};
-    node_tell(node, row->ref.job, row->ref.no, row->ref.attempt, outcomes[outcome], home->name);
+    node_journal_add(node, row->ref.job, row->ref.no, row->ref.attempt, outcomes[outcome], home->name);
     row->state = ACC_ENDED;
     row->outcome = outcome;
     row->told_ms = 0;
@@ -146,7 +146,7 @@
         return;
     world_note(node->w, EV_TASK_STILL, "executor=%s job=%lld no=%lld stillMs=%lld", home->name, (long long)row->ref.job,
                (long long)row->ref.no, (long long)row->still_ms);
-    node_tell(node, row->ref.job, row->ref.no, row->ref.attempt, "stands still, stop ordered", home->name);
+    node_journal_add(node, row->ref.job, row->ref.no, row->ref.attempt, "stands still, stop ordered", home->name);
     row->stalled = row->stop_asked = 1;
     home->dirty = 1;
     home_shut_out(node, home);
@@ -167,8 +167,8 @@
         if (row->state == ACC_RUNNING)
             watch_progress(node, home, row, s->running[i].progress);
         if (row->state != was)
-            node_tell(node, row->ref.job, row->ref.no, row->ref.attempt, now[0] == 'h' ? "held" : "running",
-                      home->name);
+            node_journal_add(node, row->ref.job, row->ref.no, row->ref.attempt, now[0] == 'h' ? "held" : "running",
+                             home->name);
         if (row->state != was && (row->state == ACC_HELD || was == ACC_HELD))
             tell_state(node, home, row);
     }
--- a/src/home/home_orders.c
+++ b/src/home/home_orders.c
@@ -264,13 +264,13 @@
     struct blob *frame = blob_new(); /* built once for all */
     frame_build(&frame->bytes, FRAME_ROOMS, node->cluster, node->w->self, &rooms_msg_schema, &m);
     for (int64_t i = -1; m.n && i < node->peers.n; i++) {
-        const struct peer_news *news = i < 0 ? &node->peers.self : &node->peers.all[i].news;
-        if (news->role != ROLE_NODE || news->state >= SIB_SUSPECT || (!all && !is_in(owners, SHARD_COUNT, news->addr)))
+        const struct peer_info *info = i < 0 ? &node->peers.self : &node->peers.all[i].info;
+        if (info->role != ROLE_NODE || info->state >= PEER_SUSPECT || (!all && !is_in(owners, SHARD_COUNT, info->addr)))
             continue;
         if (i < 0)
-            node_take(node, frame->bytes.at, frame->bytes.len);
+            node_on_frame(node, frame->bytes.at, frame->bytes.len);
         else
-            node->w->calls->send(node->w, (uint64_t)news->addr, frame, 0);
+            node->w->calls->send(node->w, (uint64_t)info->addr, frame, 0);
     }
     blob_drop(frame);
     free(m.rooms);
--- a/src/keeper/feed.c
+++ b/src/keeper/feed.c
@@ -11,7 +11,7 @@
 static void feed_reject(struct keeper *k, int64_t to, int64_t sent_ms)
 {
     struct feed feed = {.sent_ms = sent_ms, .leader = k->logs[GROUP_CONTROL].leader_addr};
-    keeper_send(k, to, FRAME_FEED, &feed_schema, &feed);
+    keeper_send(k, to, FRAME_FEED, &control_updates_schema, &feed);
 }
 
 /* Whoever still votes in either log counts: only when a lost keeper votes in
@@ -57,7 +57,7 @@
         if (!log_voter(log, m->id))
             add_voter(&feed, m, 0);
     }
-    keeper_send(k, wait->from, FRAME_FEED, &feed_schema, &feed);
+    keeper_send(k, wait->from, FRAME_FEED, &control_updates_schema, &feed);
     free(feed.voters);
     free(feed.entries);
     bytes_free(&snapshot);
@@ -100,7 +100,7 @@
         return;
     for (int64_t i = 0; i < k->n_followers; i++) {
         if (world_ms(k->w) - k->followers[i].heard_ms < 2000)
-            keeper_send(k, k->followers[i].addr, FRAME_NEWS, &confirm_schema, &news);
+            keeper_send(k, k->followers[i].addr, FRAME_NEWS, &control_updates_request_schema, &news);
         else
             k->followers[i--] = k->followers[--k->n_followers];
     }
--- a/src/keeper/found.c
+++ b/src/keeper/found.c
@@ -10,7 +10,7 @@
 enum { FOUND_MS = 300, FRESH_MS = 2000 };
 
 static const struct field found_fields[] = {INT(found, id), INT(found, empty), INT(found, addr), STR(found, zone)};
-SCHEMA(found_schema, found, found_fields);
+SCHEMA(bootstrap_status_schema, found, found_fields);
 
 /* Who this keeper is, for both logs. */
 int found_identity(struct keeper *k) { return log_identity(k->w, k->cluster, &k->id); }
@@ -95,13 +95,13 @@
         if (k->seeds[i] == self)
             continue;
         if (found_empty(k) && self == lowest_seed(k))
-            keeper_send(k, k->seeds[i], FRAME_FOUND_REQUEST, &found_schema, &request);
+            keeper_send(k, k->seeds[i], FRAME_FOUND_REQUEST, &bootstrap_status_schema, &request);
         keeper_send(k, k->seeds[i], FRAME_JOIN, &join_schema, &join);
     }
     for (int64_t i = 0; i < k->peers.n; i++) {
-        const struct peer_news *news = &k->peers.all[i].news;
-        if (news->role == ROLE_KEEPER && news->state != SIB_DEAD)
-            keeper_send(k, news->addr, FRAME_JOIN, &join_schema, &join);
+        const struct peer_info *info = &k->peers.all[i].info;
+        if (info->role == ROLE_KEEPER && info->state != PEER_DEAD)
+            keeper_send(k, info->addr, FRAME_JOIN, &join_schema, &join);
     }
     if (found_empty(k) && self == lowest_seed(k))
         found_now(k);
@@ -117,11 +117,11 @@
         schema_free(&join_schema, &join);
         return;
     }
-    if (schema_unpack(&found_schema, &found, frame->body, frame->len))
+    if (schema_unpack(&bootstrap_status_schema, &found, frame->body, frame->len))
         return;
     if (frame->kind == FRAME_FOUND_REQUEST) {
         struct found reply = {.id = k->id, .empty = found_empty(k), .addr = (int64_t)k->w->self, .zone = k->zone};
-        keeper_send(k, (int64_t)frame->from, FRAME_FOUND, &found_schema, &reply);
+        keeper_send(k, (int64_t)frame->from, FRAME_FOUND, &bootstrap_status_schema, &reply);
     } else {
         struct founder *f = founder_of(k, (int64_t)frame->from);
         if (f) {
@@ -131,5 +131,5 @@
             f->zone = must_dup(found.zone);
         }
     }
-    schema_free(&found_schema, &found);
+    schema_free(&bootstrap_status_schema, &found);
 }
--- a/src/keeper/keeper.c
+++ b/src/keeper/keeper.c
@@ -159,7 +159,7 @@
     struct confirm confirm = {0};
     struct propose propose = {0};
     if (frame->kind == FRAME_CONFIRM) {
-        if (schema_unpack(&confirm_schema, &confirm, frame->body, frame->len))
+        if (schema_unpack(&control_updates_request_schema, &confirm, frame->body, frame->len))
             return ERROR_BAD_FRAME;
         feed_on_confirm(k, (int64_t)frame->from, &confirm);
     } else {
@@ -171,7 +171,7 @@
     return ERROR_NONE;
 }
 
-void keeper_take(struct keeper *k, const uint8_t *at, int64_t len)
+void keeper_on_frame(struct keeper *k, const uint8_t *at, int64_t len)
 {
     struct frame frame;
     int rc = ERROR_NONE;
@@ -184,7 +184,7 @@
         return;
     }
     if (frame_lossy(frame.kind))
-        rc = peers_take(&k->peers, &frame);
+        rc = peers_on_frame(&k->peers, &frame);
     else if (frame_of_log(frame.kind))
         for (int64_t g = 0; g < GROUP_COUNT && !rc; g++)
             rc = log_take(&k->logs[g], &frame);
@@ -230,7 +230,7 @@
         log_hand_over(&k->logs[g]);
 }
 
-int keeper_left(const struct keeper *k)
+int keeper_has_left(const struct keeper *k)
 {
     for (int64_t g = 0; g < GROUP_COUNT; g++)
         if (k->logs[g].role == LOG_LEADER)
--- a/src/keeper/keeper.h
+++ b/src/keeper/keeper.h
@@ -13,7 +13,7 @@
     int64_t id, empty, addr;
     char *zone;
 };
-extern const struct schema found_schema;
+extern const struct schema bootstrap_status_schema;
 
 /* A node that follows the feed from us. */
 struct follower {
@@ -59,10 +59,10 @@
 int keeper_start(struct keeper *k, struct world *w, const struct peer_setup *setup);
 void keeper_end(struct keeper *k);
 void keeper_on_timer(struct keeper *k);
-void keeper_take(struct keeper *k, const uint8_t *at, int64_t len);
+void keeper_on_frame(struct keeper *k, const uint8_t *at, int64_t len);
 void keeper_flush(struct keeper *k);
 void keeper_leave(struct keeper *k);
-int keeper_left(const struct keeper *k);
+int keeper_has_left(const struct keeper *k);
 void keeper_request(struct keeper *k, int64_t slot, const char *method, const char *path, const char *body,
                     int64_t len);
 void keeper_send(struct keeper *k, int64_t to, enum frame_kind kind, const struct schema *schema, const void *msg);
--- a/src/node/api.c
+++ b/src/node/api.c
@@ -20,7 +20,7 @@
             .req = request->from_req, .status = status, .retry_ms = retry_ms, .body = (char *)(uintptr_t)body};
         int64_t to = request->from;
         slab_free(&node->requests, number);
-        node_send(node, to, FRAME_SENT_ON, &sent_on_schema, &m);
+        node_send(node, to, FRAME_SENT_ON, &forward_response_schema, &m);
     } else {
         int64_t slot = request->slot;
         slab_free(&node->requests, number);
@@ -67,7 +67,7 @@
     answer_error(node, request, validation_error->error, validation_error->path, why);
 }
 
-char *api_setting(const char *path, const char *name)
+char *api_query_param(const char *path, const char *name)
 {
     const char *at = strchr(path, '?');
     size_t len = strlen(name);
@@ -117,7 +117,7 @@
     api_route(node, number, m->method, m->path, m->body ? m->body : "", m->body ? (int64_t)strlen(m->body) : 0);
 }
 
-void api_send_on(struct node *node, int64_t number, int64_t to, const struct api_call *call)
+void api_forward(struct node *node, int64_t number, int64_t to, const struct api_call *call)
 {
     struct request *request = slab_at(&node->requests, number);
     if (!to || request->hops >= HOPS_MAX) {
@@ -131,7 +131,7 @@
                         .method = (char *)(uintptr_t)call->method,
                         .path = (char *)(uintptr_t)call->path,
                         .body = (char *)(uintptr_t)call->body};
-    node_send(node, to, FRAME_SEND_ON, &send_on_schema, &m);
+    node_send(node, to, FRAME_SEND_ON, &forward_request_schema, &m);
 }
 
 void node_on_sent_on(struct node *node, const struct sent_on *m)
@@ -150,7 +150,7 @@
         /* a dead or late owner is told about at once, and when to come back */
         int dead = request->sent_to && !peers_live(&node->peers, request->sent_to, 0) &&
                    peers_find(&node->peers, request->sent_to) &&
-                   peers_find(&node->peers, request->sent_to)->news.state == SIB_DEAD;
+                   peers_find(&node->peers, request->sent_to)->info.state == PEER_DEAD;
         if (dead)
             api_error(node, number, ERROR_NO_OWNER, "the owner died meanwhile");
         else if (!admission_open(node) && !request->sent_to) /* what waits here for the logs waits in vain */
@@ -183,7 +183,7 @@
     int64_t owner = shard_owner(node, shard);
     if (owner == (int64_t)node->w->self)
         return 0;
-    api_send_on(node, request, owner, &(struct api_call){.shard = shard, .method = method, .path = path, .body = body});
+    api_forward(node, request, owner, &(struct api_call){.shard = shard, .method = method, .path = path, .body = body});
     return 1;
 }
 
@@ -214,7 +214,7 @@
         enqueue_job(node, request, body, len);
         return;
     }
-    char *key = api_setting(path, "key"), *from = api_setting(path, "from");
+    char *key = api_query_param(path, "key"), *from = api_query_param(path, "from");
     int64_t shard = key ? key_shard(key) : from ? text_to_int64(from) : 0;
     if (strcmp(method, "GET"))
         api_error(node, request, ERROR_BAD_METHOD, "GET or POST");
--- a/src/node/api_operators.c
+++ b/src/node/api_operators.c
@@ -57,8 +57,8 @@
 
 static void put_settings(struct node *node, int64_t request, const struct settings_request *put)
 {
-    char *expect = api_setting(put->path, "expect"), *name = api_setting(put->path, "path");
-    struct config_tree_op op = {.kind = put->branch ? CH_BRANCH : CH_WHOLE};
+    char *expect = api_query_param(put->path, "expect"), *name = api_query_param(put->path, "path");
+    struct config_tree_op op = {.kind = put->branch ? CONFIG_OP_BRANCH : CONFIG_OP_REPLACE};
     json_error_t error;
     json_t *json = put->gone ? NULL : json_loadb(put->body, (size_t)put->len, JSON_REJECT_DUPLICATES, &error);
     if (!put->gone && !json) {
@@ -115,11 +115,11 @@
 
 static void put_plan(struct node *node, int64_t request, const char *path, const char *body, int64_t len, int gone)
 {
-    char *expect = api_setting(path, "expect");
+    char *expect = api_query_param(path, "expect");
     char *id = must_dup(path + strlen("/v1/calendar/"));
     struct planned planned = {0};
     struct validation_error validation_error = {0};
-    struct config_tree_op op = {.kind = gone ? CH_UNPLAN : CH_PLAN};
+    struct config_tree_op op = {.kind = gone ? CONFIG_OP_UNPLAN : CONFIG_OP_PLAN};
     id[strcspn(id, "?")] = 0;
     if (!*id || strlen(id) > 100)
         api_error(node, request, ERROR_BAD_FIELD, "a planned move needs a name of up to 100 letters");
--- a/src/node/api_views.c
+++ b/src/node/api_views.c
@@ -11,7 +11,7 @@
 static json_t *settings_view(struct node *node)
 {
     return json_pack("{s:I,s:o}", "version", (json_int_t)node->config_tree.version, "settings",
-                     config_tree_whole(&node->config_tree));
+                     config_tree_to_json(&node->config_tree));
 }
 
 static json_t *members_view(struct node *node)
@@ -19,13 +19,13 @@
     static const char *const states[] = {"alive", "leaving", "suspect", "dead"};
     json_t *list = json_array();
     for (int64_t i = -1; i < node->peers.n; i++) {
-        const struct peer_news *news = i < 0 ? &node->peers.self : &node->peers.all[i].news;
+        const struct peer_info *info = i < 0 ? &node->peers.self : &node->peers.all[i].info;
         json_array_append_new(list,
-                              json_pack("{s:o,s:o,s:s,s:s,s:s,s:I,s:I}", "addr", addr_json(news->addr), "http",
-                                        addr_json(news->http), "role", news->role == ROLE_KEEPER ? "keeper" : "node",
-                                        "zone", news->zone ? news->zone : "", "state",
-                                        news->state == SIB_ALIVE && news->leaving ? "leaving" : states[news->state],
-                                        "boot", (json_int_t)news->boot, "incarnation", (json_int_t)news->incarnation));
+                              json_pack("{s:o,s:o,s:s,s:s,s:s,s:I,s:I}", "addr", addr_json(info->addr), "http",
+                                        addr_json(info->http), "role", info->role == ROLE_KEEPER ? "keeper" : "node",
+                                        "zone", info->zone ? info->zone : "", "state",
+                                        info->state == PEER_ALIVE && info->leaving ? "leaving" : states[info->state],
+                                        "boot", (json_int_t)info->boot, "incarnation", (json_int_t)info->incarnation));
     }
     return json_pack("{s:o}", "members", list);
 }
@@ -33,8 +33,8 @@
 static json_t *duties_view(struct node *node)
 {
     json_t *list = json_array();
-    for (int64_t i = 0; i < node->config_tree.n_duties; i++) {
-        const struct duty *d = &node->config_tree.duties[i];
+    for (int64_t i = 0; i < node->config_tree.n_ownerships; i++) {
+        const struct ownership *d = &node->config_tree.ownerships[i];
         json_array_append_new(list, json_pack("{s:s,s:o,s:I}", "duty", d->name, "owner", addr_json(d->owner), "epoch",
                                               (json_int_t)d->epoch));
     }
@@ -47,7 +47,7 @@
     json_t *list = json_array();
     for (int64_t i = 0; i < node->n_rooms; i++) {
         const struct room *r = &node->rooms[i];
-        const struct planned *drain = config_tree_drained(&node->config_tree, r->executor, node_fleet_ms(node), 0);
+        const struct planned *drain = config_tree_drain(&node->config_tree, r->executor, node_fleet_ms(node), 0);
         json_t *one =
             json_pack("{s:s,s:s,s:s,s:s,s:o,s:I,s:I,s:I,s:I,s:I,s:I,s:I}", "executor", r->executor, "kind", r->kind,
                       "rack", r->rack, "state", states[r->state], "home", addr_json(r->home), "epoch",
@@ -104,7 +104,7 @@
 
 static void effective_view(struct node *node, int64_t request, const char *path)
 {
-    char *name = api_setting(path, "path");
+    char *name = api_query_param(path, "path");
     if (!config_tree_path_ok(name))
         api_error(node, request, ERROR_BAD_FIELD, "?path= must be like root/service/queue");
     else
@@ -166,7 +166,7 @@
 
 static void journal_api(struct node *node, int64_t request, const char *path)
 {
-    char *job = api_setting(path, "job"), *from = api_setting(path, "from");
+    char *job = api_query_param(path, "job"), *from = api_query_param(path, "from");
     int64_t id = job ? job_id_parse(job) : 0;
     if (job && !id)
         api_error(node, request, ERROR_NO_SUCH, "a job is named SHARD.NUMBER");
--- a/src/node/follow.c
+++ b/src/node/follow.c
@@ -14,8 +14,8 @@
 
 static int is_keeper(const struct node *node, int64_t i)
 {
-    const struct peer_news *news = &node->peers.all[i].news;
-    return news->role == ROLE_KEEPER && news->state != SIB_DEAD;
+    const struct peer_info *info = &node->peers.all[i].info;
+    return info->role == ROLE_KEEPER && info->state != PEER_DEAD;
 }
 
 /* The next keeper to try: those known by the peers, else the seeds. */
@@ -26,8 +26,8 @@
     for (int pass = 0; pass < 2 && !best; pass++) { /* the lowest address above the last one tried */
         for (int64_t i = 0; i < s->n; i++) {
             n += is_keeper(node, i);
-            if (is_keeper(node, i) && s->all[i].news.addr > last && (!best || s->all[i].news.addr < best))
-                best = s->all[i].news.addr;
+            if (is_keeper(node, i) && s->all[i].info.addr > last && (!best || s->all[i].info.addr < best))
+                best = s->all[i].info.addr;
         }
         last = 0;
     }
@@ -45,7 +45,7 @@
     node->confirm_sent_ms = now_ms;
     node->confirm_to = node->leaders[GROUP_CONTROL];
     node->confirm_due_ms = now_ms + CONFIRM_MS;
-    node_send(node, node->confirm_to, FRAME_CONFIRM, &confirm_schema, &confirm);
+    node_send(node, node->confirm_to, FRAME_CONFIRM, &control_updates_request_schema, &confirm);
 }
 
 void follow_on_timer(struct node *node)
@@ -122,18 +122,18 @@
 
 void duties_follow(struct node *node)
 {
-    for (int64_t i = 0; i < node->config_tree.n_duties; i++) {
-        const struct duty *duty = &node->config_tree.duties[i];
-        int mine = duty->owner == (int64_t)node->w->self && duty->boot == node->boot;
-        if (!strncmp(duty->name, "shard/", 6)) {
-            int64_t no = text_to_int64(duty->name + 6);
+    for (int64_t i = 0; i < node->config_tree.n_ownerships; i++) {
+        const struct ownership *ownership = &node->config_tree.ownerships[i];
+        int mine = ownership->owner == (int64_t)node->w->self && ownership->boot == node->boot;
+        if (!strncmp(ownership->name, "shard/", 6)) {
+            int64_t no = text_to_int64(ownership->name + 6);
             if (no >= 0 && no < SHARD_COUNT)
-                shard_follow(node, &node->shards[no], duty->epoch, mine);
-        } else if (!strncmp(duty->name, "home/", 5)) {
-            struct home *home = home_find(node, duty->name + 5);
+                shard_follow(node, &node->shards[no], ownership->epoch, mine);
+        } else if (!strncmp(ownership->name, "home/", 5)) {
+            struct home *home = home_find(node, ownership->name + 5);
             if (mine)
-                home_take_duty(node, duty->name + 5, duty->epoch);
-            else if (home && home->epoch < duty->epoch)
+                home_take_duty(node, ownership->name + 5, ownership->epoch);
+            else if (home && home->epoch < ownership->epoch)
                 home_drop(node, home);
         }
     }
--- a/src/node/frames.c
+++ b/src/node/frames.c
@@ -2,7 +2,7 @@
 
 static const struct field confirm_fields[] = {INT(confirm, from), INT_NAMED(confirm, sent_ms, "sentMs"),
                                               INT(confirm, boot)};
-SCHEMA(confirm_schema, confirm, confirm_fields);
+SCHEMA(control_updates_request_schema, confirm, confirm_fields);
 
 static const struct field entry_fields[] = {INT(feed_entry, index), BYTES(feed_entry, op)};
 static SCHEMA(feed_entry_schema, feed_entry, entry_fields);
@@ -17,7 +17,7 @@
                                            LIST(feed, entries, n, feed_entry_schema),
                                            BYTES_NAMED(feed, snapshot, "digest"),
                                            INTS(feed, voters, n_voters)};
-SCHEMA(feed_schema, feed, feed_fields);
+SCHEMA(control_updates_schema, feed, feed_fields);
 
 static const struct field propose_fields[] = {INT(propose, group), INT(propose, req), BYTES(propose, op)};
 SCHEMA(propose_schema, propose, propose_fields);
@@ -29,8 +29,8 @@
 
 static const struct field send_on_fields[] = {INT(send_on, req),    INT(send_on, hops), INT(send_on, shard),
                                               STR(send_on, method), STR(send_on, path), STR(send_on, body)};
-SCHEMA(send_on_schema, send_on, send_on_fields);
+SCHEMA(forward_request_schema, send_on, send_on_fields);
 
 static const struct field sent_on_fields[] = {INT(sent_on, req), INT(sent_on, status),
                                               INT_NAMED(sent_on, retry_ms, "retryMs"), STR(sent_on, body)};
-SCHEMA(sent_on_schema, sent_on, sent_on_fields);
+SCHEMA(forward_response_schema, sent_on, sent_on_fields);
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -55,7 +55,8 @@
 
 int64_t node_fleet_ms(const struct node *node) { return peers_fleet_ms(&node->peers); }
 
-void node_tell(struct node *node, int64_t job, int64_t task, int64_t attempt, const char *what, const char *detail)
+void node_journal_add(struct node *node, int64_t job, int64_t task, int64_t attempt, const char *what,
+                      const char *detail)
 {
     const struct journal_event event = {
         .at_ms = node_fleet_ms(node), .job = job, .task = task, .attempt = attempt, .what = what};
@@ -69,7 +70,7 @@
     struct blob *out = blob_new();
     frame_build(&out->bytes, kind, node->cluster, node->w->self, schema, msg);
     if (to == (int64_t)node->w->self)
-        node_take(node, out->bytes.at, out->bytes.len);
+        node_on_frame(node, out->bytes.at, out->bytes.len);
     else
         node->w->calls->send(node->w, (uint64_t)to, out, frame_lossy(kind));
     blob_drop(out);
@@ -112,13 +113,22 @@
         struct checked checked;
         struct ended ended;
     } m;
-    static const struct schema *const schemas[FRAME_LAST] = {
-        [FRAME_FEED] = &feed_schema,         [FRAME_NEWS] = &confirm_schema,      [FRAME_PROPOSED] = &proposed_schema,
-        [FRAME_SEND_ON] = &send_on_schema,   [FRAME_SENT_ON] = &sent_on_schema,   [FRAME_ROOMS] = &rooms_msg_schema,
-        [FRAME_RESERVE] = &reserve_schema,   [FRAME_RESERVED] = &reserved_schema, [FRAME_RELEASE] = &reserve_schema,
-        [FRAME_START] = &start_order_schema, [FRAME_STOP] = &check_schema,        [FRAME_GO] = &check_schema,
-        [FRAME_CHECK] = &check_schema,       [FRAME_CHECKED] = &checked_schema,   [FRAME_ENDED] = &ended_schema,
-        [FRAME_ENDED_ACK] = &ended_schema};
+    static const struct schema *const schemas[FRAME_LAST] = {[FRAME_FEED] = &control_updates_schema,
+                                                             [FRAME_NEWS] = &control_updates_request_schema,
+                                                             [FRAME_PROPOSED] = &proposed_schema,
+                                                             [FRAME_SEND_ON] = &forward_request_schema,
+                                                             [FRAME_SENT_ON] = &forward_response_schema,
+                                                             [FRAME_ROOMS] = &rooms_msg_schema,
+                                                             [FRAME_RESERVE] = &reserve_schema,
+                                                             [FRAME_RESERVED] = &reserved_schema,
+                                                             [FRAME_RELEASE] = &reserve_schema,
+                                                             [FRAME_START] = &start_order_schema,
+                                                             [FRAME_STOP] = &check_schema,
+                                                             [FRAME_GO] = &check_schema,
+                                                             [FRAME_CHECK] = &check_schema,
+                                                             [FRAME_CHECKED] = &checked_schema,
+                                                             [FRAME_ENDED] = &ended_schema,
+                                                             [FRAME_ENDED_ACK] = &ended_schema};
     const struct schema *schema = schemas[frame->kind];
     int64_t from = (int64_t)frame->from;
     memset(&m, 0, sizeof m);
@@ -149,7 +159,7 @@
     schema_free(schema, &m);
 }
 
-void node_take(struct node *node, const uint8_t *at, int64_t len)
+void node_on_frame(struct node *node, const uint8_t *at, int64_t len)
 {
     struct frame frame;
     if (frame_parse(&frame, at, len, node->cluster)) {
@@ -158,7 +168,7 @@
         return;
     }
     if (frame_lossy(frame.kind))
-        peers_take(&node->peers, &frame);
+        peers_on_frame(&node->peers, &frame);
     else
         take_typed(node, &frame);
 }
@@ -181,11 +191,11 @@
     peers_leave(&node->peers);
 }
 
-int node_left(const struct node *node)
+int node_has_left(const struct node *node)
 {
-    for (int64_t i = 0; i < node->config_tree.n_duties; i++)
-        if (node->config_tree.duties[i].owner == (int64_t)node->w->self &&
-            node->config_tree.duties[i].boot == node->boot)
+    for (int64_t i = 0; i < node->config_tree.n_ownerships; i++)
+        if (node->config_tree.ownerships[i].owner == (int64_t)node->w->self &&
+            node->config_tree.ownerships[i].boot == node->boot)
             return 0;
     return 1;
 }
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -46,7 +46,8 @@
     int64_t req, status, retry_ms;
     char *body;
 };
-extern const struct schema confirm_schema, feed_schema, propose_schema, proposed_schema, send_on_schema, sent_on_schema;
+extern const struct schema control_updates_request_schema, control_updates_schema, propose_schema, proposed_schema,
+    forward_request_schema, forward_response_schema;
 
 /* --- continuations --------------------------------------------------------- */
 
@@ -67,13 +68,13 @@
 
 enum shard_state { SHARD_NONE, SHARD_OPENING, SHARD_OPEN };
 
-struct buffered {
+struct buffered_op {
     struct op op;
     int64_t request, staging, since_ms;
 };
 
 struct breaker {
-    int64_t window_from_ms, good, bad, slow, open_until_ms, trips;
+    int64_t window_start_ms, good, bad, slow, open_until_ms, trips;
 };
 
 struct ready_item {
@@ -93,7 +94,7 @@
 struct shard {
     int64_t no, epoch, state, seq, in_flight, proposal, checkpoint_ms, open_since_ms, retry_ms, started_ms;
     struct rows rows;
-    struct buffered *buffer;
+    struct buffered_op *buffer;
     int64_t n_buffer;
     struct breaker breaker;
     struct ready *readies;
@@ -117,7 +118,7 @@
 };
 struct staging {
     int64_t shard, shard_epoch, job, queue, until_ms, committing, n_places, failed, step, urgency;
-    int64_t bold; /* asks although our view says there is no room now */
+    int64_t ignores_view; /* asks although our view says there is no room now */
     struct staging_place *places;
 };
 
@@ -152,12 +153,13 @@
 void node_start(struct node *node, struct world *w, const struct peer_setup *setup);
 void node_end(struct node *node);
 void node_on_timer(struct node *node);
-void node_take(struct node *node, const uint8_t *at, int64_t len);
+void node_on_frame(struct node *node, const uint8_t *at, int64_t len);
 void node_leave(struct node *node);
-int node_left(const struct node *node); /* all duties are with others */
+int node_has_left(const struct node *node); /* all duties are with others */
 void node_send(struct node *node, int64_t to, enum frame_kind kind, const struct schema *schema, const void *msg);
 int64_t node_fleet_ms(const struct node *node);
-void node_tell(struct node *node, int64_t job, int64_t task, int64_t attempt, const char *what, const char *detail);
+void node_journal_add(struct node *node, int64_t job, int64_t task, int64_t attempt, const char *what,
+                      const char *detail);
 int64_t node_queue(struct node *node, const char *service, const char *queue); /* dense index */
 const struct settings *node_settings(struct node *node, int64_t queue);
 
@@ -189,9 +191,9 @@
 };
 /* Sends a waiting request on to another node, whose response is passed back; or answers with an error where to is 0 or
  * it was sent on too often. */
-void api_send_on(struct node *node, int64_t request, int64_t to, const struct api_call *call);
+void api_forward(struct node *node, int64_t request, int64_t to, const struct api_call *call);
 void api_on_timer(struct node *node);
-char *api_setting(const char *path, const char *name); /* owned; NULL: not there */
+char *api_query_param(const char *path, const char *name); /* owned; NULL: not there */
 
 /* api_operators.c, api_views.c */
 int api_operators(struct node *node, int64_t request, const char *method, const char *path, const char *body,
@@ -210,7 +212,7 @@
 struct op *worker_buffer(struct node *node, struct shard *shard, int64_t kind, int64_t job, int64_t request,
                          int64_t staging);
 void worker_on_timer(struct node *node, struct shard *shard);
-int breaker_shut(struct node *node, struct shard *shard); /* 1: ops may flow */
+int breaker_closed(struct node *node, struct shard *shard); /* 1: ops may flow */
 void breaker_count(struct node *node, struct shard *shard, int good, int64_t took_ms);
 
 /* shard/ready.c */
@@ -264,6 +266,6 @@
 void enqueue_cancel(struct node *node, int64_t request, int64_t job);
 void enqueue_show(struct node *node, int64_t request, int64_t job, const char *path);
 void enqueue_list(struct node *node, int64_t request, int64_t shard, const char *path);
-void enqueue_committed(struct node *node, struct shard *shard, const struct buffered *b, int folded);
+void enqueue_committed(struct node *node, struct shard *shard, const struct buffered_op *b, int folded);
 void enqueue_runs(struct node *node);
 #endif
--- a/src/peer/peer.c
+++ b/src/peer/peer.c
@@ -8,13 +8,14 @@
 
 enum { NEWS_MAX = 10, TELLINGS = 14, OPINIONS = 3, OFFSET_FRESH_MS = 5000 };
 
-static const struct field news_fields[] = {INT(peer_news, addr),    INT(peer_news, boot),  INT(peer_news, role),
-                                           INT(peer_news, http),    INT(peer_news, state), INT(peer_news, incarnation),
-                                           INT(peer_news, leaving), STR(peer_news, zone),  INT(peer_news, level)};
-SCHEMA(peer_news_schema, peer_news, news_fields);
+static const struct field news_fields[] = {INT(peer_info, addr),    INT(peer_info, boot),  INT(peer_info, role),
+                                           INT(peer_info, http),    INT(peer_info, state), INT(peer_info, incarnation),
+                                           INT(peer_info, leaving), STR(peer_info, zone),  INT(peer_info, level)};
+SCHEMA(peer_info_schema, peer_info, news_fields);
 
 static const struct field probe_fields[] = {INT(peer_probe, seq), INT_NAMED(peer_probe, wall_ms, "wallMs"),
-                                            INT(peer_probe, about), LIST(peer_probe, news, n, peer_news_schema)};
+                                            INT(peer_probe, about),
+                                            LIST_NAMED(peer_probe, info, "news", n, peer_info_schema)};
 SCHEMA(peer_probe_schema, peer_probe, probe_fields);
 
 static const struct peer_settings defaults = {
@@ -23,17 +24,17 @@
 void peers_start(struct peers *s, struct world *w, int64_t role, const struct peer_setup *setup)
 {
     *s = (struct peers){.w = w, .cluster = (uint32_t)hash_text(setup->cluster), .settings = defaults};
-    s->self = (struct peer_news){.addr = (int64_t)w->self,
+    s->self = (struct peer_info){.addr = (int64_t)w->self,
                                  .boot = setup->boot,
                                  .role = role,
                                  .http = (int64_t)w->http_addr,
                                  .zone = must_dup(setup->zone),
                                  .level = LEVEL_NOW};
-    peers_seeds(s, setup->seeds, setup->n_seeds);
+    peers_set_seeds(s, setup->seeds, setup->n_seeds);
     s->median_ms = w->calls->wall_ms(w) - world_ms(w);
 }
 
-void peers_seeds(struct peers *s, const int64_t *seeds, int64_t n_seeds)
+void peers_set_seeds(struct peers *s, const int64_t *seeds, int64_t n_seeds)
 {
     s->n_seeds = 0;
     for (int64_t i = 0; i < n_seeds && i < COUNT_OF(s->seeds); i++)
@@ -43,29 +44,29 @@
 const struct peer *peers_find(const struct peers *s, int64_t addr)
 {
     for (int64_t i = 0; i < s->n; i++)
-        if (s->all[i].news.addr == addr)
+        if (s->all[i].info.addr == addr)
             return &s->all[i];
     return NULL;
 }
 
 int peers_live(const struct peers *s, int64_t addr, int64_t boot)
 {
-    const struct peer_news *news = &s->self;
+    const struct peer_info *info = &s->self;
     if (addr != s->self.addr) {
         const struct peer *one = peers_find(s, addr);
         if (!one)
             return 0;
-        news = &one->news;
+        info = &one->info;
     }
-    return (!boot || news->boot == boot) && news->state != SIB_DEAD && !news->leaving;
+    return (!boot || info->boot == boot) && info->state != PEER_DEAD && !info->leaving;
 }
 
-int64_t peers_level(const struct peers *s)
+int64_t peers_min_level(const struct peers *s)
 {
     int64_t level = s->self.level;
     for (int64_t i = 0; i < s->n; i++)
-        if (s->all[i].news.state != SIB_DEAD && s->all[i].news.level < level)
-            level = s->all[i].news.level;
+        if (s->all[i].info.state != PEER_DEAD && s->all[i].info.level < level)
+            level = s->all[i].info.level;
     return level;
 }
 
@@ -99,12 +100,12 @@
     one->tellings = TELLINGS;
     s->changes++;
     s->changed_ms = one->since_ms;
-    int event = one->news.state == SIB_ALIVE && one->news.leaving ? EV_SIBLING_LEAVING : events[one->news.state];
-    world_note(s->w, event, "addr=%s boot=%lld inc=%lld", addr_text((uint64_t)one->news.addr),
-               (long long)one->news.boot, (long long)one->news.incarnation);
+    int event = one->info.state == PEER_ALIVE && one->info.leaving ? EV_SIBLING_LEAVING : events[one->info.state];
+    world_note(s->w, event, "addr=%s boot=%lld inc=%lld", addr_text((uint64_t)one->info.addr),
+               (long long)one->info.boot, (long long)one->info.incarnation);
 }
 
-static int beats(const struct peer_news *a, const struct peer_news *b)
+static int beats(const struct peer_info *a, const struct peer_info *b)
 {
     if (a->boot != b->boot)
         return a->boot > b->boot;
@@ -115,38 +116,38 @@
 
 static void request_suspect(struct peers *s, const struct peer *one);
 
-static void take_news(struct peers *s, const struct peer_news *news)
+static void take_news(struct peers *s, const struct peer_info *info)
 {
-    if (news->state < SIB_ALIVE || news->state > SIB_DEAD || !news->addr)
+    if (info->state < PEER_ALIVE || info->state > PEER_DEAD || !info->addr)
         return;
-    if (news->addr == s->self.addr) {
+    if (info->addr == s->self.addr) {
         /* somebody doubts us: say otherwise, louder */
-        if (news->boot == s->self.boot && news->state >= SIB_SUSPECT && news->incarnation >= s->self.incarnation)
-            s->self.incarnation = news->incarnation + 1;
-        else if (news->boot > s->self.boot)
-            s->self.boot = news->boot + 1;
+        if (info->boot == s->self.boot && info->state >= PEER_SUSPECT && info->incarnation >= s->self.incarnation)
+            s->self.incarnation = info->incarnation + 1;
+        else if (info->boot > s->self.boot)
+            s->self.boot = info->boot + 1;
         return;
     }
-    struct peer *one = (struct peer *)(uintptr_t)peers_find(s, news->addr);
+    struct peer *one = (struct peer *)(uintptr_t)peers_find(s, info->addr);
     if (!one) {
-        if (news->state == SIB_DEAD)
+        if (info->state == PEER_DEAD)
             return;
         one = list_more(s->all, s->n);
-        schema_copy(&peer_news_schema, &one->news, news);
+        schema_copy(&peer_info_schema, &one->info, info);
         one->heard_ms = world_ms(s->w);
         state_changed(s, one);
         return;
     }
     /* first heard of through one of an older version, which does not pass it on */
-    if (news->boot == one->news.boot && news->level > one->news.level)
-        one->news.level = news->level;
-    if (!beats(news, &one->news))
+    if (info->boot == one->info.boot && info->level > one->info.level)
+        one->info.level = info->level;
+    if (!beats(info, &one->info))
         return;
-    int told = news->state != one->news.state || news->leaving != one->news.leaving || news->boot != one->news.boot;
-    if (news->boot != one->news.boot)
+    int told = info->state != one->info.state || info->leaving != one->info.leaving || info->boot != one->info.boot;
+    if (info->boot != one->info.boot)
         one->has_offset = 0;
-    schema_free(&peer_news_schema, &one->news);
-    schema_copy(&peer_news_schema, &one->news, news);
+    schema_free(&peer_info_schema, &one->info);
+    schema_copy(&peer_info_schema, &one->info, info);
     if (told) {
         state_changed(s, one);
         request_suspect(s, one);
@@ -156,24 +157,24 @@
 
 static void add_news(struct peers *s, struct peer_probe *probe)
 {
-    *list_more(probe->news, probe->n) = s->self;
+    *list_more(probe->info, probe->n) = s->self;
     while (probe->n < NEWS_MAX - 2) {
         struct peer *best = NULL;
         for (int64_t i = 0; i < s->n; i++) {
             struct peer *one = &s->all[i];
             int listed = 0;
             for (int64_t k = 1; k < probe->n; k++)
-                listed |= probe->news[k].addr == one->news.addr;
+                listed |= probe->info[k].addr == one->info.addr;
             if (!listed && one->tellings > 0 && (!best || one->tellings > best->tellings))
                 best = one;
         }
         if (!best)
             break;
         best->tellings--;
-        *list_more(probe->news, probe->n) = best->news;
+        *list_more(probe->info, probe->n) = best->info;
     }
     for (int i = 0; i < 2 && s->n; i++)
-        *list_more(probe->news, probe->n) = s->all[world_random(s->w) % (uint64_t)s->n].news;
+        *list_more(probe->info, probe->n) = s->all[world_random(s->w) % (uint64_t)s->n].info;
 }
 
 static void send_probe(struct peers *s, int64_t to, enum frame_kind kind, int64_t seq, int64_t about)
@@ -184,20 +185,20 @@
     frame_build(&out->bytes, kind, s->cluster, s->w->self, &peer_probe_schema, &probe);
     s->w->calls->send(s->w, (uint64_t)to, out, 1);
     blob_drop(out);
-    free(probe.news); /* the strings inside are lent */
+    free(probe.info); /* the strings inside are lent */
 }
 
 /* Whoever hears of a suspicion asks the suspect itself, at once: one that lives
  * says so within a round trip, from many sides, so the wait can be short. */
 static void request_suspect(struct peers *s, const struct peer *one)
 {
-    if (one->news.state == SIB_SUSPECT)
-        send_probe(s, one->news.addr, FRAME_PING, ++s->seq, 0);
+    if (one->info.state == PEER_SUSPECT)
+        send_probe(s, one->info.addr, FRAME_PING, ++s->seq, 0);
 }
 
 static void set_state(struct peers *s, struct peer *one, enum peer_state state)
 {
-    one->news.state = state;
+    one->info.state = state;
     state_changed(s, one);
     request_suspect(s, one);
 }
@@ -218,13 +219,13 @@
                 s->all[k] = t;
             }
         }
-        if (s->all[s->turn].news.state != SIB_DEAD)
+        if (s->all[s->turn].info.state != PEER_DEAD)
             one = &s->all[s->turn];
     }
     s->probing = 0;
     if (!one)
         return;
-    s->probing = one->news.addr;
+    s->probing = one->info.addr;
     s->probe_seq = ++s->seq;
     s->probe_since_ms = now_ms;
     s->asked = 0;
@@ -236,9 +237,9 @@
     s->asked = 1;
     for (int i = 0, sent = 0; i < 12 && sent < OPINIONS && s->n; i++) {
         struct peer *one = &s->all[world_random(s->w) % (uint64_t)s->n];
-        if (one->news.addr == s->probing || one->news.state != SIB_ALIVE)
+        if (one->info.addr == s->probing || one->info.state != PEER_ALIVE)
             continue;
-        send_probe(s, one->news.addr, FRAME_PING_REQUEST, s->probe_seq, s->probing);
+        send_probe(s, one->info.addr, FRAME_PING_REQUEST, s->probe_seq, s->probing);
         sent++;
     }
 }
@@ -250,8 +251,8 @@
     if (s->probing && now_ms - s->probe_since_ms >= s->settings.late_ms) {
         struct peer *one = (struct peer *)(uintptr_t)peers_find(s, s->probing);
         s->probing = 0;
-        if (one && one->news.state < SIB_SUSPECT)
-            set_state(s, one, SIB_SUSPECT);
+        if (one && one->info.state < PEER_SUSPECT)
+            set_state(s, one, PEER_SUSPECT);
     }
     if (!s->probing && now_ms >= s->probe_due_ms) {
         s->probe_due_ms = now_ms + s->settings.probe_ms;
@@ -265,10 +266,10 @@
     probe_step(s, now_ms);
     for (int64_t i = 0; i < s->n; i++) {
         struct peer *one = &s->all[i];
-        if (one->news.state == SIB_SUSPECT && now_ms - one->since_ms >= s->settings.suspect_ms)
-            set_state(s, one, SIB_DEAD);
-        if (one->news.state == SIB_DEAD && now_ms - one->since_ms >= s->settings.forget_ms) {
-            schema_free(&peer_news_schema, &one->news);
+        if (one->info.state == PEER_SUSPECT && now_ms - one->since_ms >= s->settings.suspect_ms)
+            set_state(s, one, PEER_DEAD);
+        if (one->info.state == PEER_DEAD && now_ms - one->since_ms >= s->settings.forget_ms) {
+            schema_free(&peer_info_schema, &one->info);
             s->all[i--] = s->all[--s->n];
         }
     }
@@ -277,12 +278,12 @@
         s->seed_due_ms = now_ms + 500;
         for (int64_t i = 0; i < s->n_seeds; i++) {
             const struct peer *one = peers_find(s, s->seeds[i]);
-            if (s->seeds[i] != s->self.addr && (!one || one->news.state == SIB_DEAD))
+            if (s->seeds[i] != s->self.addr && (!one || one->info.state == PEER_DEAD))
                 send_probe(s, s->seeds[i], FRAME_PING, ++s->seq, 0);
         }
         const struct peer *any = s->n ? &s->all[world_random(s->w) % (uint64_t)s->n] : NULL;
-        if (any && any->news.state == SIB_DEAD)
-            send_probe(s, any->news.addr, FRAME_PING, ++s->seq, 0);
+        if (any && any->info.state == PEER_DEAD)
+            send_probe(s, any->info.addr, FRAME_PING, ++s->seq, 0);
         median_update(s);
     }
 }
@@ -326,13 +327,13 @@
     send_probe(s, probe->about, FRAME_PING, oldest->seq, 0);
 }
 
-int peers_take(struct peers *s, const struct frame *frame)
+int peers_on_frame(struct peers *s, const struct frame *frame)
 {
     struct peer_probe probe = {0};
     if (schema_unpack(&peer_probe_schema, &probe, frame->body, frame->len))
         return ERROR_BAD_FRAME;
     for (int64_t i = 0; i < probe.n; i++)
-        take_news(s, &probe.news[i]);
+        take_news(s, &probe.info[i]);
     heard(s, (int64_t)frame->from, probe.wall_ms);
     if (frame->kind == FRAME_PING)
         send_probe(s, (int64_t)frame->from, FRAME_ACK, probe.seq, 0);
@@ -349,14 +350,14 @@
     s->self.leaving = 1;
     s->self.incarnation++;
     for (int64_t i = 0; i < s->n; i++)
-        if (s->all[i].news.state < SIB_SUSPECT)
-            send_probe(s, s->all[i].news.addr, FRAME_PING, ++s->seq, 0);
+        if (s->all[i].info.state < PEER_SUSPECT)
+            send_probe(s, s->all[i].info.addr, FRAME_PING, ++s->seq, 0);
 }
 
 void peers_end(struct peers *s)
 {
     for (int64_t i = 0; i < s->n; i++)
-        schema_free(&peer_news_schema, &s->all[i].news);
+        schema_free(&peer_info_schema, &s->all[i].info);
     free(s->all);
     free(s->self.zone);
 }
--- a/src/proc/roles.c
+++ b/src/proc/roles.c
@@ -38,10 +38,10 @@
 /* --- keeper ------------------------------------------------------------------------- */
 
 static void keeper_on_timer_arg(void *arg) { keeper_on_timer(arg); }
-static void keeper_take_arg(void *arg, const uint8_t *at, int64_t len) { keeper_take(arg, at, len); }
+static void keeper_take_arg(void *arg, const uint8_t *at, int64_t len) { keeper_on_frame(arg, at, len); }
 static void keeper_flush_arg(void *arg) { keeper_flush(arg); }
 static void keeper_leave_arg(void *arg) { keeper_leave(arg); }
-static int keeper_left_arg(void *arg) { return keeper_left(arg); }
+static int keeper_left_arg(void *arg) { return keeper_has_left(arg); }
 static void keeper_request_arg(void *arg, int64_t slot, const char *method, const char *path, const char *body,
                                int64_t len)
 {
@@ -50,7 +50,7 @@
 
 static void keeper_reread(void *arg, const struct local *local)
 {
-    peers_seeds(&((struct keeper *)arg)->peers, local->seed_addrs, local->n_seeds);
+    peers_set_seeds(&((struct keeper *)arg)->peers, local->seed_addrs, local->n_seeds);
 }
 
 int role_keeper(struct local *local)
@@ -81,9 +81,9 @@
 /* --- node ----------------------------------------------------------------------------- */
 
 static void node_on_timer_arg(void *arg) { node_on_timer(arg); }
-static void node_take_arg(void *arg, const uint8_t *at, int64_t len) { node_take(arg, at, len); }
+static void node_take_arg(void *arg, const uint8_t *at, int64_t len) { node_on_frame(arg, at, len); }
 static void node_leave_arg(void *arg) { node_leave(arg); }
-static int node_left_arg(void *arg) { return node_left(arg); }
+static int node_left_arg(void *arg) { return node_has_left(arg); }
 static void node_request_arg(void *arg, int64_t slot, const char *method, const char *path, const char *body,
                              int64_t len)
 {
@@ -92,7 +92,7 @@
 
 static void node_reread(void *arg, const struct local *local)
 {
-    peers_seeds(&((struct node *)arg)->peers, local->seed_addrs, local->n_seeds);
+    peers_set_seeds(&((struct node *)arg)->peers, local->seed_addrs, local->n_seeds);
 }
 
 int role_node(struct local *local)
--- a/src/shard/assign.c
+++ b/src/shard/assign.c
@@ -113,11 +113,11 @@
         return states[room->state];
     if (world_ms(node->w) - room->seen_ms > ROOM_FRESH_MS)
         return "its home has not been heard";
-    if (config_tree_drained(&node->config_tree, room->executor, now_ms, node_settings(node, job->queue)->lease_ms))
+    if (config_tree_drain(&node->config_tree, room->executor, now_ms, node_settings(node, job->queue)->lease_ms))
         return "the calendar drains it";
-    if ((!own || !own->bold) && (room->free_cores < task->cores || room->free_mb < task->mem_mb))
+    if ((!own || !own->ignores_view) && (room->free_cores < task->cores || room->free_mb < task->mem_mb))
         return "has no room now";
-    if (own && !own->bold && own->urgency > room->wanted)
+    if (own && !own->ignores_view && own->urgency > room->wanted)
         return "keeps its room for more urgent work";
     struct crowd crowd = crowd_of(node, job, step, room, own);
     if (s->per_executor && crowd.on_executor >= s->per_executor)
@@ -276,8 +276,8 @@
 int assign_could_fit(struct node *node, const struct job_spec *spec, int64_t *bad_no)
 {
     int64_t homes = 0, no = 0;
-    for (int64_t i = 0; i < node->config_tree.n_duties; i++)
-        homes += !strncmp(node->config_tree.duties[i].name, "home/", 5);
+    for (int64_t i = 0; i < node->config_tree.n_ownerships; i++)
+        homes += !strncmp(node->config_tree.ownerships[i].name, "home/", 5);
     if (!homes || node->n_rooms < homes)
         return 1;
     for (int64_t s = 0; s < spec->n_steps; s++) {
--- a/src/shard/enqueue.c
+++ b/src/shard/enqueue.c
@@ -28,7 +28,7 @@
 static void send_on(struct node *node, int64_t request, int64_t shard, const char *body)
 {
     const struct api_call call = {.shard = shard, .method = "POST", .path = "/v1/jobs", .body = body};
-    api_send_on(node, request, shard_owner(node, shard), &call);
+    api_forward(node, request, shard_owner(node, shard), &call);
 }
 
 /* The key is known here: the same job again, another body, or sent on. */
@@ -114,7 +114,7 @@
     if (known) {
         answer_known(node, shard, request, known, hash, body);
     } else if (!reject(node, shard, request, spec, queue)) {
-        int64_t to = shard->rows.n_live > node->root_settings.send_on_above && !redirected && r
+        int64_t to = shard->rows.n_live > node->root_settings.forward_above && !redirected && r
                          ? other_shard(node, shard->no)
                          : -1;
         if (to < 0) {
@@ -154,7 +154,7 @@
     schema_free(&job_spec_schema, &spec);
 }
 
-void enqueue_committed(struct node *node, struct shard *shard, const struct buffered *b, int folded)
+void enqueue_committed(struct node *node, struct shard *shard, const struct buffered_op *b, int folded)
 {
     const struct op *op = &b->op;
     if (op->kind == OP_JOB) {
@@ -162,7 +162,7 @@
         if (job) {
             job->queue = node_queue(node, job->spec.service, job->spec.queue);
             ready_new(node, shard, job);
-            node_tell(node, job->id, -1, 0, "accepted", job->spec.key);
+            node_journal_add(node, job->id, -1, 0, "accepted", job->spec.key);
             world_note(node->w, EV_JOB_TAKEN, "job=%lld key=%s", (long long)job->id, job->spec.key);
             if (b->request)
                 answer_job(node, b->request, job, 201);
@@ -182,7 +182,7 @@
         free(body);
     } else if (op->kind == OP_CANCEL) {
         struct job *job = rows_job(&shard->rows, op->job);
-        node_tell(node, op->job, -1, 0, "cancelled", NULL);
+        node_journal_add(node, op->job, -1, 0, "cancelled", NULL);
         for (int64_t i = 0; job && i < job->n_rows; i++)
             if (job->rows[i].state == ROW_PLACED && job->state == JOB_CANCELLING)
                 track_stop(node, shard, job, i);
@@ -219,7 +219,7 @@
 {
     struct shard *shard = open_shard(node, request, job_shard(id));
     struct job *job = shard ? rows_job(&shard->rows, id) : NULL;
-    char *task = api_setting(path, "why");
+    char *task = api_query_param(path, "why");
     if (shard && !job)
         api_error(node, request, ERROR_NO_SUCH, "no such job");
     else if (job && task && (text_to_int64(task) < 0 || text_to_int64(task) >= job->n_rows))
@@ -235,7 +235,7 @@
     struct shard *shard = open_shard(node, request, no);
     if (!shard)
         return;
-    char *key = api_setting(path, "key"), *from = api_setting(path, "from");
+    char *key = api_query_param(path, "key"), *from = api_query_param(path, "from");
     const char *dot = from ? strchr(from, '.') : NULL;
     json_t *list = json_array(), *out = json_pack("{s:o}", "jobs", list);
     int64_t id = dot ? (no << SHARD_BITS) | text_to_int64(dot + 1) : 0, n = 0;
--- a/src/shard/owner.c
+++ b/src/shard/owner.c
@@ -13,11 +13,11 @@
 {
     char name[32];
     snprintf(name, sizeof name, "shard/%lld", (long long)shard);
-    const struct duty *duty = config_tree_duty(&node->config_tree, name);
-    return duty ? duty->owner : 0;
+    const struct ownership *ownership = config_tree_ownership(&node->config_tree, name);
+    return ownership ? ownership->owner : 0;
 }
 
-static void buffered_free(struct buffered *b) { schema_free(&op_schema, &b->op); }
+static void buffered_free(struct buffered_op *b) { schema_free(&op_schema, &b->op); }
 
 void shard_lose(struct node *node, struct shard *shard, const char *why)
 {
@@ -26,7 +26,7 @@
     world_note(node->w, EV_SHARD_LOST, "shard=%lld epoch=%lld why=%s", (long long)shard->no, (long long)shard->epoch,
                why);
     shard->state = SHARD_NONE;
-    struct buffered *buffer = shard->buffer;
+    struct buffered_op *buffer = shard->buffer;
     int64_t n = shard->n_buffer;
     shard->buffer = NULL;
     shard->n_buffer = shard->in_flight = shard->proposal = 0;
--- a/src/shard/place.c
+++ b/src/shard/place.c
@@ -84,8 +84,8 @@
         for (int64_t i = 0; i < staging->n_places; i++) {
             struct row *row = &job->rows[staging->places[i].no];
             row->staged = 0;
-            node_tell(node, job->id, staging->places[i].no, row->attempt + 1, "given back",
-                      staging->places[i].executor);
+            node_journal_add(node, job->id, staging->places[i].no, row->attempt + 1, "given back",
+                             staging->places[i].executor);
             /* a random wait lets two gangs that want the same rooms miss each other */
             ready_time(shard, now_ms + 20 + (int64_t)(world_random(node->w) % AGAIN_MS), job->id,
                        staging->places[i].no);
@@ -157,7 +157,7 @@
     }
     for (int64_t i = 0; i < op->n_places; i++) {
         int64_t no = op->places[i].no;
-        node_tell(node, job->id, no, op->places[i].attempt, "placed", op->places[i].executor);
+        node_journal_add(node, job->id, no, op->places[i].attempt, "placed", op->places[i].executor);
         job->rows[no].staged = 0;
         job->rows[no].stopping = 0;
         job->rows[no].checked_ms = world_ms(node->w);
@@ -207,7 +207,7 @@
     int rc = latest > now_ms ? ERROR_REJECTED : assign_places(node, shard, job, staging);
     if (rc && latest <= now_ms) {
         /* no room for the head: ask all the same, so a home knows what waits, and spare the queue the search */
-        staging->bold = 1;
+        staging->ignores_view = 1;
         rc = assign_places(node, shard, job, staging);
         node->queues[job->queue].blocked_ms = world_ms(node->w) + BLOCK_MS;
     }
@@ -220,8 +220,8 @@
         return;
     }
     for (int64_t i = 0; i < staging->n_places; i++)
-        node_tell(node, job->id, staging->places[i].no, job->rows[staging->places[i].no].attempt + 1, "reserving",
-                  staging->places[i].executor);
+        node_journal_add(node, job->id, staging->places[i].no, job->rows[staging->places[i].no].attempt + 1,
+                         "reserving", staging->places[i].executor);
     each_executor(node, number, FRAME_RESERVE);
 }
 
--- a/src/shard/preempt.c
+++ b/src/shard/preempt.c
@@ -11,7 +11,7 @@
 static int64_t leaves_at(struct node *node, const char *executor, int64_t ahead_ms)
 {
     const struct room *room = room_find(node, executor);
-    const struct planned *drain = config_tree_drained(&node->config_tree, executor, node_fleet_ms(node), ahead_ms);
+    const struct planned *drain = config_tree_drain(&node->config_tree, executor, node_fleet_ms(node), ahead_ms);
     int64_t at_ms = room ? room->leave_ms : 0;
     if (drain && (!at_ms || drain->at_ms < at_ms))
         at_ms = drain->at_ms;
@@ -22,7 +22,7 @@
 void preempt_watch(struct node *node, struct shard *shard, const char *executor)
 {
     int64_t now_ms = node_fleet_ms(node), at_ms = -1, for_ms = 0;
-    if (peers_level(&node->peers) < LEVEL_PREEMPT)
+    if (peers_min_level(&node->peers) < LEVEL_PREEMPT)
         return;
     for (int64_t i = 0; i < shard->n_placed; i++) {
         struct job *job = rows_job(&shard->rows, shard->placed[i].job);
@@ -54,7 +54,7 @@
             continue;
         world_note(node->w, EV_PREEMPTED, "job=%lld no=%lld attempt=%lld executor=%s", (long long)job->id, (long long)i,
                    (long long)row->attempt, row->executor);
-        node_tell(node, job->id, i, row->attempt, "preempted", row->executor);
+        node_journal_add(node, job->id, i, row->attempt, "preempted", row->executor);
         track_stop(node, shard, job, i);
     }
 }
--- a/src/shard/track.c
+++ b/src/shard/track.c
@@ -15,9 +15,9 @@
 {
     char name[140];
     snprintf(name, sizeof name, "home/%s", executor);
-    const struct duty *duty = config_tree_duty(&node->config_tree, name);
-    *epoch = duty ? duty->epoch : 0;
-    return duty ? duty->owner : 0;
+    const struct ownership *ownership = config_tree_ownership(&node->config_tree, name);
+    *epoch = ownership ? ownership->epoch : 0;
+    return ownership ? ownership->owner : 0;
 }
 
 void track_start(struct node *node, struct shard *shard, struct job *job, int64_t no)
@@ -72,7 +72,7 @@
     struct row *row = &job->rows[no];
     struct task_ref ref = {.job = job->id, .no = no, .attempt = row->attempt};
     row->stopping = 1;
-    node_tell(node, job->id, no, row->attempt, "stop ordered", row->executor);
+    node_journal_add(node, job->id, no, row->attempt, "stop ordered", row->executor);
     if (row->state == ROW_PLACED)
         send_refs(node, shard, row->executor, FRAME_STOP, &ref, 1);
 }
@@ -152,7 +152,7 @@
     op->attempt = row->attempt;
     op->failed = failed;
     op->meta = must_dup(preempted ? "preempted: its executor was leaving or to be drained" : why);
-    node_tell(node, job->id, no, row->attempt, retry ? "ended, to be tried again" : "ended", why ? why : "done");
+    node_journal_add(node, job->id, no, row->attempt, retry ? "ended, to be tried again" : "ended", why ? why : "done");
     if (retry) {
         op->due_ms = node_fleet_ms(node) + (failed ? backoff(node, settings, failures) : 50);
         world_note(node->w, EV_TASK_RETRY, "job=%lld no=%lld attempt=%lld why=%s", (long long)job->id, (long long)no,
--- a/src/shard/worker.c
+++ b/src/shard/worker.c
@@ -12,7 +12,7 @@
 struct op *worker_buffer(struct node *node, struct shard *shard, int64_t kind, int64_t job, int64_t request,
                          int64_t staging)
 {
-    struct buffered *b = list_more(shard->buffer, shard->n_buffer);
+    struct buffered_op *b = list_more(shard->buffer, shard->n_buffer);
     b->request = request;
     b->staging = staging;
     b->since_ms = world_ms(node->w);
@@ -29,8 +29,8 @@
     struct breaker *b = &shard->breaker;
     const struct settings *p = &node->root_settings;
     int64_t now_ms = world_ms(node->w);
-    if (now_ms - b->window_from_ms > p->breaker_window_ms)
-        *b = (struct breaker){.window_from_ms = now_ms, .open_until_ms = b->open_until_ms, .trips = b->trips};
+    if (now_ms - b->window_start_ms > p->breaker_window_ms)
+        *b = (struct breaker){.window_start_ms = now_ms, .open_until_ms = b->open_until_ms, .trips = b->trips};
     if (!good)
         b->bad++;
     else if (took_ms > p->breaker_slow_ms)
@@ -38,14 +38,14 @@
     else
         b->good++;
     int64_t all = b->good + b->bad + b->slow;
-    if (all < p->breaker_least || (b->bad + b->slow) * 100 < all * p->breaker_errors_pct)
+    if (all < p->breaker_min_ops || (b->bad + b->slow) * 100 < all * p->breaker_errors_pct)
         return;
-    *b =
-        (struct breaker){.window_from_ms = now_ms, .open_until_ms = now_ms + p->breaker_open_ms, .trips = b->trips + 1};
+    *b = (struct breaker){
+        .window_start_ms = now_ms, .open_until_ms = now_ms + p->breaker_open_ms, .trips = b->trips + 1};
     world_note(node->w, EV_BREAKER_OPEN, "shard=%lld for=%lldms", (long long)shard->no, (long long)p->breaker_open_ms);
 }
 
-int breaker_shut(struct node *node, struct shard *shard)
+int breaker_closed(struct node *node, struct shard *shard)
 {
     struct breaker *b = &shard->breaker;
     if (!b->open_until_ms)
@@ -62,14 +62,14 @@
 static void committed(struct node *node, struct shard *shard)
 {
     int64_t n = shard->in_flight;
-    struct buffered *taken = must_alloc(sizeof *taken * (size_t)n);
+    struct buffered_op *taken = must_alloc(sizeof *taken * (size_t)n);
     memcpy(taken, shard->buffer, sizeof *taken * (size_t)n);
     shard->n_buffer -= n;
     memmove(shard->buffer, shard->buffer + n, sizeof *taken * (size_t)shard->n_buffer);
     shard->in_flight = 0;
     shard->commits += n;
     for (int64_t i = 0; i < n; i++) {
-        struct buffered *b = &taken[i];
+        struct buffered_op *b = &taken[i];
         shard->seq++;
         shard->rows.seq = shard->seq;
         int rc = rows_fold(&shard->rows, &b->op);
@@ -108,7 +108,7 @@
 
 void worker_on_timer(struct node *node, struct shard *shard)
 {
-    if (shard->proposal || !shard->n_buffer || !admission_open(node) || !breaker_shut(node, shard))
+    if (shard->proposal || !shard->n_buffer || !admission_open(node) || !breaker_closed(node, shard))
         return;
     if (!shard->in_flight) {
         int64_t max = node->root_settings.batch_max;
--- a/tests/sim/api_test.cc
+++ b/tests/sim/api_test.cc
@@ -156,7 +156,7 @@
         e.job = 5;
         frame_build(&out, FRAME_ENDED, 12345, 99, &ended_schema, &e); // another cluster
         auto take = [&](const uint8_t *at, int64_t len) {
-            m->kind == M_NODE ? node_take(&m->core.node, at, len) : keeper_take(&m->core.keeper, at, len);
+            m->kind == M_NODE ? node_on_frame(&m->core.node, at, len) : keeper_on_frame(&m->core.keeper, at, len);
         };
         auto count = [&] { return m->kind == M_NODE ? m->core.node.frames_dropped : m->core.keeper.frames_dropped; };
         int64_t before = count();
--- a/tests/sim/handover_test.cc
+++ b/tests/sim/handover_test.cc
@@ -16,7 +16,7 @@
         else
             keeper_leave(&m->core.keeper);
         while (sim_ms(&s) - from < 10000 &&
-               !(m->kind == M_NODE ? node_left(&m->core.node) : keeper_left(&m->core.keeper)))
+               !(m->kind == M_NODE ? node_has_left(&m->core.node) : keeper_has_left(&m->core.keeper)))
             run(20);
         sim_kill(m, 0);
         return sim_ms(&s) - from;
@@ -125,7 +125,7 @@
         schema_pack(&batch_schema, &batch, &m.op);
         bytes frame = {};
         frame_build(&frame, FRAME_PROPOSE, leader->core.keeper.cluster, f.at("node1")->base.self, &propose_schema, &m);
-        keeper_take(&leader->core.keeper, frame.at, frame.len);
+        keeper_on_frame(&leader->core.keeper, frame.at, frame.len);
         keeper_flush(&leader->core.keeper);
         bytes_free(&frame);
         bytes_free(&m.op);
@@ -143,7 +143,7 @@
         order.start.service = j->spec.service, order.start.kind = j->spec.steps[0].tasks[0].kind;
         frame_build(&frame, FRAME_START, home->core.node.cluster, f.at("node1")->base.self, &start_order_schema,
                     &order);
-        node_take(&home->core.node, frame.at, frame.len);
+        node_on_frame(&home->core.node, frame.at, frame.len);
         bytes_free(&frame);
         f.run(1000);
         EXPECT_EQ(f.job_state(runs), "active");
--- a/tests/sim/votes_test.cc
+++ b/tests/sim/votes_test.cc
@@ -26,7 +26,7 @@
             bytes b = {};
             frame_build(&b, FRAME_VOTE_REQUEST, voter->core.keeper.cluster, from->base.self, &log_vote_request_schema,
                         &m);
-            keeper_take(&voter->core.keeper, b.at, b.len);
+            keeper_on_frame(&voter->core.keeper, b.at, b.len);
             bytes_free(&b);
         };
         int64_t first = others[0]->core.keeper.id;
--- a/tests/unit/config_tree_test.cc
+++ b/tests/unit/config_tree_test.cc
@@ -43,14 +43,14 @@
 TEST(Charter, ABranchReachesAllBelowItAndNothingElse)
 {
     Tree t;
-    EXPECT_EQ(t.change(CH_WHOLE, 0, nullptr,
+    EXPECT_EQ(t.change(CONFIG_OP_REPLACE, 0, nullptr,
                        R"({"root":{"attemptsMax":5},"root/a":{"licenceMs":7000},"root/a/q":{"attemptsMax":2}})"),
               ERROR_NONE);
     EXPECT_EQ(t.at("root/a/q").attempts_max, 2);
     EXPECT_EQ(t.at("root/a/q").lease_ms, 7000);
     EXPECT_EQ(t.at("root/a/other").attempts_max, 5);
     EXPECT_EQ(t.at("root/b").lease_ms, 4000);
-    EXPECT_EQ(t.change(CH_BRANCH, 1, "root/a", R"({"licenceMs":9000})"), ERROR_NONE);
+    EXPECT_EQ(t.change(CONFIG_OP_BRANCH, 1, "root/a", R"({"licenceMs":9000})"), ERROR_NONE);
     EXPECT_EQ(t.at("root/a/q").lease_ms, 9000);
     EXPECT_EQ(t.at("root/b/q").lease_ms, 4000);
     json_t *explained = config_tree_explain(&t.c, "root/a/q");
@@ -58,7 +58,7 @@
     EXPECT_STREQ(json_string_value(json_object_get(json_object_get(explained, "attemptsMax"), "from")), "root/a/q");
     EXPECT_STREQ(json_string_value(json_object_get(json_object_get(explained, "backoffMs"), "from")), "default");
     json_decref(explained);
-    EXPECT_EQ(t.change(CH_BRANCH, 2, "root/a", nullptr), ERROR_NONE);
+    EXPECT_EQ(t.change(CONFIG_OP_BRANCH, 2, "root/a", nullptr), ERROR_NONE);
     EXPECT_EQ(t.at("root/a/q").lease_ms, 4000);
 }
 
@@ -66,11 +66,11 @@
 {
     Tree t;
     int64_t version;
-    EXPECT_EQ(t.change(CH_BRANCH, 0, "root", R"({"attemptsMax":5})"), ERROR_NONE);
+    EXPECT_EQ(t.change(CONFIG_OP_BRANCH, 0, "root", R"({"attemptsMax":5})"), ERROR_NONE);
     t.req--;
-    EXPECT_EQ(t.change(CH_BRANCH, 0, "root", R"({"attemptsMax":5})", &version), ERROR_NONE);
+    EXPECT_EQ(t.change(CONFIG_OP_BRANCH, 0, "root", R"({"attemptsMax":5})", &version), ERROR_NONE);
     EXPECT_EQ(version, 1);
-    EXPECT_EQ(t.change(CH_BRANCH, 0, "root", R"({"attemptsMax":6})", &version), ERROR_STALE);
+    EXPECT_EQ(t.change(CONFIG_OP_BRANCH, 0, "root", R"({"attemptsMax":6})", &version), ERROR_STALE);
     EXPECT_EQ(t.c.version, 1);
 }
 
@@ -79,17 +79,17 @@
     Tree t;
     config_tree_op op = {};
     config_tree_result result = {};
-    duty d = {};
+    ownership d = {};
     char name[] = "shard/1";
-    op.kind = CH_DUTIES, op.duties = &d, op.n_duties = 1;
+    op.kind = CONFIG_OP_OWNERSHIPS, op.duties = &d, op.n_ownerships = 1;
     d.name = name, d.owner = 7, d.epoch = 3;
     config_tree_fold(&t.c, &op, &result);
     d.owner = 8, d.epoch = 3;
     config_tree_fold(&t.c, &op, &result);
-    EXPECT_EQ(config_tree_duty(&t.c, name)->owner, 7);
+    EXPECT_EQ(config_tree_ownership(&t.c, name)->owner, 7);
     d.epoch = 4;
     config_tree_fold(&t.c, &op, &result);
-    EXPECT_EQ(config_tree_duty(&t.c, name)->owner, 8);
+    EXPECT_EQ(config_tree_ownership(&t.c, name)->owner, 8);
 }
 
 TEST(Charter, RandomChangesKeepEveryBound)
@@ -129,7 +129,8 @@
                 model[path] = value;
             int want = stale ? ERROR_STALE : holds() ? ERROR_NONE : ERROR_BOUND;
             std::string json = "{\"attemptsMax\":" + std::to_string(value) + "}";
-            int got = t.change(CH_BRANCH, stale ? version + 1 : version, path.c_str(), gone ? nullptr : json.c_str());
+            int got =
+                t.change(CONFIG_OP_BRANCH, stale ? version + 1 : version, path.c_str(), gone ? nullptr : json.c_str());
             ASSERT_EQ(got, want) << "seed " << seed << " step " << step << " " << path << " " << json;
             if (want == ERROR_NONE)
                 version++;
--- a/tests/unit/decoders_test.cc
+++ b/tests/unit/decoders_test.cc
@@ -67,14 +67,14 @@
                                &log_got_schema,
                                &log_saved_schema,
                                &log_lead_now_schema,
-                               &found_schema,
+                               &bootstrap_status_schema,
                                &join_schema,
-                               &confirm_schema,
-                               &feed_schema,
+                               &control_updates_request_schema,
+                               &control_updates_schema,
                                &propose_schema,
                                &proposed_schema,
-                               &send_on_schema,
-                               &sent_on_schema,
+                               &forward_request_schema,
+                               &forward_response_schema,
                                &rooms_msg_schema,
                                &reserve_schema,
                                &reserved_schema,
@@ -185,7 +185,7 @@
         bytes before = {}, after = {};
         validation_error f = {};
         config_tree_snapshot(&c, &before);
-        int rc = config_tree_set_whole(&c, text.c_str(), &f);
+        int rc = config_tree_replace(&c, text.c_str(), &f);
         config_tree_snapshot(&c, &after);
         if (rc) {
             rejected++;
