--- a/sim/cluster.c
+++ b/sim/cluster.c
@@ -27,7 +27,7 @@
     va_start(args, format);
     vsnprintf(text, sizeof text, format, args);
     va_end(args);
-    struct story_line *line = list_more(c->story, c->n_story);
+    struct story_line *line = array_add(c->story, c->n_story);
     line->at_us = c->now_us;
     line->job = job;
     line->text = must_dup(text);
--- a/sim/cluster_callers.c
+++ b/sim/cluster_callers.c
@@ -36,7 +36,7 @@
     for (int64_t i = 0; i < job->n_gangs; i++)
         if (job->gangs[i].time == time && job->gangs[i].step == step && job->gangs[i].attempt == attempt)
             return &job->gangs[i];
-    struct board_gang *gang = list_more(job->gangs, job->n_gangs);
+    struct board_gang *gang = array_add(job->gangs, job->n_gangs);
     *gang = (struct board_gang){.time = time, .step = step, .attempt = attempt};
     return gang;
 }
@@ -62,7 +62,7 @@
 
 static struct step_spec *add_step(struct cluster *c, struct job_spec *spec, int64_t width, int64_t ms)
 {
-    struct step_spec *step = list_more(spec->steps, spec->n_steps);
+    struct step_spec *step = array_add(spec->steps, spec->n_steps);
     step->task_count = width;
     step->cpu_milli = 500 + cluster_pick(c, 8) * 500;
     step->memory_mb = 256 + cluster_pick(c, 8) * 512;
@@ -70,7 +70,7 @@
     return step;
 }
 
-static void depends(struct step_spec *step, int64_t on) { *list_more(step->depends_on, step->n_depends_on) = on; }
+static void depends(struct step_spec *step, int64_t on) { *array_add(step->depends_on, step->n_depends_on) = on; }
 
 static void schema_steps(struct cluster *c, struct job_spec *spec)
 {
@@ -120,7 +120,7 @@
     static const char *const prefixes[] = {"/fast/", "/mid/", "/slow/"};
     struct board_job *job = must_alloc(sizeof *job);
     struct job_spec *spec = job->spec = must_alloc(sizeof *spec);
-    *list_more(c->jobs, c->n_jobs) = job;
+    *array_add(c->jobs, c->n_jobs) = job;
     job->id = spec->id = (int64_t)cluster_random(c);
     job->serial = c->n_jobs;
     job->poison = job->accepted_us = job->sent_us = job->cancel_ack_us = job->shown_us = -1;
@@ -140,7 +140,7 @@
         schema_lone(c, job, schema);
     job->times = spec->repeats > 0 ? spec->repeats : 1;
     for (int64_t i = 0; i < spec->n_steps;) {
-        *list_more(job->first, i) = job->tasks;
+        *array_add(job->first, i) = job->tasks;
         job->tasks += spec->steps[i - 1].task_count;
     }
     job->rows = must_alloc(sizeof *job->rows * (size_t)(job->tasks * job->times));
--- a/sim/cluster_calls.c
+++ b/sim/cluster_calls.c
@@ -31,7 +31,7 @@
 static struct cluster_event *call_begin(struct cluster *c, struct cluster_call call, int64_t wait_ms)
 {
     call.id = ++c->n_calls;
-    *list_more(c->calls, c->n_calls_open) = call;
+    *array_add(c->calls, c->n_calls_open) = call;
     struct cluster_event *timeout = cluster_event_new(CEV_TIMEOUT, call.from);
     timeout->call = call.id;
     cluster_push(c, timeout, c->now_us + (wait_ms > 0 ? wait_ms : 1) * 1000);
--- a/sim/cluster_codec.c
+++ b/sim/cluster_codec.c
@@ -37,7 +37,7 @@
     const char *wait = web->header(web, "Wait-Ms");
     request->wait_ms = wait ? text_to_int64(wait) : 0;
     if (!last || (!last[1] && strcmp(web->method, "GET")))
-        return ERROR_NO_SUCH;
+        return ERROR_NOT_FOUND;
     int64_t job_id = (int64_t)strtoull(last + 1, NULL, 16);
     if (!last[1])
         api_request_make_count(request);
@@ -69,7 +69,7 @@
     size_t i;
     json_array_foreach(active, i, one)
     {
-        *(struct run_active *)list_more(lists->active, lists->n_active) =
+        *(struct run_active *)array_add(lists->active, lists->n_active) =
             (struct run_active){.job = int_of(one, "job"),
                                 .task = int_of(one, "task"),
                                 .attempt = int_of(one, "attempt"),
@@ -78,7 +78,7 @@
     }
     json_array_foreach(ended, i, one)
     {
-        *(struct run_ended *)list_more(lists->ended, lists->n_ended) =
+        *(struct run_ended *)array_add(lists->ended, lists->n_ended) =
             (struct run_ended){.seq = int_of(one, "seq"),
                                .job = int_of(one, "job"),
                                .task = int_of(one, "task"),
@@ -214,7 +214,7 @@
 static int api_read(struct api_request *request, const struct http_request *web,
                     struct validation_error *validation_error)
 {
-    int rc = ERROR_NO_SUCH;
+    int rc = ERROR_NOT_FOUND;
     if (web->entry == ENTRY_READINESS) {
         api_request_make_ready(request);
         rc = ERROR_NONE;
@@ -252,7 +252,7 @@
 static void api_write(const struct api_response *response, int *status, char **body)
 {
     /* given up on: it may be in force, so it must not read as a refusal */
-    *status = response->error == ERROR_GAVE_UP ? 504 : error_response((int)response->error)->status;
+    *status = response->error == ERROR_OUTCOME_UNKNOWN ? 504 : error_response((int)response->error)->status;
     *body = response->error ? must_printf("{\"problem\":\"%s\"}", error_response((int)response->error)->name)
                             : body_of(response);
 }
--- a/sim/cluster_executor.c
+++ b/sim/cluster_executor.c
@@ -251,7 +251,7 @@
         answer_lists(s, call);
         return;
     }
-    struct standin_poll *poll = list_more(s->polls, s->n_polls);
+    struct standin_poll *poll = array_add(s->polls, s->n_polls);
     poll->call = call;
     poll->due_us = c->now_us + (wait_ms < 2000 ? wait_ms : 2000) * 1000;
 }
--- a/sim/cluster_operator.c
+++ b/sim/cluster_operator.c
@@ -126,7 +126,7 @@
 
 static int64_t call_new(struct cluster *c, int64_t change)
 {
-    struct config_call *call = list_more(c->config_calls, c->n_config_calls);
+    struct config_call *call = array_add(c->config_calls, c->n_config_calls);
     *call = (struct config_call){.change = change, .began_us = c->now_us};
     return c->n_config_calls - 1;
 }
@@ -187,7 +187,7 @@
     order.settled = order.base <= c->acked_version || order.base <= c->read_version;
     cluster_tell(c, 0, "configuration %lld on %lld is sent%s", (long long)order.version, (long long)order.base,
                  order.valid ? "" : ", invalid");
-    *list_more(c->changes, c->n_changes) = order;
+    *array_add(c->changes, c->n_changes) = order;
     send_change(c, (void *)(intptr_t)(c->n_changes - 1), 0);
 }
 
--- a/sim/cluster_oracle.c
+++ b/sim/cluster_oracle.c
@@ -27,7 +27,7 @@
     va_start(args, format);
     vsnprintf(text, sizeof text, format, args);
     va_end(args);
-    *list_more(c->breaches, c->n_breaches) = must_printf("%.3f %s", (double)c->now_us / 1e6, text);
+    *array_add(c->breaches, c->n_breaches) = must_printf("%.3f %s", (double)c->now_us / 1e6, text);
     if (c->n_breaches == 1 || !c->breach_job)
         c->breach_job = job;
     cluster_tell(c, job, "BREACH %s", text);
@@ -223,7 +223,7 @@
     run->job->starts++;
     cluster_tell(c, run->job->id, "%s starts %llx attempt %lld %s%s", s->incarnation, (ull)run->task,
                  (long long)run->attempt, checkpoint, late ? " (carried out late)" : "");
-    *list_more(row->starts, row->n_starts) =
+    *array_add(row->starts, row->n_starts) =
         (struct seen_start){.at_us = c->now_us, .attempt = run->attempt, .executor = s->index};
     judge_twice(s, run);
     judge_place(s, run);
@@ -241,7 +241,7 @@
     c->n_ends[how]++;
     cluster_tell(c, run->job->id, "%s ends %llx attempt %lld as %s", s->incarnation, (ull)run->task,
                  (long long)run->attempt, end_name(how));
-    *list_more(row->ends, row->n_ends) = (struct seen_end){.at_us = c->now_us,
+    *array_add(row->ends, row->n_ends) = (struct seen_end){.at_us = c->now_us,
                                                            .attempt = run->attempt,
                                                            .executor = s->index,
                                                            .generation = s->generation,
--- a/sim/cluster_runs.c
+++ b/sim/cluster_runs.c
@@ -28,7 +28,7 @@
             return;
         }
     }
-    *list_more(s->barred, s->n_barred) = (struct standin_barred){.job = job, .task = task, .attempt = attempt};
+    *array_add(s->barred, s->n_barred) = (struct standin_barred){.job = job, .task = task, .attempt = attempt};
 }
 
 int64_t standin_barred(const struct standin *s, int64_t job, int64_t task)
@@ -105,7 +105,7 @@
     const struct step_spec *step = &job->spec->steps[task_step(order->task)];
     if (s->checks_capacity && !has_room(s, step))
         return 0;
-    struct standin_run *run = list_more(s->runs, s->n_runs);
+    struct standin_run *run = array_add(s->runs, s->n_runs);
     *run = (struct standin_run){.job = job,
                                 .time = task_repetition(order->task),
                                 .step = task_step(order->task),
@@ -137,7 +137,7 @@
     if (how == RUN_STOPPED)
         save(&over);
     standin_bar(s, over.job->id, over.task, over.attempt);
-    struct standin_ended *end = list_more(s->ended, s->n_ended);
+    struct standin_ended *end = array_add(s->ended, s->n_ended);
     *end = (struct standin_ended){.seq = ++s->seq,
                                   .job = over.job->id,
                                   .task = over.task,
--- a/sim/event_queue.c
+++ b/sim/event_queue.c
@@ -21,7 +21,7 @@
 {
     event->at_us = at_us;
     event->order = queue->pushed++;
-    *list_more(queue->heap, queue->n) = event;
+    *array_add(queue->heap, queue->n) = event;
     int64_t i = queue->n - 1;
     while (i > 0 && earlier(queue->heap[i], queue->heap[(i - 1) / 2])) {
         swap(queue, i, (i - 1) / 2);
--- a/sim/oracle.c
+++ b/sim/oracle.c
@@ -64,7 +64,7 @@
 {
     PWord_t at = (PWord_t)JudyLIns(&o->index, (Word_t)(job << 11 | no), NULL);
     if (!*at) {
-        *list_more(o->tasks, o->n_tasks) = (struct seen_task){.job = job, .no = no};
+        *array_add(o->tasks, o->n_tasks) = (struct seen_task){.job = job, .no = no};
         *at = (Word_t)o->n_tasks;
     }
     return &o->tasks[*at - 1];
@@ -168,7 +168,7 @@
     for (int64_t i = 0; i < o->n_gangs; i++)
         if (o->gangs[i].job == job && o->gangs[i].step == step)
             return;
-    *list_more(o->gangs, o->n_gangs) = (struct seen_gang){.job = job, .step = step, .first_ms = sim_ms(o->sim)};
+    *array_add(o->gangs, o->n_gangs) = (struct seen_gang){.job = job, .step = step, .first_ms = sim_ms(o->sim)};
 }
 
 int oracle_settings(struct oracle *o, const struct job *job, struct settings *settings)
--- a/sim/oracle_known.c
+++ b/sim/oracle_known.c
@@ -12,7 +12,7 @@
     PWord_t at = job ? (PWord_t)JudyLIns(&o->accepted_index, (Word_t)job, NULL) : NULL;
     if (!at || *at)
         return;
-    *list_more(o->accepted, o->n_accepted) = (struct accepted){.job = job, .at_ms = sim_ms(o->sim)};
+    *array_add(o->accepted, o->n_accepted) = (struct accepted){.job = job, .at_ms = sim_ms(o->sim)};
     *at = (Word_t)o->n_accepted;
 }
 
@@ -50,7 +50,7 @@
         for (int64_t i = 0; i < sim->n; i++) {
             struct machine *m = sim->machines[i];
             if (m->kind == M_KEEPER && m->up && !m->frozen && !sick_disk(sim, m) &&
-                log_voter(&newest->core.keeper.logs[g], m->core.keeper.id))
+                log_is_voter(&newest->core.keeper.logs[g], m->core.keeper.id))
                 voters[n++] = m;
         }
         for (int64_t i = 0; i < n; i++) {
@@ -176,7 +176,7 @@
 
 static void request(struct oracle *o, int64_t job, int64_t accepted_ms, struct machine *node, int64_t again)
 {
-    *list_more(o->asked, o->n_asked) =
+    *array_add(o->asked, o->n_asked) =
         (struct asked){.job = job, .accepted_ms = accepted_ms, .node = node, .again = again};
     sim_at(o->sim, again ? REQUEST_AGAIN_MS : 0, request_now, (void *)(intptr_t)(o->n_asked - 1));
 }
--- a/sim/oracle_promises.c
+++ b/sim/oracle_promises.c
@@ -9,7 +9,7 @@
 
 void oracle_settings_accepted(struct oracle *o, int64_t version)
 {
-    *list_more(o->promised, o->n_promised) = (struct promised){.version = version, .at_ms = sim_ms(o->sim)};
+    *array_add(o->promised, o->n_promised) = (struct promised){.version = version, .at_ms = sim_ms(o->sim)};
 }
 
 /* A change was taken: it is the next after the one its operator had seen. */
@@ -24,7 +24,7 @@
 
 void oracle_cancelled(struct oracle *o, int64_t job)
 {
-    *list_more(o->cancelled, o->n_cancelled) = (struct cancelled){.job = job, .at_ms = sim_ms(o->sim)};
+    *array_add(o->cancelled, o->n_cancelled) = (struct cancelled){.job = job, .at_ms = sim_ms(o->sim)};
 }
 
 void oracle_shown(struct oracle *o, int64_t id, const char *state)
--- a/sim/sim_disk.c
+++ b/sim/sim_disk.c
@@ -91,7 +91,7 @@
     if (disk->failing)
         return ERROR_DISK;
     if (!at)
-        return ERROR_NO_SUCH;
+        return ERROR_NOT_FOUND;
     bytes_add(to, at->file->data.at ? (void *)at->file->data.at : (void *)"", at->file->data.len);
     return ERROR_NONE;
 }
--- a/sim/sim_net.c
+++ b/sim/sim_net.c
@@ -148,7 +148,7 @@
     const char *expect = strstr(path, "expect=");
     if (strcmp(method, "GET") && expect && (!strncmp(path, "/v1/settings", 12) || !strncmp(path, "/v1/calendar", 12)))
         call.follows = 1 + text_to_int64(expect + 7);
-    *list_more(sim->calls, sim->n_calls_open) = call;
+    *array_add(sim->calls, sim->n_calls_open) = call;
     struct sim_event *timeout = new_event(EVT_TIMEOUT, call.from);
     timeout->call = call.id;
     timeout->generation = call.from ? call.from->generation : 0;
--- a/src/agent/agent_beats.c
+++ b/src/agent/agent_beats.c
@@ -41,7 +41,7 @@
     char **place = &agent->ended_incarnations[agent->n_ended_incarnations++ % ENDED_INCARNATIONS_MAX];
     free(*place);
     *place = must_dup(incarnation);
-    *list_more(agent->lost_incarnations, agent->n_lost_incarnations) = must_dup(incarnation);
+    *array_add(agent->lost_incarnations, agent->n_lost_incarnations) = must_dup(incarnation);
     world_note(agent->world, EV_EXECUTOR_GONE, "life %s is over", incarnation);
     if (agent->incarnation.present && !strcmp(agent->incarnation.state.incarnation, incarnation))
         agent_incarnation_end(agent);
@@ -132,7 +132,7 @@
     int64_t now = world_ms(agent->world);
     int error = codec->read(&request, web, &validation_error);
     if (!error && request.kind != REQUEST_HEARTBEAT)
-        error = ERROR_NO_SUCH;
+        error = ERROR_NOT_FOUND;
     if (!error && take_beat(agent, api_request_beat(&request), now) && agent->setup.orders_by_heartbeat) {
         agent_beat_taken(agent, slot, &api_request_beat(&request)->account, now);
         schema_free(&api_request_schema, &request);
--- a/src/agent/agent_responses.c
+++ b/src/agent/agent_responses.c
@@ -59,7 +59,7 @@
         struct run_ended *from = &lists->ended[i];
         if (from->seq <= incarnation->seen || (from->seq <= newest && knows_end(incarnation, from->seq)))
             continue;
-        *(struct run_ended *)list_more(known->ended, known->n_ended) = *from;
+        *(struct run_ended *)array_add(known->ended, known->n_ended) = *from;
         from->checkpoint = NULL;
         newest = from->seq > newest ? from->seq : newest;
         agent->report_due = 1;
--- a/src/agent/agent_works.c
+++ b/src/agent/agent_works.c
@@ -127,7 +127,7 @@
 
 static struct work *work_add(struct agent *agent, int64_t job, int64_t task, int64_t attempt, int64_t now)
 {
-    struct work *work = list_more(agent->works, agent->n_works);
+    struct work *work = array_add(agent->works, agent->n_works);
     work->start = (struct run_start){.job = job, .task = task, .attempt = attempt};
     work->doubt = agent_inherits(agent, now);
     work->due_ms = now;
--- a/src/base/bytes.h
+++ b/src/base/bytes.h
@@ -69,7 +69,7 @@
 
 /* Grows the array items of n by one zeroed item and returns a pointer to it; older pointers into the
  * array are no longer valid. */
-#define list_more(items, n)                                                                                        \
+#define array_add(items, n)                                                                                        \
     ((items) = must_grow((items), sizeof *(items) * (size_t)((n) + 1)), memset(&(items)[(n)], 0, sizeof *(items)), \
      &(items)[(n)++])
 /* The number of items of an array (not of a pointer). */
--- a/src/base/frame.c
+++ b/src/base/frame.c
@@ -6,7 +6,7 @@
 #include "base/error.h"
 
 int frame_lossy(enum frame_kind kind) { return kind >= FRAME_PING && kind <= FRAME_PING_REQUEST; }
-int frame_of_log(enum frame_kind kind)
+int frame_is_for_log(enum frame_kind kind)
 {
     return (kind >= FRAME_VOTE_REQUEST && kind <= FRAME_LEAD_NOW) || kind == FRAME_SNAPSHOT_CHUNK ||
            kind == FRAME_SNAPSHOT_GOT;
--- a/src/base/frame.h
+++ b/src/base/frame.h
@@ -16,23 +16,23 @@
     FRAME_APPENDED, /* log */
     FRAME_SNAPSHOT,
     FRAME_LEAD_NOW,
-    FRAME_FOUND_REQUEST,
-    FRAME_FOUND,
+    FRAME_BOOTSTRAP_STATUS_REQUEST,
+    FRAME_BOOTSTRAP_STATUS,
     FRAME_JOIN,
-    FRAME_CONFIRM,
-    FRAME_FEED,
-    FRAME_NEWS,
+    FRAME_CONTROL_UPDATES_REQUEST,
+    FRAME_CONTROL_UPDATES,
+    FRAME_CONTROL_UPDATES_NOTICE,
     FRAME_PROPOSE,
     FRAME_PROPOSED, /* configuration tree */
-    FRAME_SEND_ON,
-    FRAME_SENT_ON, /* api */
-    FRAME_ROOMS,
+    FRAME_FORWARD_REQUEST,
+    FRAME_FORWARD_RESPONSE, /* api */
+    FRAME_EXECUTOR_SUMMARIES,
     FRAME_RESERVE,
     FRAME_RESERVED,
     FRAME_RELEASE, /* home */
     FRAME_START,
     FRAME_STOP,
-    FRAME_GO,
+    FRAME_GANG_START,
     FRAME_CHECK,
     FRAME_CHECKED,
     FRAME_ENDED,
@@ -41,7 +41,7 @@
     FRAME_LEADER_REPLY, /* directory */
     FRAME_COLLECT,
     FRAME_COLLECTED,
-    FRAME_FOUNDERS, /* bootstrap of controllers */
+    FRAME_BOOTSTRAP_MEMBERS, /* bootstrap of controllers */
     FRAME_REQUEST,
     FRAME_RESPONSE, /* controller: sent on to the leader */
     FRAME_REPORT,
@@ -76,5 +76,5 @@
 enum sagehitch_error frame_parse(struct frame *to, const uint8_t *at, int64_t len, uint32_t cluster);
 /* 1 if frames of this kind may be lost, so a datagram will do. */
 int frame_lossy(enum frame_kind kind);
-int frame_of_log(enum frame_kind kind); /* one that log_take() takes */
+int frame_is_for_log(enum frame_kind kind); /* one that log_take() takes */
 #endif
--- a/src/base/schema.c
+++ b/src/base/schema.c
@@ -370,9 +370,9 @@
     for (int i = 0; i < schema->n; i++) {
         const struct field *field = &schema->fields[i];
         if (field->kind == F_INT || field->kind == F_BOOL)
-            *(int64_t *)at_off(to, field->off) = field->dflt;
+            *(int64_t *)at_off(to, field->off) = field->default_value;
         else if (field->kind == F_STR)
-            *(char **)at_off(to, field->off) = must_dup(field->dflt_str);
+            *(char **)at_off(to, field->off) = must_dup(field->default_str);
         else if (field->kind == F_SUB)
             schema_defaults(field->sub, at_off(to, field->off));
     }
--- a/src/base/schema.h
+++ b/src/base/schema.h
@@ -24,10 +24,10 @@
 };
 
 enum field_flag {
-    FF_MUST = 1,  /* must be there in JSON */
-    FF_INNER = 2, /* neither taken from nor shown as JSON */
-    FF_BOUND = 4, /* a child in the tree may lower it, never raise it */
-    FF_ROOT = 8   /* only the root of the tree may set it */
+    FF_REQUIRED = 1,    /* must be there in JSON */
+    FF_INTERNAL = 2,    /* neither taken from nor shown as JSON */
+    FF_UPPER_BOUND = 4, /* a child in the tree may lower it, never raise it */
+    FF_ROOT_ONLY = 8    /* only the root of the tree may set it */
 };
 
 /* A member. count_off is the offset of the count of a list. Invariant: offsets lie inside the struct the schema
@@ -44,8 +44,8 @@
     size_t off, count_off;
     const struct schema *sub;
     unsigned flags;
-    int64_t dflt, min, max;
-    const char *dflt_str;
+    int64_t default_value, min, max;
+    const char *default_str;
     uint64_t kinds;
 };
 
@@ -84,9 +84,9 @@
         .name = NAME, .kind = F_STR, .off = offsetof(struct T, M), __VA_ARGS__ \
     }
 #define STR(T, M, ...) STR_NAMED(T, M, #M, __VA_ARGS__)
-#define BYTES_NAMED(T, M, NAME, ...)                                                                \
-    {                                                                                               \
-        .name = NAME, .kind = F_BYTES, .off = offsetof(struct T, M), .flags = FF_INNER, __VA_ARGS__ \
+#define BYTES_NAMED(T, M, NAME, ...)                                                                   \
+    {                                                                                                  \
+        .name = NAME, .kind = F_BYTES, .off = offsetof(struct T, M), .flags = FF_INTERNAL, __VA_ARGS__ \
     }
 #define BYTES(T, M, ...) BYTES_NAMED(T, M, #M, __VA_ARGS__)
 #define STRS_NAMED(T, M, NAME, N, ...)                                                                              \
--- a/src/base/schema_json.c
+++ b/src/base/schema_json.c
@@ -31,7 +31,7 @@
         const struct field *field = &schema->fields[i];
         const void *at = at_off(from, field->off);
         json_t *value = NULL;
-        if (field->flags & FF_INNER)
+        if (field->flags & FF_INTERNAL)
             continue;
         if (field->kind == F_INT)
             value = json_integer(*(const int64_t *)at);
@@ -162,7 +162,7 @@
     {
         const struct field *field = schema_field(schema, key);
         snprintf(deeper, sizeof deeper, "%.100s%s%.50s", path, dot, key);
-        if (!field || (field->flags & FF_INNER))
+        if (!field || (field->flags & FF_INTERNAL))
             return validation_error_named(validation_error, ERROR_BAD_FIELD, "", deeper, "no such field");
         if (json_is_null(value) && field->kind == F_STR)
             continue;
@@ -172,7 +172,7 @@
     }
     for (int i = 0; i < schema->n && !partial; i++) {
         const struct field *field = &schema->fields[i];
-        if ((field->flags & FF_MUST) && !json_object_get(body, field->name)) {
+        if ((field->flags & FF_REQUIRED) && !json_object_get(body, field->name)) {
             snprintf(deeper, sizeof deeper, "%.100s%s%.50s", path, dot, field->name);
             return validation_error_named(validation_error, ERROR_BAD_FIELD, "", deeper, "to be there");
         }
--- a/src/config_tree/config_tree.c
+++ b/src/config_tree/config_tree.c
@@ -12,11 +12,11 @@
 
 static const struct field planned_fields[] = {
     STR(planned, id, .max = 120),
-    STR(planned, kind, .flags = FF_MUST, .max = 16),
+    STR(planned, kind, .flags = FF_REQUIRED, .max = 16),
     STR(planned, executor, .max = 120),
     STR(planned, path, .max = 120),
     STR(planned, json),
-    INT_NAMED(planned, at_ms, "atMs", .flags = FF_MUST, .min = 0, .max = INT64_MAX / 4),
+    INT_NAMED(planned, at_ms, "atMs", .flags = FF_REQUIRED, .min = 0, .max = INT64_MAX / 4),
     INT_NAMED(planned, until_ms, "untilMs", .min = 0, .max = INT64_MAX / 4),
     INT_NAMED(planned, every_ms, "everyMs", .min = 0, .max = INT32_MAX),
     INT(planned, state)};
@@ -88,7 +88,7 @@
         const struct ownership *given = &op->ownerships[i];
         struct ownership *have = (struct ownership *)(uintptr_t)config_tree_ownership(config_tree, given->name);
         if (!have) {
-            have = list_more(config_tree->ownerships, config_tree->n_ownerships);
+            have = array_add(config_tree->ownerships, config_tree->n_ownerships);
             have->name = must_dup(given->name);
         }
         if (given->epoch <= have->epoch)
@@ -138,7 +138,7 @@
     if (have)
         schema_free(&planned_schema, have);
     else
-        have = list_more(config_tree->calendar, config_tree->n_calendar);
+        have = array_add(config_tree->calendar, config_tree->n_calendar);
     schema_copy(&planned_schema, have, planned);
     have->state = PLAN_WAITS;
     return ERROR_NONE;
@@ -148,7 +148,7 @@
 {
     struct planned *have = (struct planned *)(uintptr_t)config_tree_planned(config_tree, id ? id : "");
     if (!have)
-        return ERROR_NO_SUCH;
+        return ERROR_NOT_FOUND;
     schema_free(&planned_schema, have);
     *have = config_tree->calendar[--config_tree->n_calendar];
     return ERROR_NONE;
@@ -159,7 +159,7 @@
 {
     struct planned *have = (struct planned *)(uintptr_t)config_tree_planned(config_tree, id ? id : "");
     if (!have || have->state != PLAN_WAITS || strcmp(have->kind, "settings"))
-        return ERROR_NO_SUCH;
+        return ERROR_NOT_FOUND;
     int rc = config_tree_set_branch(config_tree, have->path ? have->path : "", have->json, validation_error);
     have->state = rc ? PLAN_REJECTED : PLAN_DONE;
     return rc;
@@ -217,7 +217,7 @@
         return;
     if (config_tree->n_seen == SEEN_MAX)
         memmove(config_tree->seen, config_tree->seen + 1, sizeof *config_tree->seen * (size_t)--config_tree->n_seen);
-    *list_more(config_tree->seen, config_tree->n_seen) =
+    *array_add(config_tree->seen, config_tree->n_seen) =
         (struct config_tree_seen){.who = op->who, .req = op->req, .error = rc, .version = config_tree->version};
 }
 
--- a/src/config_tree/config_tree_tree.c
+++ b/src/config_tree/config_tree_tree.c
@@ -121,10 +121,10 @@
         if (rc || !f)
             break;
         int64_t have = *(int64_t *)((char *)&own + f->off), bound = *(int64_t *)((char *)&above + f->off);
-        if ((f->flags & FF_ROOT) && strcmp(branch->path, "root")) {
+        if ((f->flags & FF_ROOT_ONLY) && strcmp(branch->path, "root")) {
             snprintf(validation_error->expected, sizeof validation_error->expected, "to be set at root only");
             rc = ERROR_BOUND;
-        } else if ((f->flags & FF_BOUND) && strcmp(branch->path, "root") && have > bound) {
+        } else if ((f->flags & FF_UPPER_BOUND) && strcmp(branch->path, "root") && have > bound) {
             snprintf(validation_error->expected, sizeof validation_error->expected, "at most %lld, inherited",
                      (long long)bound);
             rc = ERROR_BOUND;
@@ -189,9 +189,9 @@
     int64_t n = 0;
     for (int64_t i = 0; i < config_tree->n_branches; i++)
         if (strcmp(config_tree->branches[i].path, path))
-            schema_copy(&branch_schema, list_more(next, n), &config_tree->branches[i]);
+            schema_copy(&branch_schema, array_add(next, n), &config_tree->branches[i]);
     if (json)
-        *list_more(next, n) = (struct branch){.path = must_dup(path), .json = must_dup(json)};
+        *array_add(next, n) = (struct branch){.path = must_dup(path), .json = must_dup(json)};
     return put_branches(config_tree, next, n, validation_error);
 }
 
@@ -210,7 +210,7 @@
     json_object_foreach(body, path, value)
     {
         char *text = json_dumps(value, JSON_COMPACT | JSON_ENCODE_ANY | JSON_SORT_KEYS);
-        *list_more(next, n) = (struct branch){.path = must_dup(path), .json = text};
+        *array_add(next, n) = (struct branch){.path = must_dup(path), .json = text};
     }
     json_decref(body);
     return put_branches(config_tree, next, n, validation_error);
--- a/src/controller/ballot.c
+++ b/src/controller/ballot.c
@@ -37,16 +37,16 @@
 /* Participation in the first start is synced before the first message is sent. */
 int ballot_load(struct controller *c)
 {
-    int rc = ERROR_NO_SUCH;
+    int rc = ERROR_NOT_FOUND;
     if (c->votes)
         rc = log_load_schema(c->w, "founding-ballot", &acceptor_schema, &c->acceptor);
     c->proposer.start_ms = world_ms(c->w) + (rc ? 0 : AGAIN_MS);
     c->may_bootstrap = !rc;
-    if (rc != ERROR_NO_SUCH || !c->setup.first_start)
-        return rc == ERROR_NO_SUCH ? ERROR_NONE : rc;
+    if (rc != ERROR_NOT_FOUND || !c->setup.first_start)
+        return rc == ERROR_NOT_FOUND ? ERROR_NONE : rc;
     c->may_bootstrap = 1;
     for (int64_t i = 0; i < c->n_seeds; i++)
-        *list_more(c->acceptor.seeds, c->acceptor.n_seeds) = c->seeds[i];
+        *array_add(c->acceptor.seeds, c->acceptor.n_seeds) = c->seeds[i];
     return rank_of(c, (int64_t)c->w->self) >= 0 ? save(c, &c->acceptor) : ERROR_NONE;
 }
 
--- a/src/controller/bootstrap.c
+++ b/src/controller/bootstrap.c
@@ -1,6 +1,6 @@
 /* Bootstrap of the log. At the first start of a fleet every controller with a disk announces itself to the seeds
- * (FRAME_COLLECT); the seeds agree on a list of voters (ballot.c) and send it to those (FRAME_FOUNDERS), which start
- * the log with it. A voter receives a list only after a majority of the seeds has accepted it, and never takes a
+ * (FRAME_COLLECT); the seeds agree on a list of voters (ballot.c) and send it to those (FRAME_BOOTSTRAP_MEMBERS), which
+ * start the log with it. A voter receives a list only after a majority of the seeds has accepted it, and never takes a
  * second. */
 #include <stdlib.h>
 #include <string.h>
@@ -42,7 +42,7 @@
         return rc;
     rc = log_load_schema(c->w, "founding", &log_members_schema, &c->bootstrap_members);
     if (rc)
-        return rc == ERROR_NO_SUCH ? ERROR_NONE : rc;
+        return rc == ERROR_NOT_FOUND ? ERROR_NONE : rc;
     return is_bootstrap_voter(c) && controller_empty(c) ? log_bootstrap(&c->log, &c->bootstrap_members) : ERROR_NONE;
 }
 
@@ -78,7 +78,7 @@
     if (!at) {
         if (c->n_candidates == CANDIDATES_MAX)
             return;
-        at = list_more(c->candidates, c->n_candidates);
+        at = array_add(c->candidates, c->n_candidates);
         c->newest_candidate_ms = now_ms;
         if (!c->first_candidate_ms)
             c->first_candidate_ms = now_ms;
@@ -126,8 +126,8 @@
             break;
         taken[best] = 1;
         const struct bootstrap_announcement *announced = &c->candidates[best].announced;
-        *list_more(to->members, to->n) = (struct log_member){
-            .id = announced->id, .addr = announced->addr, .voter = VOTES, .zone = must_dup(announced->zone)};
+        *array_add(to->members, to->n) = (struct log_member){
+            .id = announced->id, .addr = announced->addr, .voter = LOG_VOTER, .zone = must_dup(announced->zone)};
     }
     free(taken);
 }
@@ -164,7 +164,7 @@
         if (m->addr == (int64_t)c->w->self)
             take_members(c, &c->chosen_members);
         else
-            controller_send(c, m->addr, FRAME_FOUNDERS, &log_members_schema, &c->chosen_members);
+            controller_send(c, m->addr, FRAME_BOOTSTRAP_MEMBERS, &log_members_schema, &c->chosen_members);
     }
 }
 
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -95,7 +95,7 @@
 static int holds_lease(void *arg)
 {
     struct controller *c = arg;
-    return c->votes && log_leads(&c->log);
+    return c->votes && log_has_lease(&c->log);
 }
 
 static void confirmed(void *arg, int64_t tag, int error, const struct bytes *unused)
@@ -128,7 +128,7 @@
     log_election_reset(&c->log);
     int rc = log_load(&c->log);
     if (!rc && !controller_empty(c))
-        c->log.votes_from_ms = world_ms(c->w) + ELECTION_MS;
+        c->log.no_vote_before_ms = world_ms(c->w) + ELECTION_MS;
     return rc;
 }
 
@@ -229,7 +229,7 @@
     /* all that former leaders committed is in the record once an entry of the own term is committed */
     if (fit && !dispatch_is_leader(c->dispatch) && log_term_at(log, log->commit) == log->term)
         dispatch_become_leader(c->dispatch, log->term);
-    if (fit && log_leads(log))
+    if (fit && log_has_lease(log))
         directory_learn_leader(&c->directory, log->term, (int64_t)c->w->self);
     else if (c->directory.leader == (int64_t)c->w->self)
         directory_suspect_leader(&c->directory);
@@ -258,7 +258,7 @@
     struct log *log = &c->log;
     int64_t now_ms = world_ms(c->w);
     if (log->role == LOG_LEADER && log->handed_over_ms && now_ms - log->handed_over_ms > HAND_OVER_MS)
-        log_follow(log, log->term, 0);
+        log_become_follower(log, log->term, 0);
     if (!c->leaving)
         return;
     if (!c->leave_waits && now_ms - c->leave_ms >= SERVE_ON_MS && !leaving_may_end(c)) {
@@ -331,7 +331,7 @@
 {
     if (!c->votes || c->log.broken)
         return ERROR_NONE;
-    int rc = log_take(&c->log, frame);
+    int rc = log_on_frame(&c->log, frame);
     apply_log_role(c);
     return rc;
 }
@@ -341,13 +341,13 @@
     struct frame frame;
     int rc = frame_parse(&frame, at, len, c->cluster);
     if (!rc && !directory_on_frame(&c->directory, &frame)) {
-        if (frame_of_log(frame.kind))
+        if (frame_is_for_log(frame.kind))
             rc = take_log(c, &frame);
         else if (frame.kind == FRAME_JOIN)
             take_join(c, &frame);
         else if (frame.kind == FRAME_LEAVING)
             take_leaving(c, &frame);
-        else if (frame.kind == FRAME_COLLECT || frame.kind == FRAME_FOUNDERS || frame.kind == FRAME_BALLOT ||
+        else if (frame.kind == FRAME_COLLECT || frame.kind == FRAME_BOOTSTRAP_MEMBERS || frame.kind == FRAME_BALLOT ||
                  frame.kind == FRAME_BALLOT_REPLY)
             bootstrap_on_frame(c, &frame);
         else if (frame.kind == FRAME_REQUEST || frame.kind == FRAME_RESPONSE)
--- a/src/controller/leaving.c
+++ b/src/controller/leaving.c
@@ -1,7 +1,7 @@
 /* Planned shutdown of a voter (FRAME_LEAVING). A voter that is asked to stop requests permission from the leader every
  * LEAVING_MS; the leader grants it to one voter at a time, once every other voter is heard and holds all committed
  * entries. From the first request on the leader commits nothing by the acknowledgement of the leaving voter
- * (log_discount()), so that no committed entry depends on a disk that is about to go away. */
+ * (log_exclude_from_commit()), so that no committed entry depends on a disk that is about to go away. */
 #include "controller/controller_state.h"
 
 enum {
@@ -20,7 +20,7 @@
     for (int64_t i = 0; i < log->members.n; i++) {
         const struct log_member *m = &log->members.members[i];
         const struct log_peer *peer = log_peer(log, m->id);
-        if (log_votes(m) && m->id != id && m->id != c->id && (!peer || !check(c, peer)))
+        if (log_votes_after_change(m) && m->id != id && m->id != c->id && (!peer || !check(c, peer)))
             return 0;
     }
     return 1;
@@ -44,7 +44,7 @@
     for (int64_t i = 0; i < c->log.members.n; i++) {
         const struct log_member *m = &c->log.members.members[i];
         const struct log_peer *peer = log_peer(&c->log, m->id);
-        heard += log_votes(m) && m->id != c->id && peer && is_heard(c, peer);
+        heard += log_votes_after_change(m) && m->id != c->id && peer && is_heard(c, peer);
     }
     return heard;
 }
@@ -70,7 +70,7 @@
 static void forget_leaver(struct controller *c)
 {
     c->leaver = (struct leaver){0};
-    log_discount(&c->log, 0);
+    log_exclude_from_commit(&c->log, 0);
 }
 
 /* Weighed: a leaver's vote passed on at once; but most that are asked to stop are back within a second, disk and all.
@@ -81,13 +81,13 @@
     struct leaving reply = {.id = id, .may_end = 1};
     int64_t now_ms = world_ms(c->w);
     /* what former leaders committed is known to be committed once an entry of the own term is */
-    if (!log_leads(log) || log_term_at(log, log->commit) != log->term || !others_pass(c, id, is_heard))
+    if (!log_has_lease(log) || log_term_at(log, log->commit) != log->term || !others_pass(c, id, is_heard))
         return;
     if (c->leaver.id != id) {
         if (!turn_is_over(c))
             return;
         c->leaver = (struct leaver){.id = id, .commit = log->commit, .since_ms = now_ms};
-        log_discount(log, id);
+        log_exclude_from_commit(log, id);
     }
     c->leaver.asked_ms = now_ms;
     if (log->members_index > log->commit || !others_pass(c, id, holds_committed))
@@ -115,7 +115,7 @@
 {
     struct leaving request = {.id = c->id};
     int64_t leader = directory_leader(&c->directory), now_ms = world_ms(c->w);
-    if (now_ms < c->next_leave_request_ms || !log_voter(&c->log, c->id))
+    if (now_ms < c->next_leave_request_ms || !log_is_voter(&c->log, c->id))
         return;
     c->next_leave_request_ms = now_ms + LEAVING_MS;
     if (leader && leader != (int64_t)c->w->self)
@@ -125,7 +125,7 @@
 int leaving_may_end(const struct controller *c)
 {
     const struct log *log = &c->log;
-    if (!c->votes || log->broken || !log_voter(log, c->id) || log_majority(log) < 2)
+    if (!c->votes || log->broken || !log_is_voter(log, c->id) || log_majority(log) < 2)
         return 1;
     return c->permission_ms && world_ms(c->w) - c->permission_ms < 2LL * LEAVING_MS;
 }
--- a/src/controller/members.c
+++ b/src/controller/members.c
@@ -79,7 +79,7 @@
     int64_t n = 0;
     for (int64_t i = 0; i < c->log.members.n; i++) {
         const struct log_member *m = &c->log.members.members[i];
-        n += m != without && log_votes(m) && !strcmp(m->zone, zone);
+        n += m != without && log_votes_after_change(m) && !strcmp(m->zone, zone);
     }
     return n;
 }
@@ -130,11 +130,11 @@
         const struct join *j = &c->join_requests[i].join;
         int at_voter = 0;
         for (int64_t k = 0; k < log->members.n; k++)
-            at_voter |= log_votes(&log->members.members[k]) && log->members.members[k].addr == j->addr;
+            at_voter |= log_votes_after_change(&log->members.members[k]) && log->members.members[k].addr == j->addr;
         if (log_member(log, j->id) || now_ms - c->join_requests[i].heard_ms > GONE_MS ||
             ((learners >= LEARNERS || !settled) && !at_voter))
             continue;
-        log_change(log, j->id, j->addr, j->zone, VOTES_NOT, 0);
+        log_change_member(log, j->id, j->addr, j->zone, LOG_LEARNER, 0);
         return;
     }
 }
@@ -146,7 +146,7 @@
     for (int64_t i = 0; i < c->log.members.n; i++) {
         const struct log_member *m = &c->log.members.members[i];
         int away = settled ? is_gone(c, m) : same_place(c, m);
-        if (log_votes(m) && away && (!gone || same_place(c, m)))
+        if (log_votes_after_change(m) && away && (!gone || same_place(c, m)))
             gone = m;
         else if (settled && !m->voter && away)
             *lost = m;
@@ -184,13 +184,13 @@
     struct log *log = &c->log;
     const struct log_member *lost = NULL, *gone, *learner;
     int64_t voters = 0, want = controller_voters_wanted(c, INT64_MAX);
-    if (log_settle(log) != ERROR_NO_SUCH)
+    if (log_finish_exchange(log) != ERROR_NOT_FOUND)
         return;
     gone = gone_voter(c, settled, &lost);
     for (int64_t i = 0; i < log->members.n; i++)
-        voters += log_votes(&log->members.members[i]);
+        voters += log_votes_after_change(&log->members.members[i]);
     if (lost) {
-        log_change(log, lost->id, lost->addr, NULL, 0, 1);
+        log_change_member(log, lost->id, lost->addr, NULL, 0, 1);
         return;
     }
     if (gone && replaced_in_place(c, gone))
@@ -205,11 +205,11 @@
         return;
     }
     if (!gone && learner && voters < want) {
-        log_change(log, learner->id, learner->addr, learner->zone, VOTES, 0);
+        log_change_member(log, learner->id, learner->addr, learner->zone, LOG_VOTER, 0);
         return;
     }
     if (gone && voters > want) {
-        log_change(log, gone->id, gone->addr, NULL, 0, 1);
+        log_change_member(log, gone->id, gone->addr, NULL, 0, 1);
         return;
     }
     learn_next(c, settled);
--- a/src/controller/relay.c
+++ b/src/controller/relay.c
@@ -1,6 +1,6 @@
 /* Forwards requests to the leader and returns its responses. Requests are idempotent, so one is sent again when the
  * leader changes or does not respond. A caller is told that its request was refused only if no leader can have taken
- * it; if that is not certain it gets ERROR_GAVE_UP. */
+ * it; if that is not certain it gets ERROR_OUTCOME_UNKNOWN. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -157,7 +157,7 @@
     switch (request.kind) {
     case REQUEST_READY: answer = readiness(c); break;
     case REQUEST_NONE:
-    case REQUEST_HEARTBEAT: answer = api_response_error(request.kind, ERROR_NO_SUCH, 0, NULL); break;
+    case REQUEST_HEARTBEAT: answer = api_response_error(request.kind, ERROR_NOT_FOUND, 0, NULL); break;
     default: relay_new(c, slot, &request); return;
     }
     http_respond(c, slot, &answer);
@@ -165,12 +165,13 @@
 }
 
 /* The error to return for a refusal. If a change was sent more than once, one copy may have been taken although another
- * was refused, so the refusal becomes ERROR_GAVE_UP; errors that any copy would have got are returned as they are. */
+ * was refused, so the refusal becomes ERROR_OUTCOME_UNKNOWN; errors that any copy would have got are returned as they
+ * are. */
 static int64_t refusal(const struct relayed_request *r, int64_t error)
 {
     int same = error == ERROR_NONE || error == ERROR_BAD_JSON || error == ERROR_BAD_FIELD || error == ERROR_BAD_STEPS ||
                error == ERROR_TOO_LARGE || error == ERROR_KEY_TAKEN || error == ERROR_GONE;
-    return same || !is_change(r) || r->sends < 2 ? error : ERROR_GAVE_UP;
+    return same || !is_change(r) || r->sends < 2 ? error : ERROR_OUTCOME_UNKNOWN;
 }
 
 /* Refused by a controller that does not lead: others may go on naming it, and a request may be as large as a
@@ -270,7 +271,7 @@
 static void give_up(struct controller *c, struct relayed_request *r)
 {
     if (r->sends && is_change(r))
-        finish_with_error(c, r, ERROR_GAVE_UP, 0);
+        finish_with_error(c, r, ERROR_OUTCOME_UNKNOWN, 0);
     else
         finish_with_error(c, r, ERROR_UNAVAILABLE, 1000);
 }
--- a/src/ctl/check.c
+++ b/src/ctl/check.c
@@ -33,7 +33,7 @@
         const char *outcome = json_string_value(json_object_get(json, "outcome"));
         const char *executor = json_string_value(json_object_get(json, "executor"));
         if (event && executor) {
-            struct line *line = list_more(lines->all, lines->n);
+            struct line *line = array_add(lines->all, lines->n);
             *line = (struct line){.at_ms = number(json, "atMs"),
                                   .job = number(json, "job"),
                                   .no = number(json, "no"),
--- a/src/ctl/story.c
+++ b/src/ctl/story.c
@@ -33,7 +33,7 @@
     size_t i;
     json_array_foreach(json_object_get(json, "events"), i, event)
     {
-        struct telling *telling = list_more(tellings->all, tellings->n);
+        struct telling *telling = array_add(tellings->all, tellings->n);
         telling->at_ms = json_integer_value(json_object_get(event, "atMs"));
         telling->no = json_integer_value(json_object_get(event, "no"));
         telling->event = json_incref(event);
--- a/src/dispatch/leader.c
+++ b/src/dispatch/leader.c
@@ -11,7 +11,7 @@
 {
     if (!dispatch->open)
         dispatch->open = must_alloc(sizeof *dispatch->open);
-    struct record_op *op = list_more(dispatch->open->ops.ops, dispatch->open->ops.n);
+    struct record_op *op = array_add(dispatch->open->ops.ops, dispatch->open->ops.n);
     op->at_ms = dispatch_wall_ms(dispatch);
     return op;
 }
@@ -213,10 +213,12 @@
     struct batch *batch = *cell;
     slab_free(&dispatch->batches, tag);
     if (!error && (!result || schema_unpack(&record_result_schema, &results, result->at, result->len)))
-        error = ERROR_GAVE_UP;
+        error = ERROR_OUTCOME_UNKNOWN;
     for (int64_t i = 0; i < batch->n_waiters; i++) {
         const struct waiter *waiter = &batch->waiters[i];
-        int rc = error ? ERROR_NOT_LEADER : waiter->op < results.n ? (int)results.errors[waiter->op] : ERROR_GAVE_UP;
+        int rc = error                    ? ERROR_NOT_LEADER
+                 : waiter->op < results.n ? (int)results.errors[waiter->op]
+                                          : ERROR_OUTCOME_UNKNOWN;
         dispatch_answer(dispatch, waiter->ticket, waiter->kind, rc, NULL);
     }
     for (int64_t i = 0; i < batch->n_reservations; i++) {
--- a/src/dispatch/leader_executor_views.c
+++ b/src/dispatch/leader_executor_views.c
@@ -16,7 +16,7 @@
         return *at;
     struct executor_view *view = *at = must_alloc(sizeof *view);
     *view = (struct executor_view){.agent = agent, .duration_pct = 100};
-    *list_more(dispatch->executor_views, dispatch->n_executor_views) = view;
+    *array_add(dispatch->executor_views, dispatch->n_executor_views) = view;
     return view;
 }
 
@@ -105,7 +105,7 @@
             view->newest_seq = ended->seq;
         if (!run) {
             if (!ended->seq)
-                *list_more(view->absent_runs, view->n_absent_runs) = ref;
+                *array_add(view->absent_runs, view->n_absent_runs) = ref;
             continue;
         }
         run->end_seq = ended->seq;
@@ -128,7 +128,7 @@
         struct run_ref ref = {.job = active->job, .task = active->task, .attempt = active->attempt};
         struct run *run = run_find(dispatch, incarnation, &ref);
         if (!run) {
-            *list_more(view->orphan_runs, view->n_orphan_runs) = ref;
+            *array_add(view->orphan_runs, view->n_orphan_runs) = ref;
             continue;
         }
         if (!run->started_ms)
@@ -150,7 +150,7 @@
         struct run_ref ref = {.job = refused->job, .task = refused->task, .attempt = refused->attempt};
         struct run *run = run_find(dispatch, incarnation, &ref);
         if (!run) {
-            *list_more(view->absent_runs, view->n_absent_runs) = ref;
+            *array_add(view->absent_runs, view->n_absent_runs) = ref;
             continue;
         }
         run->known = 1;
@@ -172,7 +172,7 @@
         if (incarnation >= 0 && dispatch->record->incarnations[incarnation].agent == view->agent)
             incarnation_lapsed(dispatch, incarnation, INT64_MAX);
         else
-            *list_more(view->lost_incarnations, view->n_lost_incarnations) = must_dup(report->lost_incarnations[i]);
+            *array_add(view->lost_incarnations, view->n_lost_incarnations) = must_dup(report->lost_incarnations[i]);
     }
     /* it is silent, and every lease ever sent to it has expired */
     int over = report->present && report->epoch == dispatch->epoch && report->executor.silent_ms &&
--- a/src/dispatch/leader_orders.c
+++ b/src/dispatch/leader_orders.c
@@ -13,7 +13,7 @@
         /* its start may be in transit; a stop settles it whatever the agent knows */
         if (!run->stop_sent_ms || now_ms - run->stop_sent_ms >= RESEND_MS) {
             run->stop_sent_ms = now_ms;
-            *list_more(orders->stops, orders->n_stops) =
+            *array_add(orders->stops, orders->n_stops) =
                 (struct run_ref){.job = run->job->spec.id, .task = run->task, .attempt = run->attempt};
         }
         return;
@@ -23,7 +23,7 @@
     run->sent_ms = now_ms;
     run->sent_no = orders->number;
     (void)dispatch;
-    *list_more(orders->starts, orders->n_starts) = (struct run_start){.job = run->job->spec.id,
+    *array_add(orders->starts, orders->n_starts) = (struct run_start){.job = run->job->spec.id,
                                                                       .task = run->task,
                                                                       .attempt = run->attempt,
                                                                       .text = run->job->spec.text,
--- a/src/dispatch/leader_place.c
+++ b/src/dispatch/leader_place.c
@@ -99,9 +99,9 @@
 {
     const struct step_spec *spec = &placement->job->spec.steps[placement->step];
     struct place_op *op = place_op_of(dispatch, candidate, from_op);
-    *list_more(op->runs, op->n_runs) = (struct run_ref){
+    *array_add(op->runs, op->n_runs) = (struct run_ref){
         .job = placement->job->spec.id, .task = job_task(placement->job, placement->no), .attempt = placement->attempt};
-    struct reservation *reservation = list_more(dispatch->open->reservations, dispatch->open->n_reservations);
+    struct reservation *reservation = array_add(dispatch->open->reservations, dispatch->open->n_reservations);
     *reservation = (struct reservation){.job = placement->job,
                                         .no = placement->no,
                                         .agent = candidate->agent,
--- a/src/dispatch/leader_requests.c
+++ b/src/dispatch/leader_requests.c
@@ -10,7 +10,7 @@
 
 static void waiter_add(struct dispatch *dispatch, int64_t ticket, int64_t kind)
 {
-    *list_more(dispatch->open->waiters, dispatch->open->n_waiters) =
+    *array_add(dispatch->open->waiters, dispatch->open->n_waiters) =
         (struct waiter){.ticket = ticket, .kind = kind, .op = dispatch->open->ops.n - 1};
 }
 
@@ -22,7 +22,7 @@
     int64_t route = config->version ? config_route(config, request->host, request->path) : -1;
     if (route >= 0)
         return &config->queues[route];
-    dispatch_answer(dispatch, ticket, request->kind, config->version ? ERROR_NO_SUCH : ERROR_UNAVAILABLE,
+    dispatch_answer(dispatch, ticket, request->kind, config->version ? ERROR_NOT_FOUND : ERROR_UNAVAILABLE,
                     "no queue for this host and path");
     return NULL;
 }
@@ -41,7 +41,8 @@
 
 /* The queue of a request about a job; NULL: the request was answered. taken: the same request was accepted before. A
  * job of a removed queue can still be reached by its path if that belongs to another queue now. If the path belongs to
- * no queue, a request is not carried out; one that was accepted before gets ERROR_GAVE_UP in place of a refusal. */
+ * no queue, a request is not carried out; one that was accepted before gets ERROR_OUTCOME_UNKNOWN in place of a
+ * refusal. */
 static const struct queue_config *queue_of_job(struct dispatch *dispatch, int64_t ticket,
                                                const struct api_request *request, const struct job *job, int taken)
 {
@@ -51,7 +52,7 @@
         return removed;
     if (!removed || !taken)
         return queue_requested(dispatch, ticket, request);
-    dispatch_answer(dispatch, ticket, request->kind, ERROR_GAVE_UP, "taken before its queue was removed");
+    dispatch_answer(dispatch, ticket, request->kind, ERROR_OUTCOME_UNKNOWN, "taken before its queue was removed");
     return NULL;
 }
 
@@ -286,7 +287,7 @@
     case REQUEST_WHY:
     case REQUEST_RULES_GET:
     case REQUEST_RULES_JOB: break;
-    default: dispatch_answer(dispatch, ticket, request->kind, ERROR_NO_SUCH, NULL); return;
+    default: dispatch_answer(dispatch, ticket, request->kind, ERROR_NOT_FOUND, NULL); return;
     }
     int64_t tag;
     /* under the leader's own lease no other process can have committed anything */
--- a/src/dispatch/leader_runs.c
+++ b/src/dispatch/leader_runs.c
@@ -8,7 +8,7 @@
 static struct incarnation_state *incarnation_state_at(struct dispatch *dispatch, int64_t incarnation)
 {
     while (dispatch->n_incarnation_states <= incarnation)
-        (void)list_more(dispatch->incarnation_states, dispatch->n_incarnation_states);
+        (void)array_add(dispatch->incarnation_states, dispatch->n_incarnation_states);
     return &dispatch->incarnation_states[incarnation];
 }
 
@@ -52,7 +52,7 @@
 struct queue_use *queue_use(struct dispatch *dispatch, int64_t queue)
 {
     while (dispatch->n_uses <= queue)
-        (void)list_more(dispatch->uses, dispatch->n_uses);
+        (void)array_add(dispatch->uses, dispatch->n_uses);
     return &dispatch->uses[queue];
 }
 
@@ -80,7 +80,7 @@
         if (state->grant_ms < now_ms)
             state->grant_ms = now_ms;
     }
-    struct run *run = list_more(state->runs, state->n);
+    struct run *run = array_add(state->runs, state->n);
     *run = (struct run){.job = job,
                         .no = no,
                         .task = job_task(job, no),
@@ -167,13 +167,13 @@
         step_end_pending(dispatch, run);
     run_room(dispatch, run, -1); /* what is placed there is committed behind this end */
     struct end_op *op = end_op_open(dispatch);
-    *list_more(op->ended, op->n_ended) =
+    *array_add(op->ended, op->n_ended) =
         (struct run_ended){.job = run->job->spec.id,
                            .task = run->task,
                            .attempt = run->attempt,
                            .how = how,
                            .checkpoint = must_dup(checkpoint && *checkpoint ? checkpoint : NULL)};
-    *list_more(dispatch->open->ends, dispatch->open->n_ends) =
+    *array_add(dispatch->open->ends, dispatch->open->n_ends) =
         (struct run_ref){.job = run->job->spec.id, .task = run->task, .attempt = run->attempt};
 }
 
--- a/src/dispatch/leader_watch.c
+++ b/src/dispatch/leader_watch.c
@@ -125,7 +125,7 @@
             continue;
         if (!op)
             op = record_op_make_forget(dispatch_op(dispatch));
-        *list_more(op->jobs, op->n_jobs) = job->spec.id;
+        *array_add(op->jobs, op->n_jobs) = job->spec.id;
         if (op->n_jobs >= 500)
             return;
     }
--- a/src/dispatch/record_ops.c
+++ b/src/dispatch/record_ops.c
@@ -41,7 +41,7 @@
     enum sagehitch_error rc = config_check(config, NULL);
     if (rc)
         return rc;
-    struct taken_change change = {
+    struct applied_change change = {
         .version = config->version, .base = proposed->base, .hash = change_hash(config->raw.at, config->raw.len)};
     if (op->kind == OP_CONFIG_PATCH)
         change.hash = ~change.hash; /* never the same order as a whole configuration of this text */
@@ -92,7 +92,7 @@
     int64_t outlet =
         spec->outlet ? rules_outlet(&record->rules, spec->outlet) : rules_outlet_of_queue(&record->rules, op->queue);
     if (outlet < 0)
-        return spec->outlet ? ERROR_NO_SUCH : ERROR_NONE;
+        return spec->outlet ? ERROR_NOT_FOUND : ERROR_NONE;
     *rules = rules_stamp(&record->rules, outlet);
     for (int64_t s = 0; s < spec->n_steps; s++)
         if (spec->steps[s].gang && (*rules)->values.running_most > 0 &&
@@ -113,7 +113,7 @@
     if (job)
         return job->queue == queue && job_same(job, &op->spec, op->queue) ? ERROR_NONE : ERROR_KEY_TAKEN;
     if (queue < 0 || record->queues[queue].removed)
-        return ERROR_NO_SUCH;
+        return ERROR_NOT_FOUND;
     struct job_rules *rules = NULL;
     rc = job_rules_resolve(record, op, &rules);
     if (rc)
--- a/src/dispatch/record_rows.c
+++ b/src/dispatch/record_rows.c
@@ -64,7 +64,7 @@
         if (!record->incarnations[i].placed)
             at = i;
     if (at < 0) {
-        list_more(record->incarnations, record->n_incarnations);
+        array_add(record->incarnations, record->n_incarnations);
         at = record->n_incarnations - 1;
     }
     struct incarnation *incarnation = &record->incarnations[at];
--- a/src/dispatch/record_snapshot.c
+++ b/src/dispatch/record_snapshot.c
@@ -280,7 +280,7 @@
         if (!head->incarnations[i].name)
             return 0;
     const struct change_history *history = &head->config_history;
-    if (!change_history_good(history) ||
+    if (!change_history_is_valid(history) ||
         (history->n && history->changes[history->n - 1].version != head->config.version))
         return 0;
     return !head->rules || rules_valid(head->rules);
@@ -295,10 +295,11 @@
     if (!record->config.version)
         record->config_history.complete = 1;
     else if (!record->config_history.n)
-        change_history_add(&record->config_history,
-                           &(struct taken_change){.version = record->config.version,
-                                                  .base = BASE_UNKNOWN,
-                                                  .hash = change_hash(record->config.raw.at, record->config.raw.len)});
+        change_history_add(
+            &record->config_history,
+            &(struct applied_change){.version = record->config.version,
+                                     .base = BASE_UNKNOWN,
+                                     .hash = change_hash(record->config.raw.at, record->config.raw.len)});
 }
 
 enum sagehitch_error record_restore(struct record *record, const struct bytes *from)
@@ -322,12 +323,12 @@
         *head.rules = (struct rules){0};
     }
     for (int64_t i = 0; i < head.n_queues; i++) {
-        struct queue *queue = list_more(record->queues, record->n_queues);
+        struct queue *queue = array_add(record->queues, record->n_queues);
         *queue = (struct queue){.config = head.queues[i].config, .removed = head.queues[i].removed};
         head.queues[i].config = (struct queue_config){0};
     }
     for (int64_t i = 0; i < head.n_incarnations; i++) {
-        struct incarnation *incarnation = list_more(record->incarnations, record->n_incarnations);
+        struct incarnation *incarnation = array_add(record->incarnations, record->n_incarnations);
         *incarnation = (struct incarnation){.name = head.incarnations[i].name, .agent = head.incarnations[i].agent};
         head.incarnations[i].name = NULL;
         record_incarnation_named(record, record->n_incarnations - 1);
--- a/src/executor/executor.c
+++ b/src/executor/executor.c
@@ -19,7 +19,7 @@
     s->rack = must_dup(setup->rack);
     s->address = must_dup(addr_text(w->http_addr));
     for (int64_t i = 0; i < setup->n_services; i++)
-        *list_more(s->services, s->n_services) = must_dup(setup->services[i]);
+        *array_add(s->services, s->n_services) = must_dup(setup->services[i]);
     s->cores = setup->cores;
     s->mem_mb = setup->mem_mb;
     s->incarnation = setup->incarnation;
@@ -81,7 +81,7 @@
         const struct exec_work *work = &e->work[i];
         s.free_cores -= work->task.cores;
         s.free_mb -= work->task.mem_mb;
-        *list_more(s.running, s.n_running) = work->task;
+        *array_add(s.running, s.n_running) = work->task;
         s.running[i].progress = work->held || work->stalls ? 0 : world_ms(e->w) - (work->end_ms - work->lasts_ms);
         s.running[i].state = work->held ? "held" : work->stop_ms ? "stopping" : "running";
     }
@@ -102,7 +102,7 @@
 
 static void end_add(struct executor *e, const struct exec_task *t, const char *outcome, const char *why)
 {
-    struct exec_task *ended = list_more(e->ended, e->n_ended);
+    struct exec_task *ended = array_add(e->ended, e->n_ended);
     *ended = *t;
     ended->state = must_dup(outcome);
     ended->why = must_dup(why);
@@ -197,10 +197,10 @@
 
 /* --- orders ------------------------------------------------------------------------------ */
 
-static int64_t payload_number(const char *payload, const char *name, int64_t dflt)
+static int64_t payload_number(const char *payload, const char *name, int64_t default_value)
 {
     const char *at = payload ? strstr(payload, name) : NULL;
-    return at ? text_to_int64(at + strlen(name)) : dflt;
+    return at ? text_to_int64(at + strlen(name)) : default_value;
 }
 
 static const char *refuses(const struct executor *e, const struct exec_start *s)
@@ -240,7 +240,7 @@
         end_add(e, &task, "unstarted", why);
         return;
     }
-    struct exec_work *work = list_more(e->work, e->n_work);
+    struct exec_work *work = array_add(e->work, e->n_work);
     work->task = task;
     work->since_ms = now_ms;
     work->lease_ms = ticket_ms + s->lease_ms;
@@ -299,7 +299,7 @@
         struct exec_task *t = &e->ended[i];
         if (t->job != r->job || t->no != r->no || t->attempt != r->attempt)
             continue;
-        *list_more(e->tombs, e->n_tombs) =
+        *array_add(e->tombs, e->n_tombs) =
             (struct exec_tomb){.job = r->job, .no = r->no, .attempt = r->attempt, .until_ms = world_ms(e->w) + TOMB_MS};
         schema_free(&exec_task_schema, t);
         *t = e->ended[--e->n_ended];
--- a/src/home/home.c
+++ b/src/home/home.c
@@ -62,7 +62,7 @@
     home->ticket_ms = home->started_ms + ADMISSION_MS;
     struct room *room = room_find(node, name); /* what the former home told everybody */
     home->addr = room ? room->addr : 0;
-    *list_more(node->homes, node->n_homes) = home;
+    *array_add(node->homes, node->n_homes) = home;
     return home;
 }
 
@@ -79,7 +79,7 @@
 {
     struct config_tree_op op = {.kind = CONFIG_OP_OWNERSHIPS};
     struct bytes bytes = {0};
-    struct ownership *ownership = list_more(op.ownerships, op.n_ownerships);
+    struct ownership *ownership = array_add(op.ownerships, op.n_ownerships);
     ownership->name = must_printf("home/%s", name);
     ownership->owner = (int64_t)node->w->self;
     ownership->boot = node->boot;
@@ -189,7 +189,7 @@
             const struct task_ref *ref = &m->tasks[i];
             if (account_find(home, ref->job, ref->no, ref->attempt))
                 continue;
-            struct account *row = list_more(home->rows, home->n_rows);
+            struct account *row = array_add(home->rows, home->n_rows);
             row->ref = *ref;
             row->state = ACC_RESERVED;
             row->since_ms = world_ms(node->w);
@@ -226,7 +226,7 @@
         return;
     if (!row) {
         account_room(home, &cores, &mem_mb);
-        row = list_more(home->rows, home->n_rows);
+        row = array_add(home->rows, home->n_rows);
         row->ref = (struct task_ref){
             .job = s->job, .no = s->no, .attempt = s->attempt, .cores = s->cores, .mem_mb = s->mem_mb};
         row->since_ms = world_ms(node->w);
@@ -313,7 +313,7 @@
             t.state = CHECK_GONE;
         else if (!home->opened)
             continue; /* nothing can be said before the executor answered us */
-        *list_more(reply.tasks, reply.n_tasks) = t;
+        *array_add(reply.tasks, reply.n_tasks) = t;
     }
     if (reply.n_tasks)
         node_send(node, from, FRAME_CHECKED, &checked_schema, &reply);
@@ -326,7 +326,7 @@
     struct account *row = home ? account_find(home, m->job, m->no, m->attempt) : NULL;
     if (!row || row->state != ACC_ENDED)
         return;
-    *list_more(home->acks, home->n_acks) = (struct exec_renew){.job = m->job, .no = m->no, .attempt = m->attempt};
+    *array_add(home->acks, home->n_acks) = (struct exec_renew){.job = m->job, .no = m->no, .attempt = m->attempt};
     account_remove(home, row);
     home->dirty = 1;
     (void)node;
--- a/src/home/home_account.c
+++ b/src/home/home_account.c
@@ -120,7 +120,7 @@
     for (int64_t i = 0; i < home->n_acks; i++)
         if (home->acks[i].job == t->job && home->acks[i].no == t->no && home->acks[i].attempt == t->attempt)
             return NULL; /* acknowledged, the executor does not know yet */
-    row = list_more(home->rows, home->n_rows);
+    row = array_add(home->rows, home->n_rows);
     row->ref =
         (struct task_ref){.job = t->job, .no = t->no, .attempt = t->attempt, .cores = t->cores, .mem_mb = t->mem_mb};
     row->state = ACC_RUNNING;
--- a/src/home/home_orders.c
+++ b/src/home/home_orders.c
@@ -170,14 +170,14 @@
         struct exec_renew at = {
             .job = row->ref.job, .no = row->ref.no, .attempt = row->ref.attempt, .lease_ms = row->lease_ms};
         if (row->state == ACC_STARTING && !row->stop_asked && !home->silent && orders.n_starts < STARTS_A_CALL) {
-            *list_more(orders.starts, orders.n_starts) = *row->start;
+            *array_add(orders.starts, orders.n_starts) = *row->start;
             row->offered_ticket = orders.ticket;
         } else if (row->stop_asked && row->state >= ACC_STARTING && row->state < ACC_ENDED)
-            *list_more(orders.stops, orders.n_stops) = at;
+            *array_add(orders.stops, orders.n_stops) = at;
         else if (row->state == ACC_RUNNING || row->state == ACC_HELD)
-            *list_more(orders.renews, orders.n_renews) = at;
+            *array_add(orders.renews, orders.n_renews) = at;
         if (row->state == ACC_HELD && row->go_asked && !row->stop_asked)
-            *list_more(orders.goes, orders.n_goes) = at;
+            *array_add(orders.goes, orders.n_goes) = at;
     }
     char *body = schema_to_text(&exec_orders_schema, &orders);
     home->held = home->n_acks;
@@ -235,7 +235,7 @@
         struct home *home = node->homes[i];
         if (!home->state.kind)
             continue;
-        struct room *room = list_more(m.rooms, m.n);
+        struct room *room = array_add(m.rooms, m.n);
         *room = (struct room){.executor = home->name,
                               .kind = home->state.kind,
                               .rack = home->state.rack,
@@ -262,7 +262,7 @@
     for (int64_t i = 0; i < SHARD_COUNT; i++)
         owners[i] = shard_owner(node, i);
     struct blob *frame = blob_new(); /* built once for all */
-    frame_build(&frame->bytes, FRAME_ROOMS, node->cluster, node->w->self, &rooms_msg_schema, &m);
+    frame_build(&frame->bytes, FRAME_EXECUTOR_SUMMARIES, node->cluster, node->w->self, &rooms_msg_schema, &m);
     for (int64_t i = -1; m.n && i < node->peers.n; i++) {
         const struct peer_info *info = i < 0 ? &node->peers.self : &node->peers.all[i].info;
         if (info->role != ROLE_NODE || info->state >= PEER_SUSPECT || (!all && !is_in(owners, SHARD_COUNT, info->addr)))
--- a/src/home/home_schemas.c
+++ b/src/home/home_schemas.c
@@ -7,27 +7,28 @@
                                            INT_NAMED(exec_task, mem_mb, "memMb"),
                                            STR(exec_task, state),
                                            STR(exec_task, why),
-                                           INT(exec_task, progress, .dflt = -1, .min = -1, .max = INT64_MAX)};
+                                           INT(exec_task, progress, .default_value = -1, .min = -1, .max = INT64_MAX)};
 SCHEMA(exec_task_schema, exec_task, task_fields);
 
-static const struct field state_fields[] = {STR(exec_state, name, .flags = FF_MUST, .min = 1, .max = 100),
-                                            STR(exec_state, cluster, .flags = FF_MUST, .min = 1, .max = 64),
-                                            STR(exec_state, address, .flags = FF_MUST, .max = 32),
-                                            STR(exec_state, kind, .flags = FF_MUST, .min = 1, .max = 64),
-                                            STR(exec_state, rack, .flags = FF_MUST, .max = 64),
-                                            STRS(exec_state, services, n_services, .max = 64),
-                                            INT(exec_state, incarnation, .flags = FF_MUST, .min = 1, .max = INT64_MAX),
-                                            INT(exec_state, serial),
-                                            INT(exec_state, ticket),
-                                            INT(exec_state, epoch),
-                                            INT(exec_state, cores, .min = 0, .max = 1 << 20),
-                                            INT_NAMED(exec_state, mem_mb, "memMb", .min = 0, .max = INT32_MAX),
-                                            INT_NAMED(exec_state, free_cores, "freeCores"),
-                                            INT_NAMED(exec_state, free_mb, "freeMb"),
-                                            BOOL(exec_state, leaving),
-                                            INT_NAMED(exec_state, leaving_in_ms, "leavingInMs"),
-                                            LIST(exec_state, running, n_running, exec_task_schema),
-                                            LIST(exec_state, ended, n_ended, exec_task_schema)};
+static const struct field state_fields[] = {
+    STR(exec_state, name, .flags = FF_REQUIRED, .min = 1, .max = 100),
+    STR(exec_state, cluster, .flags = FF_REQUIRED, .min = 1, .max = 64),
+    STR(exec_state, address, .flags = FF_REQUIRED, .max = 32),
+    STR(exec_state, kind, .flags = FF_REQUIRED, .min = 1, .max = 64),
+    STR(exec_state, rack, .flags = FF_REQUIRED, .max = 64),
+    STRS(exec_state, services, n_services, .max = 64),
+    INT(exec_state, incarnation, .flags = FF_REQUIRED, .min = 1, .max = INT64_MAX),
+    INT(exec_state, serial),
+    INT(exec_state, ticket),
+    INT(exec_state, epoch),
+    INT(exec_state, cores, .min = 0, .max = 1 << 20),
+    INT_NAMED(exec_state, mem_mb, "memMb", .min = 0, .max = INT32_MAX),
+    INT_NAMED(exec_state, free_cores, "freeCores"),
+    INT_NAMED(exec_state, free_mb, "freeMb"),
+    BOOL(exec_state, leaving),
+    INT_NAMED(exec_state, leaving_in_ms, "leavingInMs"),
+    LIST(exec_state, running, n_running, exec_task_schema),
+    LIST(exec_state, ended, n_ended, exec_task_schema)};
 SCHEMA(exec_state_schema, exec_state, state_fields);
 
 static const struct field start_fields[] = {INT(exec_start, job),
--- a/src/keeper/duties.c
+++ b/src/keeper/duties.c
@@ -40,7 +40,7 @@
 
 static void give(struct config_tree_op *op, const char *name, const struct peer *to, int64_t epoch)
 {
-    struct ownership *ownership = list_more(op->ownerships, op->n_ownerships);
+    struct ownership *ownership = array_add(op->ownerships, op->n_ownerships);
     *ownership =
         (struct ownership){.name = must_dup(name), .owner = to->info.addr, .boot = to->info.boot, .epoch = epoch};
 }
--- a/src/keeper/feed.c
+++ b/src/keeper/feed.c
@@ -11,17 +11,17 @@
 static void feed_reject(struct keeper *k, int64_t to, int64_t sent_ms)
 {
     struct feed feed = {.sent_ms = sent_ms, .leader = k->logs[GROUP_CONTROL].leader_addr};
-    keeper_send(k, to, FRAME_FEED, &control_updates_schema, &feed);
+    keeper_send(k, to, FRAME_CONTROL_UPDATES, &control_updates_schema, &feed);
 }
 
 /* Whoever still votes in either log counts: only when a lost keeper votes in
  * none may the next be taken away. */
 static void add_voter(struct feed *feed, const struct log_member *m, int in_other)
 {
-    if (!log_votes(m))
+    if (!log_votes_after_change(m))
         return;
-    *list_more(feed->voters, feed->n_voters) = m->addr;
-    *list_more(feed->voters, feed->n_voters) = 1 + in_other;
+    *array_add(feed->voters, feed->n_voters) = m->addr;
+    *array_add(feed->voters, feed->n_voters) = 1 + in_other;
 }
 
 static void feed_send(struct keeper *k, const struct keeper_wait *wait)
@@ -45,19 +45,19 @@
         feed.upto = i;
         if (entry->kind != ENTRY_OP)
             continue;
-        *list_more(feed.entries, feed.n) = (struct feed_entry){.index = i, .op = entry->body};
+        *array_add(feed.entries, feed.n) = (struct feed_entry){.index = i, .op = entry->body};
         bytes += entry->body.len;
     }
     for (int64_t i = 0; i < log->members.n; i++) {
         const struct log_member *m = &log->members.members[i];
-        add_voter(&feed, m, log_voter(&k->logs[GROUP_JOBS], m->id));
+        add_voter(&feed, m, log_is_voter(&k->logs[GROUP_JOBS], m->id));
     }
     for (int64_t i = 0; i < k->logs[GROUP_JOBS].members.n; i++) {
         const struct log_member *m = &k->logs[GROUP_JOBS].members.members[i];
-        if (!log_voter(log, m->id))
+        if (!log_is_voter(log, m->id))
             add_voter(&feed, m, 0);
     }
-    keeper_send(k, wait->from, FRAME_FEED, &control_updates_schema, &feed);
+    keeper_send(k, wait->from, FRAME_CONTROL_UPDATES, &control_updates_schema, &feed);
     free(feed.voters);
     free(feed.entries);
     bytes_free(&snapshot);
@@ -100,7 +100,7 @@
         return;
     for (int64_t i = 0; i < k->n_followers; i++) {
         if (world_ms(k->w) - k->followers[i].heard_ms < 2000)
-            keeper_send(k, k->followers[i].addr, FRAME_NEWS, &control_updates_request_schema, &news);
+            keeper_send(k, k->followers[i].addr, FRAME_CONTROL_UPDATES_NOTICE, &control_updates_request_schema, &news);
         else
             k->followers[i--] = k->followers[--k->n_followers];
     }
--- a/src/keeper/found.c
+++ b/src/keeper/found.c
@@ -68,12 +68,12 @@
 {
     struct log_members members = {0};
     int64_t now_ms = world_ms(k->w);
-    *list_more(members.members, members.n) =
+    *array_add(members.members, members.n) =
         (struct log_member){.id = k->id, .addr = (int64_t)k->w->self, .voter = 1, .zone = must_dup(k->zone)};
     for (int64_t i = 0; i < k->n_founders; i++) {
         struct founder *f = &k->founders[i];
         if (f->id && now_ms - f->heard_ms < FRESH_MS)
-            *list_more(members.members, members.n) =
+            *array_add(members.members, members.n) =
                 (struct log_member){.id = f->id, .addr = f->addr, .voter = 1, .zone = must_dup(f->zone)};
     }
     if (members.n == k->n_seeds && !bootstrap_save(k, &members)) {
@@ -95,7 +95,7 @@
         if (k->seeds[i] == self)
             continue;
         if (found_empty(k) && self == lowest_seed(k))
-            keeper_send(k, k->seeds[i], FRAME_FOUND_REQUEST, &bootstrap_status_schema, &request);
+            keeper_send(k, k->seeds[i], FRAME_BOOTSTRAP_STATUS_REQUEST, &bootstrap_status_schema, &request);
         keeper_send(k, k->seeds[i], FRAME_JOIN, &join_schema, &join);
     }
     for (int64_t i = 0; i < k->peers.n; i++) {
@@ -119,9 +119,9 @@
     }
     if (schema_unpack(&bootstrap_status_schema, &found, frame->body, frame->len))
         return;
-    if (frame->kind == FRAME_FOUND_REQUEST) {
+    if (frame->kind == FRAME_BOOTSTRAP_STATUS_REQUEST) {
         struct found reply = {.id = k->id, .empty = found_empty(k), .addr = (int64_t)k->w->self, .zone = k->zone};
-        keeper_send(k, (int64_t)frame->from, FRAME_FOUND, &bootstrap_status_schema, &reply);
+        keeper_send(k, (int64_t)frame->from, FRAME_BOOTSTRAP_STATUS, &bootstrap_status_schema, &reply);
     } else {
         struct founder *f = founder_of(k, (int64_t)frame->from);
         if (f) {
--- a/src/keeper/keeper.c
+++ b/src/keeper/keeper.c
@@ -158,7 +158,7 @@
 {
     struct confirm confirm = {0};
     struct propose propose = {0};
-    if (frame->kind == FRAME_CONFIRM) {
+    if (frame->kind == FRAME_CONTROL_UPDATES_REQUEST) {
         if (schema_unpack(&control_updates_request_schema, &confirm, frame->body, frame->len))
             return ERROR_BAD_FRAME;
         feed_on_confirm(k, (int64_t)frame->from, &confirm);
@@ -185,12 +185,12 @@
     }
     if (frame_lossy(frame.kind))
         rc = peers_on_frame(&k->peers, &frame);
-    else if (frame_of_log(frame.kind))
+    else if (frame_is_for_log(frame.kind))
         for (int64_t g = 0; g < GROUP_COUNT && !rc; g++)
-            rc = log_take(&k->logs[g], &frame);
-    else if (frame.kind >= FRAME_FOUND_REQUEST && frame.kind <= FRAME_JOIN)
+            rc = log_on_frame(&k->logs[g], &frame);
+    else if (frame.kind >= FRAME_BOOTSTRAP_STATUS_REQUEST && frame.kind <= FRAME_JOIN)
         found_take(k, &frame);
-    else if (frame.kind == FRAME_CONFIRM || frame.kind == FRAME_PROPOSE)
+    else if (frame.kind == FRAME_CONTROL_UPDATES_REQUEST || frame.kind == FRAME_PROPOSE)
         rc = take_config_tree(k, &frame);
     else
         rc = ERROR_BAD_FRAME;
@@ -244,7 +244,7 @@
     json_t *members = json_array();
     for (int64_t i = 0; i < log->members.n; i++)
         json_array_append_new(members, json_pack("{s:s,s:b}", "addr", addr_text((uint64_t)log->members.members[i].addr),
-                                                 "voter", log_votes(&log->members.members[i])));
+                                                 "voter", log_votes_after_change(&log->members.members[i])));
     return json_pack("{s:s,s:s,s:I,s:I,s:I,s:I,s:I,s:I,s:b,s:o}", "log", log->name, "role", roles[log->role], "term",
                      (json_int_t)log->term, "last", (json_int_t)log_last(log), "commit", (json_int_t)log->commit,
                      "digest", (json_int_t)log->snapshot_index, "syncs", (json_int_t)log->syncs, "lastSyncMs",
@@ -255,7 +255,7 @@
 {
     (void)body, (void)len;
     if (strcmp(method, "GET") || strcmp(path, "/v1/status")) {
-        world_answer(k->w, slot, ERROR_NO_SUCH, "a keeper shows GET /v1/status only; ask a node");
+        world_answer(k->w, slot, ERROR_NOT_FOUND, "a keeper shows GET /v1/status only; ask a node");
         return;
     }
     json_t *out = json_pack("{s:s,s:s,s:s,s:I,s:b,s:o,s:o}", "role", "keeper", "addr", addr_text(k->w->self), "zone",
--- a/src/keeper/replace.c
+++ b/src/keeper/replace.c
@@ -49,12 +49,12 @@
 {
     const struct log_member *gone = NULL, *learner = NULL, *lost = NULL;
     int64_t voters = 0;
-    if (log_settle(log) != ERROR_NO_SUCH)
+    if (log_finish_exchange(log) != ERROR_NOT_FOUND)
         return;
     for (int64_t i = 0; i < log->members.n; i++) {
         const struct log_member *m = &log->members.members[i];
-        voters += log_votes(m);
-        if (log_votes(m) && is_gone(k, log, m))
+        voters += log_votes_after_change(m);
+        if (log_votes_after_change(m) && is_gone(k, log, m))
             gone = m;
         else if (!m->voter && is_gone(k, log, m))
             lost = m;
@@ -62,7 +62,7 @@
             learner = m;
     }
     if (lost) {
-        log_change(log, lost->id, lost->addr, NULL, 0, 1);
+        log_change_member(log, lost->id, lost->addr, NULL, 0, 1);
         return;
     }
     for (int64_t i = 0; gone && i < log->members.n; i++) {
@@ -77,17 +77,17 @@
         return;
     }
     if (learner && voters < VOTERS) {
-        log_change(log, learner->id, learner->addr, learner->zone, 1, 0);
+        log_change_member(log, learner->id, learner->addr, learner->zone, 1, 0);
         return;
     }
     if (gone && voters > VOTERS) {
-        log_change(log, gone->id, gone->addr, NULL, 0, 1);
+        log_change_member(log, gone->id, gone->addr, NULL, 0, 1);
         return;
     }
     for (int64_t i = 0; i < k->n_joiners; i++) {
         const struct join *j = &k->joiners[i];
         if (!log_member(log, j->id) && peers_live(&k->peers, j->addr, 0)) {
-            log_change(log, j->id, j->addr, j->zone, 0, 0);
+            log_change_member(log, j->id, j->addr, j->zone, 0, 0);
             return;
         }
     }
--- a/src/log/log.c
+++ b/src/log/log.c
@@ -59,7 +59,7 @@
 
 void log_entry_add(struct log *log, int64_t term, int64_t kind, const struct bytes *body)
 {
-    struct log_entry *entry = list_more(log->entries, log->n_entries);
+    struct log_entry *entry = array_add(log->entries, log->n_entries);
     entry->term = term;
     entry->kind = kind;
     if (body)
@@ -130,7 +130,7 @@
     if (kind == ENTRY_MEMBERS)
         log_members_refresh(log);
     if (done)
-        *list_more(log->pending, log->n_pending) =
+        *array_add(log->pending, log->n_pending) =
             (struct log_pending){.index = index, .term = log->term, .done = done, .arg = arg, .tag = tag};
 }
 
@@ -140,7 +140,7 @@
         done(arg, tag, ERROR_NOT_LEADER, NULL);
         return;
     }
-    *list_more(log->reads, log->n_reads) =
+    *array_add(log->reads, log->n_reads) =
         (struct log_read){.round = log->round + 1, .done = done, .arg = arg, .tag = tag, .since_ms = world_ms(log->w)};
     if (log->heartbeat_due_ms > world_ms(log->w) + 10)
         log->heartbeat_due_ms = world_ms(log->w) + 10;
@@ -224,13 +224,13 @@
     if (changed) /* who votes from now on learns it at once */
         log_copy_all(log, 1);
     /* a leader that has left the voters by a committed change steps down */
-    if (log->members_index <= log->commit && !log_voter(log, log->id))
-        log_follow(log, log->term, 0);
+    if (log->members_index <= log->commit && !log_is_voter(log, log->id))
+        log_become_follower(log, log->term, 0);
     else
         log_copy_all(log, 0);
 }
 
-void log_discount(struct log *log, int64_t id)
+void log_exclude_from_commit(struct log *log, int64_t id)
 {
     log->discounted_id = id;
     log_advance(log);
@@ -264,7 +264,7 @@
     struct bytes unheard = {0};
     for (int64_t i = 0; i < log->members.n; i++) {
         const struct log_member *m = &log->members.members[i];
-        if (!log_voter(log, m->id) || heard_since(log, m->id, since_ms))
+        if (!log_is_voter(log, m->id) || heard_since(log, m->id, since_ms))
             continue;
         const char *addr = addr_text((uint64_t)m->addr);
         if (unheard.len)
@@ -275,7 +275,7 @@
     world_note(log->w, EV_MAJORITY_LOST, "log=%s term=%lld unheard=%s", log->name, (long long)log->term,
                (const char *)unheard.at);
     bytes_free(&unheard);
-    log_follow(log, log->term, 0);
+    log_become_follower(log, log->term, 0);
 }
 
 void log_on_timer(struct log *log)
@@ -295,14 +295,14 @@
             log_copy_all(log, 1);
     } else if (now_ms >= log->election_due_ms) {
         log_election_reset(log);
-        if (log_voter(log, log->id))
+        if (log_is_voter(log, log->id))
             log_request_votes(log, 1, 0);
     }
     if (log->role != LOG_LEADER && (log->n_pending || log->n_reads))
         drop_waiting(log, ERROR_NOT_LEADER);
 }
 
-int log_take(struct log *log, const struct frame *frame)
+int log_on_frame(struct log *log, const struct frame *frame)
 {
     union {
         struct log_vote_request request;
@@ -341,7 +341,7 @@
         case FRAME_SNAPSHOT_CHUNK: log_on_chunk(log, &m.chunk); break;
         case FRAME_SNAPSHOT_GOT: log_on_got(log, &m.got); break;
         default:
-            if (m.now.term == log->term && log->role != LOG_LEADER && log_voter(log, log->id))
+            if (m.now.term == log->term && log->role != LOG_LEADER && log_is_voter(log, log->id))
                 log_request_votes(log, 0, 1);
         }
     }
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -3,10 +3,10 @@
  * order, on every member alike. Extensions: pre-vote, leader lease, snapshots in chunks, and an exchange of two voters
  * in one entry.
  *
- * The module is a step function: the caller feeds frames (log_take()) and ticks (log_on_timer()), and calls log_flush()
- * once per iteration of its event loop, which syncs what was appended. All times are steady time in ms, all indexes
- * count entries from 1. Functions that return int give 0 or an enum sagehitch_error, unless stated otherwise. Not
- * thread-safe. */
+ * The module is a step function: the caller feeds frames (log_on_frame()) and ticks (log_on_timer()), and calls
+ * log_flush() once per iteration of its event loop, which syncs what was appended. All times are steady time in ms, all
+ * indexes count entries from 1. Functions that return int give 0 or an enum sagehitch_error, unless stated otherwise.
+ * Not thread-safe. */
 #ifndef SAGEHITCH_LOG_H
 #define SAGEHITCH_LOG_H
 #include "base/frame.h"
@@ -18,7 +18,7 @@
 enum log_role { LOG_FOLLOWER, LOG_PRE_CANDIDATE, LOG_CANDIDATE, LOG_LEADER };
 /* BLANK: appended by each new leader, so that it has an entry of its own term to commit. OP: for the state machine.
  * MEMBERS: the whole list of members from this entry on. */
-enum log_entry_kind { ENTRY_BLANK, ENTRY_OP, ENTRY_MEMBERS };
+enum log_entry_kind { ENTRY_NOOP, ENTRY_OP, ENTRY_MEMBERS };
 /* Heartbeat rounds whose sending time is remembered, for the lease. */
 enum { ROUNDS_KEPT = 64 };
 /* Names one of several independent logs of the same processes; frames carry it. */
@@ -33,16 +33,19 @@
 /* A change of voters in one entry names both: who votes from its commit on, and
  * who did until then. Invariant: while that entry is not known to be committed,
  * majorities of both are needed for everything. */
-enum log_vote_right { VOTES_NOT, VOTES, VOTED, VOTES_NEWLY };
+enum log_vote_right { LOG_LEARNER, LOG_VOTER, LOG_OUTGOING_VOTER, LOG_INCOMING_VOTER };
 
-/* id: identity of the member's disk. addr: where it takes frames. zone is owned. A member with VOTES_NOT is a learner:
- * it receives entries but has no vote. */
+/* id: identity of the member's disk. addr: where it takes frames. zone is owned. A member with LOG_LEARNER is a
+ * learner: it receives entries but has no vote. */
 struct log_member {
     int64_t id, addr, voter; /* enum log_vote_right */
     char *zone;
 };
 /* Whether the member has a vote once the newest change of members is committed. */
-static inline int log_votes(const struct log_member *m) { return m->voter == VOTES || m->voter == VOTES_NEWLY; }
+static inline int log_votes_after_change(const struct log_member *m)
+{
+    return m->voter == LOG_VOTER || m->voter == LOG_INCOMING_VOTER;
+}
 
 /* All members, voters and learners. Owns the array and the zones; freed with schema_free(). */
 struct log_members {
@@ -130,7 +133,7 @@
  * chunk. */
 struct log_peer {
     int64_t id, next, match, acked_round, heard_ms, sync_ms;
-    int64_t base, match_round, rewound_ms, chunks, copying, offset, chunk_ms;
+    int64_t in_flight_base, match_round, rewound_ms, chunks, snapshot_sent_index, offset, chunk_ms;
 };
 /* A snapshot's file on its way: as the leader sends it, or as far as it has come. index 0: none. total, sum: as in
  * struct log_chunk; from, from_term: the leader that sends it, and its term. Owns data. */
@@ -209,7 +212,7 @@
     int64_t beat_commit;                /* and when the newest did */
     int64_t handed_over_ms;             /* in this term we told another to lead; 0: not */
     int64_t discounted_id;              /* nothing is committed by its acknowledgement; 0: all voters count */
-    int64_t votes_from_ms;              /* no vote before: what we promised a leader in our last life holds */
+    int64_t no_vote_before_ms;          /* no vote before: what we promised a leader in our last life holds */
 };
 
 /* log.c */
@@ -227,7 +230,7 @@
 /* Sends new entries to the members, syncs them to the own disk, and commits what a majority has. */
 void log_flush(struct log *log);
 /* Takes one frame (frame_of_log()). ERROR_BAD_FRAME: not readable; ERROR_DISK: the log is broken. */
-int log_take(struct log *log, const struct frame *frame);
+int log_on_frame(struct log *log, const struct frame *frame);
 /* As leader, appends an entry with a copy of op (NULL: empty). done, if not NULL, is called exactly once: with the
  * result once the entry is applied, else with an error, then also during the call. */
 void log_propose(struct log *log, int64_t kind, const struct bytes *op, log_done *done, void *arg, int64_t tag);
@@ -246,13 +249,13 @@
  * applies all that is committed, answers who waits for it, and saves a snapshot when one is due. */
 void log_advance(struct log *log);
 /* As leader: from now on nothing is committed by the acknowledgement of the voter id. 0: all count again. */
-void log_discount(struct log *log, int64_t id);
+void log_exclude_from_commit(struct log *log, int64_t id);
 void log_apply(struct log *log);
 
 /* log_elect.c: elections */
 
 /* Becomes a follower in term, which is synced first if it is higher. leader_id 0: the leader is not known. */
-void log_follow(struct log *log, int64_t term, int64_t leader_id);
+void log_become_follower(struct log *log, int64_t term, int64_t leader_id);
 /* Asks all voters for pre-votes (pre), or for votes in the next term, after that term and the own vote are synced. */
 void log_request_votes(struct log *log, int pre, int transfer);
 void log_on_vote_request(struct log *log, const struct log_vote_request *request);
@@ -277,17 +280,17 @@
 /* How long, in ms, the entries that are under way to a member may take over the slowest link. */
 int64_t log_transit_ms(const struct log *log, const struct log_peer *peer);
 void log_reads_done(struct log *log);
-/* log_leads(): 1 while this leader holds its lease: a quorum answered a round sent less than 90 % of an election
+/* log_has_lease(): 1 while this leader holds its lease: a quorum answered a round sent less than 90 % of an election
  * time-out ago, so nobody else can lead yet. log_reads_done(): calls back the reads whose round a quorum has answered.
  */
-int log_leads(const struct log *log);
+int log_has_lease(const struct log *log);
 
 /* log_member.c: members and their changes. Pointers returned are valid until the next change of members. */
 
 /* NULL: no member has this identity. */
 const struct log_member *log_member(const struct log *log, int64_t id);
 /* 1 if the member votes now; during an exchange the former voter still does. */
-int log_voter(const struct log *log, int64_t id);
+int log_is_voter(const struct log *log, int64_t id);
 /* How many of the voters that are to be are a majority. */
 int64_t log_majority(const struct log *log);
 /* 1 if has(id, x) holds for a majority of the voters; while a change is uncommitted, for one of the former voters too.
@@ -302,12 +305,12 @@
 
 /* Drops the voter gone_id, whose disk is lost for good, and gives the learner fresh_id a vote. */
 int log_replace(struct log *log, int64_t gone_id, int64_t fresh_id);
-/* Passes the vote of gone_id, which may come back, to the learner fresh_id; log_settle() ends the exchange. */
+/* Passes the vote of gone_id, which may come back, to the learner fresh_id; log_finish_exchange() ends the exchange. */
 int log_exchange(struct log *log, int64_t gone_id, int64_t fresh_id);
 /* Drops the former voter of a committed exchange. ERROR_NO_SUCH: there is none. */
-int log_settle(struct log *log);
+int log_finish_exchange(struct log *log);
 /* Removes the member id (gone), sets its right (voter: enum log_vote_right), or adds it with a copy of zone. */
-int log_change(struct log *log, int64_t id, int64_t addr, const char *zone, int voter, int gone);
+int log_change_member(struct log *log, int64_t id, int64_t addr, const char *zone, int voter, int gone);
 
 /* log_transfer.c: a snapshot goes out in chunks, one under way to a peer */
 
--- a/src/log/log_copy.c
+++ b/src/log/log_copy.c
@@ -28,20 +28,20 @@
     for (int64_t i = 0; i < log->n_peers; i++)
         log->peers[i] = (struct log_peer){.id = log->peers[i].id,
                                           .next = log_last(log) + 1,
-                                          .base = log_last(log),
+                                          .in_flight_base = log_last(log),
                                           .heard_ms = now_ms,
                                           .sync_ms = log->peers[i].sync_ms,
                                           .chunks = log->peers[i].chunks};
     world_note(log->w, EV_LEADER, "log=%s term=%lld last=%lld", log->name, (long long)log->term,
                (long long)log_last(log));
-    log_propose(log, ENTRY_BLANK, NULL, NULL, NULL, 0);
+    log_propose(log, ENTRY_NOOP, NULL, NULL, NULL, 0);
     log->heartbeat_due_ms = now_ms;
 }
 
 /* Bytes of entries that are under way to it. */
 static int64_t under_way(const struct log *log, const struct log_peer *s)
 {
-    int64_t from = (s->match > s->base ? s->match : s->base) + 1, bytes = 0;
+    int64_t from = (s->match > s->in_flight_base ? s->match : s->in_flight_base) + 1, bytes = 0;
     for (int64_t i = from < log->first_index ? log->first_index : from; i < s->next && i <= log_last(log); i++)
         bytes += log->entries[i - log->first_index].body.len + ENTRY_HEAD;
     return bytes;
@@ -53,7 +53,7 @@
 static void rewind_to(struct log_peer *s, int64_t next)
 {
     s->next = next;
-    s->base = next - 1;
+    s->in_flight_base = next - 1;
 }
 
 static void copy_to(struct log *log, struct log_peer *s, int beat)
@@ -75,7 +75,7 @@
         log_transfer_send(log, s, beat);
         return;
     }
-    s->copying = 0;
+    s->snapshot_sent_index = 0;
     int64_t bytes = under_way(log, s);
     if (!beat && (s->next > log_last(log) || bytes >= COPY_WINDOW))
         return;
@@ -117,7 +117,7 @@
         log_send(log, a->from, FRAME_APPENDED, &log_appended_schema, &reply);
         return;
     }
-    log_follow(log, a->term, a->from);
+    log_become_follower(log, a->term, a->from);
     log->heard_leader_ms = world_ms(log->w);
     log_election_reset(log);
     reply.term = log->term;
@@ -164,7 +164,7 @@
 {
     struct log_peer *s = log_peer(log, a->from);
     if (a->term > log->term) {
-        log_follow(log, a->term, 0);
+        log_become_follower(log, a->term, 0);
         return;
     }
     if (log->role != LOG_LEADER || a->term != log->term || !s)
@@ -216,7 +216,7 @@
 /* Our lease ends before theirs by more than clocks drift apart: 2 % each, 4 in all. */
 enum { LEASE_PERCENT = 90 };
 
-int log_leads(const struct log *log)
+int log_has_lease(const struct log *log)
 {
     int64_t since_ms = world_ms(log->w) - log->settings.election_ms * LEASE_PERCENT / 100;
     if (log->role != LOG_LEADER || log->broken || log->handed_over_ms)
--- a/src/log/log_elect.c
+++ b/src/log/log_elect.c
@@ -10,7 +10,7 @@
 }
 
 /* Invariant kept here: a higher term is synced, without a vote, before anything is said under it. */
-void log_follow(struct log *log, int64_t term, int64_t leader_id)
+void log_become_follower(struct log *log, int64_t term, int64_t leader_id)
 {
     const struct log_member *leader = log_member(log, leader_id);
     if (log->role == LOG_LEADER || (leader_id && leader_id != log->leader_id))
@@ -70,7 +70,7 @@
                                        .transfer = transfer};
     for (int64_t i = 0; i < log->members.n; i++) {
         request.to = log->members.members[i].id;
-        if (request.to != log->id && log_voter(log, request.to))
+        if (request.to != log->id && log_is_voter(log, request.to))
             log_send(log, request.to, FRAME_VOTE_REQUEST, &log_vote_request_schema, &request);
     }
     log_election_reset(log);
@@ -87,7 +87,7 @@
         request->last_term > last_term || (request->last_term == last_term && request->last_index >= log_last(log));
     struct log_vote vote = {.group = log->group, .from = log->id, .to = request->from, .pre = request->pre};
     /* a leader in sight is not unseated by somebody who merely lost sight of it */
-    if ((heard || now_ms < log->votes_from_ms) && !request->transfer)
+    if ((heard || now_ms < log->no_vote_before_ms) && !request->transfer)
         return;
     if (request->pre) {
         vote.granted = request->term > log->term && newer;
@@ -96,7 +96,7 @@
         return;
     }
     if (request->term > log->term)
-        log_follow(log, request->term, 0);
+        log_become_follower(log, request->term, 0);
     vote.term = log->term;
     if (request->term == log->term && newer && (!log->vote || log->vote == request->from)) {
         log->vote = request->from;
@@ -113,7 +113,7 @@
 {
     if (!vote->granted) {
         if (vote->term > log->term)
-            log_follow(log, vote->term, 0);
+            log_become_follower(log, vote->term, 0);
         return;
     }
     if (vote->pre != (log->role == LOG_PRE_CANDIDATE) || (!vote->pre && log->role != LOG_CANDIDATE) ||
@@ -133,7 +133,7 @@
         return ERROR_NOT_LEADER;
     for (int64_t i = 0; i < log->n_peers; i++) {
         struct log_peer *peer = &log->peers[i];
-        if (peer->id == log->id || !log_voter(log, peer->id) || peer->match < log->commit ||
+        if (peer->id == log->id || !log_is_voter(log, peer->id) || peer->match < log->commit ||
             world_ms(log->w) - peer->heard_ms > log->settings.election_ms + blocked_ms)
             continue;
         if (!best || peer->sync_ms < best->sync_ms)
--- a/src/log/log_identity.c
+++ b/src/log/log_identity.c
@@ -26,7 +26,7 @@
         rc = sum == crc_of(data.at + 4, data.len - 4) ? schema_unpack(schema, to, data.at + 4, data.len - 4)
                                                       : ERROR_DISK;
     } else {
-        rc = rc == ERROR_NO_SUCH ? ERROR_NO_SUCH : ERROR_DISK;
+        rc = rc == ERROR_NOT_FOUND ? ERROR_NOT_FOUND : ERROR_DISK;
     }
     bytes_free(&data);
     return rc;
@@ -73,7 +73,7 @@
     }
     if (w->calls->disk_list(w, see_any, &logs))
         return ERROR_DISK;
-    if (rc != ERROR_NO_SUCH || logs) {
+    if (rc != ERROR_NOT_FOUND || logs) {
         world_note(w, EV_LOG_BROKEN,
                    "identity is missing or damaged beside existing logs; move the data folder "
                    "aside and start this keeper empty, it will join under a new identity");
--- a/src/log/log_member.c
+++ b/src/log/log_member.c
@@ -17,17 +17,17 @@
 /* Is the newest change of members still under way, as far as we know? */
 static int changing(const struct log *log) { return log->members_index > log->commit; }
 
-int log_voter(const struct log *log, int64_t id)
+int log_is_voter(const struct log *log, int64_t id)
 {
     const struct log_member *member = log_member(log, id);
-    return member && (log_votes(member) || (member->voter == VOTED && changing(log)));
+    return member && (log_votes_after_change(member) || (member->voter == LOG_OUTGOING_VOTER && changing(log)));
 }
 
 int64_t log_majority(const struct log *log)
 {
     int64_t voters = 0;
     for (int64_t i = 0; i < log->members.n; i++)
-        voters += log_votes(&log->members.members[i]);
+        voters += log_votes_after_change(&log->members.members[i]);
     return voters / 2 + 1;
 }
 
@@ -36,7 +36,7 @@
     int64_t n = 0, former = 0, n_former = 0;
     for (int64_t i = 0; i < log->members.n; i++) {
         const struct log_member *m = &log->members.members[i];
-        int did = m->voter == VOTES || m->voter == VOTED, does = log_votes(m);
+        int did = m->voter == LOG_VOTER || m->voter == LOG_OUTGOING_VOTER, does = log_votes_after_change(m);
         int yes = (did || does) && has(log, m->id, x);
         n += does && yes;
         former += did;
@@ -70,9 +70,9 @@
     log->members = members;
     for (int64_t i = 0; i < log->members.n; i++)
         if (!log_peer(log, log->members.members[i].id))
-            *list_more(log->peers, log->n_peers) = (struct log_peer){.id = log->members.members[i].id,
+            *array_add(log->peers, log->n_peers) = (struct log_peer){.id = log->members.members[i].id,
                                                                      .next = log_last(log) + 1,
-                                                                     .base = log_last(log),
+                                                                     .in_flight_base = log_last(log),
                                                                      .heard_ms = world_ms(log->w)};
     for (int64_t i = 0; i < log->n_peers; i++)
         if (!log_member(log, log->peers[i].id))
@@ -118,7 +118,7 @@
     schema_copy(&log_members_schema, &next, &log->members);
     for (int64_t i = 0; i < next.n; i++) {
         if (next.members[i].id == fresh_id)
-            next.members[i].voter = VOTES;
+            next.members[i].voter = LOG_VOTER;
         if (next.members[i].id == gone_id)
             member_drop(&next, i--);
     }
@@ -143,7 +143,7 @@
     schema_copy(&log_members_schema, &next, &log->members);
     for (int64_t i = 0; i < next.n; i++) {
         struct log_member *m = &next.members[i];
-        m->voter = m->id == gone_id ? VOTED : m->id == fresh_id ? VOTES_NEWLY : m->voter;
+        m->voter = m->id == gone_id ? LOG_OUTGOING_VOTER : m->id == fresh_id ? LOG_INCOMING_VOTER : m->voter;
     }
     world_note(log->w, EV_MEMBER_CHANGE, "log=%s exchanged=%llx fresh=%llx", log->name, (unsigned long long)gone_id,
                (unsigned long long)fresh_id);
@@ -151,26 +151,26 @@
     return ERROR_NONE;
 }
 
-int log_settle(struct log *log)
+int log_finish_exchange(struct log *log)
 {
     struct log_members next = {0};
     int unsettled = 0, rc = may_change(log);
     for (int64_t i = 0; i < log->members.n; i++)
-        unsettled |= log->members.members[i].voter > VOTES;
+        unsettled |= log->members.members[i].voter > LOG_VOTER;
     if (!unsettled || rc)
-        return unsettled ? rc : ERROR_NO_SUCH;
+        return unsettled ? rc : ERROR_NOT_FOUND;
     schema_copy(&log_members_schema, &next, &log->members);
     for (int64_t i = 0; i < next.n; i++) {
-        if (next.members[i].voter == VOTES_NEWLY)
-            next.members[i].voter = VOTES;
-        if (next.members[i].voter == VOTED)
+        if (next.members[i].voter == LOG_INCOMING_VOTER)
+            next.members[i].voter = LOG_VOTER;
+        if (next.members[i].voter == LOG_OUTGOING_VOTER)
             member_drop(&next, i--);
     }
     propose_members(log, &next);
     return ERROR_NONE;
 }
 
-int log_change(struct log *log, int64_t id, int64_t addr, const char *zone, int voter, int gone)
+int log_change_member(struct log *log, int64_t id, int64_t addr, const char *zone, int voter, int gone)
 {
     struct log_members next = {0};
     int rc = may_change(log);
@@ -185,7 +185,7 @@
     } else if (!gone && i < next.n) {
         next.members[i].voter = voter;
     } else if (!gone) {
-        struct log_member *member = list_more(next.members, next.n);
+        struct log_member *member = array_add(next.members, next.n);
         *member = (struct log_member){.id = id, .addr = addr, .voter = voter, .zone = must_dup(zone)};
     }
     world_note(log->w, EV_MEMBER_CHANGE, "log=%s id=%llx voter=%d gone=%d", log->name, (unsigned long long)id, voter,
--- a/src/log/log_snapshot.c
+++ b/src/log/log_snapshot.c
@@ -62,7 +62,7 @@
     snprintf(temp, sizeof temp, "%s-temp-", sweep->log->name);
     int old = !strncmp(name, prefix, strlen(prefix)) && strcmp(name, keep) < 0;
     if ((old || !strncmp(name, temp, strlen(temp))) && strlen(name) < 64)
-        strcpy(*list_more(sweep->names, sweep->n), name);
+        strcpy(*array_add(sweep->names, sweep->n), name);
 }
 
 static void remove_old(struct log *log)
--- a/src/log/log_store.c
+++ b/src/log/log_store.c
@@ -77,7 +77,7 @@
 int log_store_open(struct log *log)
 {
     int64_t no = log->n_segments ? log->segments[log->n_segments - 1].no + 1 : 1;
-    *list_more(log->segments, log->n_segments) = (struct log_segment){.no = no, .first_index = log_last(log) + 1};
+    *array_add(log->segments, log->n_segments) = (struct log_segment){.no = no, .first_index = log_last(log) + 1};
     log_store_vote(log);
     if (!log->broken &&
         (log->w->calls->disk_sync(log->w, name_of(log, "seg", no)) || log->w->calls->disk_sync_names(log->w)))
@@ -199,7 +199,7 @@
     snprintf(prefix, sizeof prefix, "%s-seg-", log->name);
     if (strncmp(name, prefix, strlen(prefix)))
         return;
-    *list_more(log->segments, log->n_segments) = (struct log_segment){.no = text_to_int64(name + strlen(prefix))};
+    *array_add(log->segments, log->n_segments) = (struct log_segment){.no = text_to_int64(name + strlen(prefix))};
 }
 
 static int by_no(const void *a, const void *b)
--- a/src/log/log_transfer.c
+++ b/src/log/log_transfer.c
@@ -39,7 +39,7 @@
         return ERROR_NONE;
     transfer_free(out);
     for (int64_t i = 0; i < log->n_peers; i++)
-        log->peers[i].copying = log->peers[i].offset = 0;
+        log->peers[i].snapshot_sent_index = log->peers[i].offset = 0;
     int rc = log_snapshot_read(log, &out->data);
     if (rc) { /* our own file is damaged: the state it was made of is not, so write a new one */
         transfer_free(out);
@@ -103,13 +103,13 @@
     int64_t now_ms = world_ms(log->w), silent_ms = SILENT_BEATS * log->settings.heartbeat_ms;
     if (beat)
         send_beat(log, peer);
-    if (peer->copying && peer->copying == log->outgoing.index && outgoing_good(log) &&
+    if (peer->snapshot_sent_index && peer->snapshot_sent_index == log->outgoing.index && outgoing_good(log) &&
         now_ms - peer->chunk_ms < silent_ms)
         return;
     if (open_outgoing(log) || !log->outgoing.index)
         return;
-    if (peer->copying != log->outgoing.index) {
-        peer->copying = log->outgoing.index;
+    if (peer->snapshot_sent_index != log->outgoing.index) {
+        peer->snapshot_sent_index = log->outgoing.index;
         peer->offset = 0;
     }
     peer->chunk_ms = now_ms;
@@ -123,7 +123,7 @@
 {
     struct log_peer *peer = log_peer(log, got->from);
     if (got->term > log->term) {
-        log_follow(log, got->term, 0);
+        log_become_follower(log, got->term, 0);
         return;
     }
     if (log->role != LOG_LEADER || got->term != log->term || !peer)
@@ -132,7 +132,7 @@
     if (got->round > peer->acked_round)
         peer->acked_round = got->round;
     log_reads_done(log);
-    if (!peer->copying || got->index != peer->copying || got->index != log->outgoing.index ||
+    if (!peer->snapshot_sent_index || got->index != peer->snapshot_sent_index || got->index != log->outgoing.index ||
         got->sum != log->outgoing.sum || got->offset < 0 || got->offset > log->outgoing.total)
         return;
     int on = got->offset > peer->offset && got->offset < log->outgoing.total;
@@ -153,7 +153,7 @@
         least = least_by_bytes;
     for (int64_t i = 0; log->role == LOG_LEADER && i < log->n_peers; i++) {
         const struct log_peer *peer = &log->peers[i];
-        int64_t has = peer->copying ? peer->copying : peer->match;
+        int64_t has = peer->snapshot_sent_index ? peer->snapshot_sent_index : peer->match;
         if (peer->id != log->id && has <= upto && has >= least && has > 0 &&
             now_ms - peer->heard_ms <= HELD_HEARD_BEATS * log->settings.heartbeat_ms)
             upto = has - 1; /* its term is asked for with the one behind it */
@@ -165,7 +165,7 @@
 {
     int used = 0;
     for (int64_t i = 0; log->role == LOG_LEADER && i < log->n_peers; i++)
-        used |= log->peers[i].copying != 0;
+        used |= log->peers[i].snapshot_sent_index != 0;
     if (!used)
         transfer_free(&log->outgoing);
     if (log->role == LOG_LEADER || log->incoming.index <= log->commit)
@@ -218,7 +218,7 @@
 
 static void heard_leader(struct log *log, int64_t term, int64_t from)
 {
-    log_follow(log, term, from);
+    log_become_follower(log, term, from);
     log->heard_leader_ms = world_ms(log->w);
     log_election_reset(log);
 }
--- a/src/node/api.c
+++ b/src/node/api.c
@@ -20,7 +20,7 @@
             .req = request->from_req, .status = status, .retry_ms = retry_ms, .body = (char *)(uintptr_t)body};
         int64_t to = request->from;
         slab_free(&node->requests, number);
-        node_send(node, to, FRAME_SENT_ON, &forward_response_schema, &m);
+        node_send(node, to, FRAME_FORWARD_RESPONSE, &forward_response_schema, &m);
     } else {
         int64_t slot = request->slot;
         slab_free(&node->requests, number);
@@ -131,7 +131,7 @@
                         .method = (char *)(uintptr_t)call->method,
                         .path = (char *)(uintptr_t)call->path,
                         .body = (char *)(uintptr_t)call->body};
-    node_send(node, to, FRAME_SEND_ON, &forward_request_schema, &m);
+    node_send(node, to, FRAME_FORWARD_REQUEST, &forward_request_schema, &m);
 }
 
 void node_on_sent_on(struct node *node, const struct sent_on *m)
@@ -157,7 +157,7 @@
             api_error(node, number, ERROR_UNAVAILABLE,
                       "this node lost its place meanwhile; resend to another with the same key");
         else if (now_ms >= request->until_ms + (request->from ? 0 : WAIT_MARGIN_MS))
-            api_error(node, number, ERROR_GAVE_UP, "no agreement in time; it may still have been accepted");
+            api_error(node, number, ERROR_OUTCOME_UNKNOWN, "no agreement in time; it may still have been accepted");
     }
 }
 
@@ -192,7 +192,7 @@
     int64_t job = path_job(path);
     int cancel = !strcmp(method, "DELETE") || strstr(path, "/cancel");
     if (!job) {
-        api_error(node, request, ERROR_NO_SUCH, "a job is named SHARD.NUMBER");
+        api_error(node, request, ERROR_NOT_FOUND, "a job is named SHARD.NUMBER");
         return;
     }
     if (strcmp(method, "GET") && strcmp(method, "DELETE") && strcmp(method, "POST")) {
@@ -219,7 +219,7 @@
     if (strcmp(method, "GET"))
         api_error(node, request, ERROR_BAD_METHOD, "GET or POST");
     else if (shard < 0 || shard >= SHARD_COUNT)
-        api_error(node, request, ERROR_NO_SUCH, "no such shard");
+        api_error(node, request, ERROR_NOT_FOUND, "no such shard");
     else if (!to_owner(node, request, shard, method, path, body))
         enqueue_list(node, request, shard, path);
     free(key);
@@ -229,7 +229,7 @@
 void api_route(struct node *node, int64_t request, const char *method, const char *path, const char *body, int64_t len)
 {
     if (!starts(path, "/v1/"))
-        api_error(node, request, ERROR_NO_SUCH, "doors are under /v1/");
+        api_error(node, request, ERROR_NOT_FOUND, "doors are under /v1/");
     else if (starts(path, "/v1/executors/report"))
         home_report(node, request, body, len);
     else if (api_views(node, request, method, path))
@@ -241,5 +241,5 @@
     else if (starts(path, "/v1/jobs"))
         route_jobs(node, request, method, path, body, len);
     else if (!api_operators(node, request, method, path, body, len))
-        api_error(node, request, ERROR_NO_SUCH, "no such door");
+        api_error(node, request, ERROR_NOT_FOUND, "no such door");
 }
--- a/src/node/api_views.c
+++ b/src/node/api_views.c
@@ -169,7 +169,7 @@
     char *job = api_query_param(path, "job"), *from = api_query_param(path, "from");
     int64_t id = job ? job_id_parse(job) : 0;
     if (job && !id)
-        api_error(node, request, ERROR_NO_SUCH, "a job is named SHARD.NUMBER");
+        api_error(node, request, ERROR_NOT_FOUND, "a job is named SHARD.NUMBER");
     else
         api_json(node, request, 200,
                  json_pack("{s:s,s:I,s:o}", "node", addr_text(node->w->self), "next", (json_int_t)node->journal.next,
--- a/src/node/follow.c
+++ b/src/node/follow.c
@@ -45,7 +45,7 @@
     node->confirm_sent_ms = now_ms;
     node->confirm_to = node->leaders[GROUP_CONTROL];
     node->confirm_due_ms = now_ms + CONFIRM_MS;
-    node_send(node, node->confirm_to, FRAME_CONFIRM, &control_updates_request_schema, &confirm);
+    node_send(node, node->confirm_to, FRAME_CONTROL_UPDATES_REQUEST, &control_updates_request_schema, &confirm);
 }
 
 void follow_on_timer(struct node *node)
@@ -181,7 +181,7 @@
         if (!p)
             continue;
         if (now_ms >= p->until_ms) {
-            proposal_end(node, number, ERROR_GAVE_UP, NULL);
+            proposal_end(node, number, ERROR_OUTCOME_UNKNOWN, NULL);
         } else if (now_ms - p->sent_ms >= RESEND_MS) {
             if (p->sent_to == node->leaders[p->group])
                 node->leaders[p->group] = 0;
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -83,7 +83,7 @@
     for (int64_t i = 0; i < node->n_queues; i++)
         if (!strcmp(node->queues[i].path, path))
             return i;
-    *list_more(node->queues, node->n_queues) = (struct queue){.path = must_dup(path), .generation = -1};
+    *array_add(node->queues, node->n_queues) = (struct queue){.path = must_dup(path), .generation = -1};
     return node->n_queues - 1;
 }
 
@@ -113,18 +113,19 @@
         struct checked checked;
         struct ended ended;
     } m;
-    static const struct schema *const schemas[FRAME_LAST] = {[FRAME_FEED] = &control_updates_schema,
-                                                             [FRAME_NEWS] = &control_updates_request_schema,
+    static const struct schema *const schemas[FRAME_LAST] = {[FRAME_CONTROL_UPDATES] = &control_updates_schema,
+                                                             [FRAME_CONTROL_UPDATES_NOTICE] =
+                                                                 &control_updates_request_schema,
                                                              [FRAME_PROPOSED] = &proposed_schema,
-                                                             [FRAME_SEND_ON] = &forward_request_schema,
-                                                             [FRAME_SENT_ON] = &forward_response_schema,
-                                                             [FRAME_ROOMS] = &rooms_msg_schema,
+                                                             [FRAME_FORWARD_REQUEST] = &forward_request_schema,
+                                                             [FRAME_FORWARD_RESPONSE] = &forward_response_schema,
+                                                             [FRAME_EXECUTOR_SUMMARIES] = &rooms_msg_schema,
                                                              [FRAME_RESERVE] = &reserve_schema,
                                                              [FRAME_RESERVED] = &reserved_schema,
                                                              [FRAME_RELEASE] = &reserve_schema,
                                                              [FRAME_START] = &start_order_schema,
                                                              [FRAME_STOP] = &check_schema,
-                                                             [FRAME_GO] = &check_schema,
+                                                             [FRAME_GANG_START] = &check_schema,
                                                              [FRAME_CHECK] = &check_schema,
                                                              [FRAME_CHECKED] = &checked_schema,
                                                              [FRAME_ENDED] = &ended_schema,
@@ -138,18 +139,18 @@
         return;
     }
     switch (frame->kind) {
-    case FRAME_FEED: follow_on_feed(node, from, &m.feed); break;
-    case FRAME_NEWS: follow_on_news(node, &m.news); break;
+    case FRAME_CONTROL_UPDATES: follow_on_feed(node, from, &m.feed); break;
+    case FRAME_CONTROL_UPDATES_NOTICE: follow_on_news(node, &m.news); break;
     case FRAME_PROPOSED: node_on_proposed(node, from, &m.proposed); break;
-    case FRAME_SEND_ON: node_on_send_on(node, from, &m.send_on); break;
-    case FRAME_SENT_ON: node_on_sent_on(node, &m.sent_on); break;
-    case FRAME_ROOMS: rooms_take(node, from, &m.rooms); break;
+    case FRAME_FORWARD_REQUEST: node_on_send_on(node, from, &m.send_on); break;
+    case FRAME_FORWARD_RESPONSE: node_on_sent_on(node, &m.sent_on); break;
+    case FRAME_EXECUTOR_SUMMARIES: rooms_take(node, from, &m.rooms); break;
     case FRAME_RESERVE: home_on_reserve(node, from, &m.reserve); break;
     case FRAME_RESERVED: place_on_reserved(node, &m.reserved); break;
     case FRAME_RELEASE: home_on_release(node, from, &m.reserve); break;
     case FRAME_START: home_on_start(node, from, &m.start); break;
     case FRAME_STOP: home_on_stop(node, from, &m.check); break;
-    case FRAME_GO: home_on_go(node, &m.check); break;
+    case FRAME_GANG_START: home_on_go(node, &m.check); break;
     case FRAME_CHECK: home_on_check(node, from, &m.check); break;
     case FRAME_CHECKED: track_on_checked(node, &m.checked); break;
     case FRAME_ENDED: track_on_ended(node, &m.ended); break;
--- a/src/peer/peer.c
+++ b/src/peer/peer.c
@@ -132,7 +132,7 @@
     if (!one) {
         if (info->state == PEER_DEAD)
             return;
-        one = list_more(s->all, s->n);
+        one = array_add(s->all, s->n);
         schema_copy(&peer_info_schema, &one->info, info);
         one->heard_ms = world_ms(s->w);
         state_changed(s, one);
@@ -157,7 +157,7 @@
 
 static void add_news(struct peers *s, struct peer_probe *probe)
 {
-    *list_more(probe->info, probe->n) = s->self;
+    *array_add(probe->info, probe->n) = s->self;
     while (probe->n < NEWS_MAX - 2) {
         struct peer *best = NULL;
         for (int64_t i = 0; i < s->n; i++) {
@@ -171,10 +171,10 @@
         if (!best)
             break;
         best->tellings--;
-        *list_more(probe->info, probe->n) = best->info;
+        *array_add(probe->info, probe->n) = best->info;
     }
     for (int i = 0; i < 2 && s->n; i++)
-        *list_more(probe->info, probe->n) = s->all[world_random(s->w) % (uint64_t)s->n].info;
+        *array_add(probe->info, probe->n) = s->all[world_random(s->w) % (uint64_t)s->n].info;
 }
 
 static void send_probe(struct peers *s, int64_t to, enum frame_kind kind, int64_t seq, int64_t about)
--- a/src/proc/disk.c
+++ b/src/proc/disk.c
@@ -64,7 +64,7 @@
     char chunk[65536];
     int fd = open(path_of(real_of(w), name), O_RDONLY | O_CLOEXEC);
     if (fd < 0)
-        return errno == ENOENT ? ERROR_NO_SUCH : ERROR_DISK;
+        return errno == ENOENT ? ERROR_NOT_FOUND : ERROR_DISK;
     ssize_t n;
     while ((n = read(fd, chunk, sizeof chunk)) > 0)
         bytes_add(to, chunk, n);
--- a/src/proc/local.c
+++ b/src/proc/local.c
@@ -9,20 +9,21 @@
 
 #include "base/error.h"
 
-#define L(MEMBER, OUTER, DFLT, MIN, MAX) INT_NAMED(local, MEMBER, OUTER, .dflt = (DFLT), .min = (MIN), .max = (MAX))
+#define L(MEMBER, OUTER, DFLT, MIN, MAX) \
+    INT_NAMED(local, MEMBER, OUTER, .default_value = (DFLT), .min = (MIN), .max = (MAX))
 
-static const struct field fields[] = {STR(local, cluster, .dflt_str = "sagehitch", .min = 1, .max = 64),
-                                      STR(local, zone, .dflt_str = "z1", .max = 64),
+static const struct field fields[] = {STR(local, cluster, .default_str = "sagehitch", .min = 1, .max = 64),
+                                      STR(local, zone, .default_str = "z1", .max = 64),
                                       STR(local, listen, .max = 32),
                                       STR(local, http, .max = 32),
                                       STR(local, seeds, .max = 200),
                                       STR(local, data, .max = 1000),
-                                      STR_NAMED(local, log_level, "logLevel", .dflt_str = "info"),
+                                      STR_NAMED(local, log_level, "logLevel", .default_str = "info"),
                                       STR(local, name, .min = 1, .max = 100),
-                                      STR(local, kind, .dflt_str = "lift", .min = 1, .max = 64),
-                                      STR(local, rack, .dflt_str = "r1", .max = 64),
-                                      STR(local, services, .dflt_str = "", .max = 500),
-                                      STR(local, deployment, .dflt_str = "dackhuset"),
+                                      STR(local, kind, .default_str = "lift", .min = 1, .max = 64),
+                                      STR(local, rack, .default_str = "r1", .max = 64),
+                                      STR(local, services, .default_str = "", .max = 500),
+                                      STR(local, deployment, .default_str = "dackhuset"),
                                       L(cores, "cores", 16, 0, 1 << 20),
                                       L(mem_mb, "memMb", 65536, 0, INT32_MAX),
                                       L(fail_pct, "failPct", 0, 0, 100),
--- a/src/proc/net.c
+++ b/src/proc/net.c
@@ -127,7 +127,7 @@
             return runtime->outs[i];
     struct net_out *out = must_alloc(sizeof *out);
     *out = (struct net_out){.runtime = runtime, .to = to, .fd = -1};
-    *list_more(runtime->outs, runtime->n_outs) = out;
+    *array_add(runtime->outs, runtime->n_outs) = out;
     return out;
 }
 
@@ -151,7 +151,7 @@
         memmove(out->queue, out->queue + out->first, sizeof *out->queue * (size_t)out->n);
         out->first = 0;
     }
-    *list_more(out->queue, out->n) = blob_hold(frame);
+    *array_add(out->queue, out->n) = blob_hold(frame);
     out->waiting += frame->bytes.len;
     if (!idle)
         return;
--- a/src/rules/rules.c
+++ b/src/rules/rules.c
@@ -9,7 +9,7 @@
 #include "base/error.h"
 
 #define RULE(MEMBER, OUTER, MIN, MAX) \
-    INT_NAMED(rule_values, MEMBER, OUTER, .dflt = RULE_UNSET, .min = (MIN), .max = (MAX))
+    INT_NAMED(rule_values, MEMBER, OUTER, .default_value = RULE_UNSET, .min = (MIN), .max = (MAX))
 static const struct field value_fields[] = {RULE(priority, "priority", 0, 1000),
                                             RULE(attempts_max, "attemptsMax", 1, 100),
                                             RULE(stretch_pct, "stretchPct", 0, 100000),
@@ -152,7 +152,7 @@
 
 int rules_valid(const struct rules *rules)
 {
-    if (set_check(&rules->head, NULL) || !change_history_good(&rules->history))
+    if (set_check(&rules->head, NULL) || !change_history_is_valid(&rules->history))
         return 0;
     for (int64_t i = 0; i < rules->n_outlets; i++)
         if (!outlet_name_valid(rules->outlets[i].name) || outlet_check(&rules->outlets[i], NULL))
@@ -163,22 +163,22 @@
 /* --- changes -------------------------------------------------------------- */
 
 /* The entry in the change history; body is packed by schema. */
-static struct taken_change taken_of(const struct rules_change *change, const struct schema *schema, const void *body,
-                                    int64_t version)
+static struct applied_change taken_of(const struct rules_change *change, const struct schema *schema, const void *body,
+                                      int64_t version)
 {
     struct bytes packed = {0};
     schema_pack(schema, body, &packed);
-    struct taken_change taken = {.key = change->outlet ? (int64_t)hash_text(change->outlet) : 0,
-                                 .version = version,
-                                 .base = change->base,
-                                 .hash = change_hash(packed.at, packed.len)};
+    struct applied_change taken = {.key = change->outlet ? (int64_t)hash_text(change->outlet) : 0,
+                                   .version = version,
+                                   .base = change->base,
+                                   .hash = change_hash(packed.at, packed.len)};
     bytes_free(&packed);
     return taken;
 }
 
 /* Returns ERROR_NONE: to be applied to the current version; 1: a repetition; else an error. Histories of older versions
  * may be missing: then the newest body is still known by newest_hash. */
-static int versions(const struct rules *rules, const struct taken_change *change, int64_t now, int64_t newest_hash)
+static int versions(const struct rules *rules, const struct applied_change *change, int64_t now, int64_t newest_hash)
 {
     if (change->version > now)
         return change->base == now ? ERROR_NONE : ERROR_STALE;
@@ -190,8 +190,8 @@
 
 static enum sagehitch_error apply_head(struct rules *rules, const struct rules_change *change)
 {
-    struct taken_change newest = taken_of(change, &rule_set_schema, &rules->head, rules->head.version);
-    struct taken_change taken = taken_of(change, &rule_set_schema, &change->head, change->head.version);
+    struct applied_change newest = taken_of(change, &rule_set_schema, &rules->head, rules->head.version);
+    struct applied_change taken = taken_of(change, &rule_set_schema, &change->head, change->head.version);
     int rc = versions(rules, &taken, rules->head.version, newest.hash);
     if (rc)
         return rc < 0 ? rc : ERROR_NONE;
@@ -227,7 +227,7 @@
     int64_t no = rules_outlet(rules, change->outlet);
     struct outlet *now = no >= 0 ? &rules->outlets[no] : NULL, to = change->to;
     to.name = change->outlet;
-    struct taken_change taken = taken_of(change, &outlet_schema, &to, to.version);
+    struct applied_change taken = taken_of(change, &outlet_schema, &to, to.version);
     int64_t newest_hash = now ? taken_of(change, &outlet_schema, now, now->version).hash : 0;
     int rc = versions(rules, &taken, now ? now->version : 0, newest_hash);
     if (rc)
@@ -238,7 +238,7 @@
     if (!now && rules->n_outlets >= OUTLETS_MAX)
         return ERROR_TOO_LARGE;
     if (!now)
-        now = list_more(rules->outlets, rules->n_outlets);
+        now = array_add(rules->outlets, rules->n_outlets);
     schema_free(&outlet_schema, now);
     schema_copy(&outlet_schema, now, &to);
     change_history_add(&rules->history, &taken);
--- a/src/rules/rules_api.c
+++ b/src/rules/rules_api.c
@@ -137,7 +137,7 @@
         const char *name = json_string_value(json_array_get(queues, i));
         if (!name)
             return validation_error_named(validation_error, ERROR_BAD_FIELD, "", "queues", "a list of names");
-        *list_more(outlet->queues, outlet->n_queues) = must_dup(name);
+        *array_add(outlet->queues, outlet->n_queues) = must_dup(name);
     }
     return ERROR_NONE;
 }
@@ -190,7 +190,7 @@
     int job = !strncmp(request->path, jobs_path, sizeof jobs_path - 1),
         outlet = !strncmp(request->path, outlets_path, sizeof outlets_path - 1);
     if (!job && !outlet && strcmp(request->path, rules_path))
-        return validation_error_named(validation_error, ERROR_NO_SUCH, "", "path",
+        return validation_error_named(validation_error, ERROR_NOT_FOUND, "", "path",
                                       "/rules, /rules/outlets/NAME or /rules/jobs/ID");
     if (!get && (job || !put))
         return validation_error_named(validation_error, ERROR_BAD_METHOD, "", "method", job ? "GET" : "GET or PUT");
@@ -198,7 +198,7 @@
         return read_job(request, request->path + sizeof jobs_path - 1, validation_error);
     const char *name = outlet ? request->path + sizeof outlets_path - 1 : NULL;
     if (outlet && !outlet_name_valid(name))
-        return validation_error_named(validation_error, ERROR_NO_SUCH, "", "path",
+        return validation_error_named(validation_error, ERROR_NOT_FOUND, "", "path",
                                       "an outlet's name: letters, digits, - _ and .");
     if (put)
         return read_put(api_request_make_rules_put(request, name), web, validation_error);
@@ -222,7 +222,7 @@
         return 0;
     const struct error_response *error = error_response((int)response->error);
     /* 504, since it may be in force and must not be read as a refusal */
-    *status = response->error == ERROR_GAVE_UP ? 504 : response->error == ERROR_STALE ? 412 : error->status;
+    *status = response->error == ERROR_OUTCOME_UNKNOWN ? 504 : response->error == ERROR_STALE ? 412 : error->status;
     if (!response->error) {
         *body = body_of(response);
         return 1;
--- a/src/rules/rules_view.c
+++ b/src/rules/rules_view.c
@@ -111,7 +111,7 @@
     } else {
         view = rules_view(&record->rules, api_request_outlet(request), &version);
         if (!view)
-            return api_response_error(request->kind, ERROR_NO_SUCH, 0, NULL);
+            return api_response_error(request->kind, ERROR_NOT_FOUND, 0, NULL);
     }
     char *json = json_dumps(view, JSON_COMPACT);
     if (json)
--- a/src/runbook/parse.c
+++ b/src/runbook/parse.c
@@ -134,7 +134,7 @@
     if (!book->n_steps)
         return wrong(p, "a step first", verbs[verb]);
     struct step *step = &book->steps[book->n_steps - 1];
-    struct line *line = list_more(step->lines, step->n_lines);
+    struct line *line = array_add(step->lines, step->n_lines);
     line->verb = verb;
     line->no = p->no;
     int rc = ERROR_NONE;
@@ -155,7 +155,7 @@
     if (!rc)
         rc = names_known(p, line->body);
     if (!rc && verb == VERB_LET)
-        *list_more(p->known, p->n_known) = line->name;
+        *array_add(p->known, p->n_known) = line->name;
     return rc;
 }
 
@@ -178,14 +178,14 @@
     if (!strcmp(first, "param")) {
         if (!*rest || book->n_steps)
             return wrong(p, "param NAME before the first step", rest);
-        *list_more(book->settings, book->n_settings) = must_dup(rest);
-        *list_more(p->known, p->n_known) = book->settings[book->n_settings - 1];
+        *array_add(book->settings, book->n_settings) = must_dup(rest);
+        *array_add(p->known, p->n_known) = book->settings[book->n_settings - 1];
         return ERROR_NONE;
     }
     if (!strcmp(first, "step")) {
         if (!*rest)
             return wrong(p, "step NAME", NULL);
-        *list_more(book->steps, book->n_steps) = (struct step){.name = must_dup(rest), .no = p->no};
+        *array_add(book->steps, book->n_steps) = (struct step){.name = must_dup(rest), .no = p->no};
         return ERROR_NONE;
     }
     for (int i = 0; i < VERB_COUNT; i++)
--- a/src/runbook/run.c
+++ b/src/runbook/run.c
@@ -106,7 +106,7 @@
         if (run->world->now_ms(run->world->arg) >= until_ms) {
             snprintf(run->why, run->why_len, "line %lld: not so within %lld ms, last seen: %s", (long long)line->no,
                      (long long)line->within_ms, run->seen);
-            return ERROR_GAVE_UP;
+            return ERROR_OUTCOME_UNKNOWN;
         }
         run->world->pause(run->world->arg, POLL_MS);
     }
@@ -142,9 +142,9 @@
     char *value = poll(run, line, -1, &status);
     if (!value) {
         snprintf(run->why, run->why_len, "line %lld: %s is not there: %s", (long long)line->no, line->name, run->seen);
-        return ERROR_NO_SUCH;
+        return ERROR_NOT_FOUND;
     }
-    *list_more(run->bindings, run->n_bindings) = (struct binding){.name = must_dup(line->name), .value = value};
+    *array_add(run->bindings, run->n_bindings) = (struct binding){.name = must_dup(line->name), .value = value};
     return ERROR_NONE;
 }
 
@@ -229,7 +229,7 @@
     int rc = ERROR_NONE;
     for (int64_t i = 0; i < options->n_settings; i++) {
         const struct binding *given = &options->settings[i];
-        *list_more(run.bindings, run.n_bindings) =
+        *array_add(run.bindings, run.n_bindings) =
             (struct binding){.name = must_dup(given->name), .value = must_dup(given->value)};
     }
     for (int64_t i = 0; i < book->n_settings && !rc; i++)
--- a/src/runbook/runbook_main.c
+++ b/src/runbook/runbook_main.c
@@ -77,7 +77,7 @@
     size_t n;
     FILE *in = fopen(name, "r");
     if (!in)
-        return errno == ENOENT ? ERROR_NO_SUCH : ERROR_DISK;
+        return errno == ENOENT ? ERROR_NOT_FOUND : ERROR_DISK;
     while ((n = fread(chunk, 1, sizeof chunk, in)) > 0)
         bytes_add(to, chunk, (int64_t)n);
     (void)fclose(in);
--- a/src/shard/assign.c
+++ b/src/shard/assign.c
@@ -26,7 +26,7 @@
             continue;
         int64_t slow_pct = have ? have->slow_pct : 100;
         if (!have)
-            have = list_more(node->rooms, node->n_rooms);
+            have = array_add(node->rooms, node->n_rooms);
         else
             schema_free(&room_schema, have);
         *have = *room;
--- a/src/shard/enqueue.c
+++ b/src/shard/enqueue.c
@@ -172,7 +172,7 @@
             if (known)
                 answer_known(node, shard, b->request, known, op->body_hash, body);
             else
-                api_error(node, b->request, ERROR_GAVE_UP, "ask again");
+                api_error(node, b->request, ERROR_OUTCOME_UNKNOWN, "ask again");
             free(body);
         }
     } else if (op->kind == OP_REDIRECT && b->request) {
@@ -191,7 +191,7 @@
         if (job && b->request)
             answer_job(node, b->request, job, 200);
         else if (b->request)
-            api_error(node, b->request, ERROR_NO_SUCH, "no such job");
+            api_error(node, b->request, ERROR_NOT_FOUND, "no such job");
     }
 }
 
@@ -208,7 +208,7 @@
     struct shard *shard = open_shard(node, request, job_shard(id));
     struct job *job = shard ? rows_job(&shard->rows, id) : NULL;
     if (shard && !job)
-        api_error(node, request, ERROR_NO_SUCH, "no such job");
+        api_error(node, request, ERROR_NOT_FOUND, "no such job");
     else if (job && (job_ended(job) || job->state == JOB_CANCELLING))
         answer_job(node, request, job, 200);
     else if (job)
@@ -221,9 +221,9 @@
     struct job *job = shard ? rows_job(&shard->rows, id) : NULL;
     char *task = api_query_param(path, "why");
     if (shard && !job)
-        api_error(node, request, ERROR_NO_SUCH, "no such job");
+        api_error(node, request, ERROR_NOT_FOUND, "no such job");
     else if (job && task && (text_to_int64(task) < 0 || text_to_int64(task) >= job->n_rows))
-        api_error(node, request, ERROR_NO_SUCH, "no such task");
+        api_error(node, request, ERROR_NOT_FOUND, "no such task");
     else if (job)
         api_json(node, request, 200, task ? why_view(node, shard, job, text_to_int64(task)) : job_view(job, 1));
     free(task);
--- a/src/shard/place.c
+++ b/src/shard/place.c
@@ -48,7 +48,7 @@
         if (strcmp(place->executor, first->executor))
             continue;
         const struct task_spec *task = spec_task(&job->spec, place->no, NULL);
-        *list_more(m->tasks, m->n_tasks) = (struct task_ref){.job = job->id,
+        *array_add(m->tasks, m->n_tasks) = (struct task_ref){.job = job->id,
                                                              .no = place->no,
                                                              .attempt = job->rows[place->no].attempt + 1,
                                                              .cores = task->cores,
@@ -104,7 +104,7 @@
     struct op *op = worker_buffer(node, shard, OP_PLACED, job->id, 0, number);
     for (int64_t i = 0; i < staging->n_places; i++) {
         const struct staging_place *place = &staging->places[i];
-        *list_more(op->places, op->n_places) = (struct place){.no = place->no,
+        *array_add(op->places, op->n_places) = (struct place){.no = place->no,
                                                               .attempt = job->rows[place->no].attempt + 1,
                                                               .incarnation = place->incarnation,
                                                               .home_epoch = place->home_epoch,
@@ -161,7 +161,7 @@
         job->rows[no].staged = 0;
         job->rows[no].stopping = 0;
         job->rows[no].checked_ms = world_ms(node->w);
-        *list_more(shard->placed, shard->n_placed) = (struct task_ref){.job = job->id, .no = no};
+        *array_add(shard->placed, shard->n_placed) = (struct task_ref){.job = job->id, .no = no};
         ready_time(shard, job->rows[no].placed_ms + node_settings(node, job->queue)->run_max_ms, job->id, no);
         gang_placed(node, job, no);
         const struct task_spec *task = spec_task(&job->spec, no, NULL);
@@ -194,12 +194,12 @@
         for (int64_t i = first; i < first + n; i++) {
             if (job->rows[i].state != ROW_READY || job->rows[i].staged)
                 continue;
-            list_more(staging->places, staging->n_places)->no = i;
+            array_add(staging->places, staging->n_places)->no = i;
             if (job->rows[i].due_ms > latest)
                 latest = job->rows[i].due_ms;
         }
     } else {
-        list_more(staging->places, staging->n_places)->no = item->no;
+        array_add(staging->places, staging->n_places)->no = item->no;
     }
     node->queues[job->queue].staged += staging->n_places;
     for (int64_t i = 0; i < staging->n_places; i++)
--- a/src/shard/ready.c
+++ b/src/shard/ready.c
@@ -39,7 +39,7 @@
 
 static void heap_push(struct ready *ready, struct ready_item item)
 {
-    *list_more(ready->items, ready->n) = item;
+    *array_add(ready->items, ready->n) = item;
     int64_t i = ready->n - 1;
     while (i > 0 && before(&ready->items[i], &ready->items[(i - 1) / 2])) {
         struct ready_item t = ready->items[i];
@@ -72,7 +72,7 @@
     for (int64_t i = 0; i < shard->n_readies; i++)
         if (shard->readies[i].queue == queue)
             return &shard->readies[i];
-    struct ready *ready = list_more(shard->readies, shard->n_readies);
+    struct ready *ready = array_add(shard->readies, shard->n_readies);
     ready->queue = queue;
     return ready;
 }
@@ -86,7 +86,7 @@
     if (!*at)
         *at = (Word_t)must_alloc(sizeof(struct time_list));
     struct time_list *list = (struct time_list *)*at;
-    *list_more(list->refs, list->n) = (struct task_ref){.job = job, .no = no};
+    *array_add(list->refs, list->n) = (struct task_ref){.job = job, .no = no};
 }
 
 void ready_row(struct node *node, struct shard *shard, struct job *job, int64_t no)
@@ -162,7 +162,7 @@
                 continue;
             row_limits(node, shard, job, i);
             if (job->rows[i].state == ROW_PLACED) {
-                *list_more(shard->placed, shard->n_placed) = (struct task_ref){.job = id, .no = i};
+                *array_add(shard->placed, shard->n_placed) = (struct task_ref){.job = id, .no = i};
                 job->rows[i].stopping = row_preempted(&job->rows[i]); /* the stop goes on under a new owner */
                 ready_time(shard, job->rows[i].placed_ms + node_settings(node, job->queue)->run_max_ms, id, i);
             }
--- a/src/shard/rows.c
+++ b/src/shard/rows.c
@@ -241,7 +241,7 @@
         if (!op->key || rows_key(rows, op->key))
             return ERROR_REJECTED;
         set_key(rows, op->key, -1 - op->to_shard);
-        *list_more(rows->redirects, rows->n_redirects) =
+        *array_add(rows->redirects, rows->n_redirects) =
             (struct redirect){.key = must_dup(op->key), .to_shard = op->to_shard, .time_ms = op->time_ms};
         return ERROR_NONE;
     }
@@ -249,7 +249,7 @@
         return ERROR_NONE;
     struct job *job = rows_job(rows, op->job);
     if (!job)
-        return ERROR_NO_SUCH;
+        return ERROR_NOT_FOUND;
     if (op->kind == OP_DROP) {
         if (!job_ended(job))
             return ERROR_REJECTED;
--- a/src/shard/rows_spec.c
+++ b/src/shard/rows_spec.c
@@ -6,32 +6,33 @@
 #include "base/error.h"
 #include "shard/rows.h"
 
-static const struct field task_fields[] = {STR(task_spec, kind, .flags = FF_MUST, .min = 1, .max = 64),
-                                           STR(task_spec, payload, .max = 10240),
-                                           INT(task_spec, cores, .dflt = 1, .min = 0, .max = 4096),
-                                           INT_NAMED(task_spec, mem_mb, "memMb", .dflt = 0, .min = 0, .max = 1 << 26),
-                                           INT_NAMED(task_spec, deadline_ms, "cutoffMs", .min = 0, .max = INT32_MAX),
-                                           INT_NAMED(task_spec, ttl_ms, "ttlMs", .min = 0, .max = INT32_MAX)};
+static const struct field task_fields[] = {
+    STR(task_spec, kind, .flags = FF_REQUIRED, .min = 1, .max = 64),
+    STR(task_spec, payload, .max = 10240),
+    INT(task_spec, cores, .default_value = 1, .min = 0, .max = 4096),
+    INT_NAMED(task_spec, mem_mb, "memMb", .default_value = 0, .min = 0, .max = 1 << 26),
+    INT_NAMED(task_spec, deadline_ms, "cutoffMs", .min = 0, .max = INT32_MAX),
+    INT_NAMED(task_spec, ttl_ms, "ttlMs", .min = 0, .max = INT32_MAX)};
 SCHEMA(task_spec_schema, task_spec, task_fields);
 
 static const struct field step_fields[] = {
-    STR(step_spec, name, .flags = FF_MUST, .min = 1, .max = 64),
-    STR(step_spec, rack, .dflt_str = "any", .max = 64),
+    STR(step_spec, name, .flags = FF_REQUIRED, .min = 1, .max = 64),
+    STR(step_spec, rack, .default_str = "any", .max = 64),
     STRS(step_spec, after, n_after, .max = 64),
     INT_NAMED(step_spec, per_executor, "perExecutor", .min = 0, .max = 10000),
     INT_NAMED(step_spec, per_rack, "perRack", .min = 0, .max = 10000),
     BOOL(step_spec, gang),
     INT_NAMED(step_spec, start_at_ms, "startAtMs", .min = 0, .max = INT64_MAX / 4),
-    LIST(step_spec, tasks, n_tasks, task_spec_schema, .flags = FF_MUST, .min = 1, .max = TASKS_MAX)};
+    LIST(step_spec, tasks, n_tasks, task_spec_schema, .flags = FF_REQUIRED, .min = 1, .max = TASKS_MAX)};
 SCHEMA(step_spec_schema, step_spec, step_fields);
 
 static const struct field job_fields[] = {
-    STR(job_spec, key, .flags = FF_MUST, .min = 1, .max = 128),
-    STR(job_spec, service, .flags = FF_MUST, .min = 1, .max = 48),
-    STR(job_spec, queue, .flags = FF_MUST, .min = 1, .max = 48),
-    INT(job_spec, priority, .dflt = -1, .min = -1, .max = INT32_MAX),
+    STR(job_spec, key, .flags = FF_REQUIRED, .min = 1, .max = 128),
+    STR(job_spec, service, .flags = FF_REQUIRED, .min = 1, .max = 48),
+    STR(job_spec, queue, .flags = FF_REQUIRED, .min = 1, .max = 48),
+    INT(job_spec, priority, .default_value = -1, .min = -1, .max = INT32_MAX),
     INT_NAMED(job_spec, start_at_ms, "startAtMs", .min = 0, .max = INT64_MAX / 4),
-    LIST(job_spec, steps, n_steps, step_spec_schema, .flags = FF_MUST, .min = 1, .max = 64)};
+    LIST(job_spec, steps, n_steps, step_spec_schema, .flags = FF_REQUIRED, .min = 1, .max = 64)};
 SCHEMA(job_spec_schema, job_spec, job_fields);
 
 int64_t spec_tasks(const struct job_spec *spec)
--- a/src/shard/track.c
+++ b/src/shard/track.c
@@ -64,7 +64,7 @@
 void track_go(struct node *node, struct shard *shard, struct job *job, int64_t no)
 {
     struct task_ref ref = {.job = job->id, .no = no, .attempt = job->rows[no].attempt};
-    send_refs(node, shard, job->rows[no].executor, FRAME_GO, &ref, 1);
+    send_refs(node, shard, job->rows[no].executor, FRAME_GANG_START, &ref, 1);
 }
 
 void track_stop(struct node *node, struct shard *shard, struct job *job, int64_t no)
@@ -105,9 +105,9 @@
                 continue;
             struct task_ref ref = {.job = job->id, .no = shard->placed[k].no, .attempt = row->attempt};
             row->checked_ms = now_ms;
-            *list_more(refs, n) = ref;
+            *array_add(refs, n) = ref;
             if (row->stopping)
-                *list_more(stops, n_stops) = ref;
+                *array_add(stops, n_stops) = ref;
         }
         send_refs(node, shard, executor, FRAME_STOP, stops, n_stops);
         send_refs(node, shard, executor, FRAME_CHECK, refs, n);
--- a/src/shard/worker.c
+++ b/src/shard/worker.c
@@ -12,7 +12,7 @@
 struct op *worker_buffer(struct node *node, struct shard *shard, int64_t kind, int64_t job, int64_t request,
                          int64_t staging)
 {
-    struct buffered_op *b = list_more(shard->buffer, shard->n_buffer);
+    struct buffered_op *b = array_add(shard->buffer, shard->n_buffer);
     b->request = request;
     b->staging = staging;
     b->since_ms = world_ms(node->w);
--- a/tests/bench/slopes_agent.c
+++ b/tests/bench/slopes_agent.c
@@ -59,7 +59,8 @@
 }
 static int read_answer(struct executor_response *answer, int status, const char *body, int64_t len)
 {
-    return status ? schema_unpack(&executor_response_schema, answer, (const uint8_t *)body, len) : ERROR_GAVE_UP;
+    return status ? schema_unpack(&executor_response_schema, answer, (const uint8_t *)body, len)
+                  : ERROR_OUTCOME_UNKNOWN;
 }
 static const struct executor_codec executor = {.start = start, .stop = stop, .poll = poll, .read = read_answer};
 
--- a/tests/bench/slopes_leader.c
+++ b/tests/bench/slopes_leader.c
@@ -36,7 +36,7 @@
 static void propose(void *arg, const struct bytes *batch, int64_t tag)
 {
     struct bench_leader *b = arg;
-    struct proposal *p = list_more(b->proposals, b->n_proposals);
+    struct proposal *p = array_add(b->proposals, b->n_proposals);
     bytes_copy(&p->packed, batch);
     p->tag = tag;
 }
@@ -59,7 +59,7 @@
     b->order_bytes += out.len;
     bytes_free(&out);
     for (int64_t i = 0; i < o->n_starts; i++)
-        *list_more(h->active, h->n_active) =
+        *array_add(h->active, h->n_active) =
             (struct run_active){.job = o->starts[i].job, .task = o->starts[i].task, .attempt = o->starts[i].attempt};
     b->started += o->n_starts;
     if (h->n_ended && h->ended[h->n_ended - 1].seq <= o->seen)
@@ -209,7 +209,7 @@
     told("leader: taking over", b->size, (double)(cpu_ns() - from_ns) / 1e6, "ms");
     for (int64_t i = 0; i < executors; i++)
         for (int64_t k = 0; k < running; k++)
-            *list_more(b->hollows[i].active, b->hollows[i].n_active) =
+            *array_add(b->hollows[i].active, b->hollows[i].n_active) =
                 (struct run_active){.job = FIRST_JOB + (i * running + k) / TASKS,
                                     .task = task_of(0, 0, (i * running + k) % TASKS),
                                     .attempt = 1};
@@ -297,7 +297,7 @@
     for (int64_t i = 0; i < n; i++) {
         struct hollow *h = &b->hollows[i];
         struct run_active last = h->active[--h->n_active];
-        *list_more(h->ended, h->n_ended) = (struct run_ended){
+        *array_add(h->ended, h->n_ended) = (struct run_ended){
             .seq = ++h->seq, .job = last.job, .task = last.task, .attempt = last.attempt, .how = END_DONE};
     }
     b->w.now_ms += 300;
--- a/tests/bench/slopes_log.c
+++ b/tests/bench/slopes_log.c
@@ -27,7 +27,7 @@
     struct group *g = arg;
     g->sent_bytes[from->self - 1] += frame->bytes.len;
     g->sent_frames[from->self - 1]++;
-    *list_more(g->mail, g->n_mail) = (struct mail){.to = to, .frame = blob_hold(frame)};
+    *array_add(g->mail, g->n_mail) = (struct mail){.to = to, .frame = blob_hold(frame)};
 }
 
 static void apply(void *arg, int64_t index, const struct bytes *op, struct bytes *result)
@@ -62,7 +62,7 @@
         struct mail mail = g->mail[at];
         struct frame frame;
         int64_t i = (int64_t)mail.to - 1, from_ns = cpu_ns();
-        if (frame_parse(&frame, mail.frame->bytes.at, mail.frame->bytes.len, 7) || log_take(&g->logs[i], &frame))
+        if (frame_parse(&frame, mail.frame->bytes.at, mail.frame->bytes.len, 7) || log_on_frame(&g->logs[i], &frame))
             abort();
         g->ns[i] += cpu_ns() - from_ns;
         blob_drop(mail.frame);
@@ -147,8 +147,8 @@
     struct log_members members = {0};
     g->n = n;
     for (int64_t i = 0; i < n; i++)
-        *list_more(members.members, members.n) =
-            (struct log_member){.id = i + 1, .addr = i + 1, .voter = VOTES, .zone = must_dup("zone")};
+        *array_add(members.members, members.n) =
+            (struct log_member){.id = i + 1, .addr = i + 1, .voter = LOG_VOTER, .zone = must_dup("zone")};
     for (int64_t i = 0; i < n; i++) {
         bench_world_start(&g->worlds[i], (uint64_t)i + 1);
         g->worlds[i].sent = on_sent;
--- a/tests/bench/slopes_record.c
+++ b/tests/bench/slopes_record.c
@@ -29,13 +29,13 @@
     change->base = version - 1;
     config->version = version;
     for (int64_t i = 0; i < BENCH_SERVICES; i++) {
-        struct service_config *s = list_more(config->services, config->n_services);
+        struct service_config *s = array_add(config->services, config->n_services);
         s->name = must_printf("service-%lld", (long long)i);
         s->health_path = must_dup("/health");
         s->checks_capacity = 1;
     }
     for (int64_t i = 0; i < queues; i++) {
-        queue_names(list_more(config->queues, config->n_queues), i);
+        queue_names(array_add(config->queues, config->n_queues), i);
         bytes_printf(&config->raw,
                      "{\"queue\":\"team-%lld\",\"host\":\"jobs-%lld.example\",\"prefix\":\"/jobs\","
                      "\"service\":\"service-%lld\",\"priority\":1,\"attempts\":4,\"stretch\":3.0,\"targetMs\":2000},",
--- a/tests/bench/slopes_world.c
+++ b/tests/bench/slopes_world.c
@@ -59,7 +59,7 @@
 {
     struct bench_file *file = file_of(w, name);
     if (!file)
-        return ERROR_NO_SUCH;
+        return ERROR_NOT_FOUND;
     bytes_add(to, file->data.at, file->data.len);
     return ERROR_NONE;
 }
@@ -67,7 +67,7 @@
 {
     struct bench_file *file = file_of(w, name);
     if (!file) {
-        file = list_more(of(w)->files, of(w)->n_files);
+        file = array_add(of(w)->files, of(w)->n_files);
         snprintf(file->name, sizeof file->name, "%s", name);
     }
     bytes_add(&file->data, at, len);
--- a/tests/model/bootstrap_monitors.cc
+++ b/tests/model/bootstrap_monitors.cc
@@ -39,18 +39,18 @@
         struct log_members list;
         struct leaving leaving;
     } m = {};
-    const struct schema *schema = frame->kind == FRAME_COLLECT        ? &bootstrap_announcement_schema
-                                  : frame->kind == FRAME_BALLOT       ? &ballot_schema
-                                  : frame->kind == FRAME_BALLOT_REPLY ? &ballot_reply_schema
-                                  : frame->kind == FRAME_FOUNDERS     ? &log_members_schema
-                                  : frame->kind == FRAME_LEAVING      ? &leaving_schema
-                                                                      : nullptr;
+    const struct schema *schema = frame->kind == FRAME_COLLECT             ? &bootstrap_announcement_schema
+                                  : frame->kind == FRAME_BALLOT            ? &ballot_schema
+                                  : frame->kind == FRAME_BALLOT_REPLY      ? &ballot_reply_schema
+                                  : frame->kind == FRAME_BOOTSTRAP_MEMBERS ? &log_members_schema
+                                  : frame->kind == FRAME_LEAVING           ? &leaving_schema
+                                                                           : nullptr;
     if (!schema || schema_unpack(schema, &m, frame->body, frame->len))
         return;
     const Node::Lasting lasting = n.has_disk() ? n.after_power_loss() : Node::Lasting();
     if (frame->kind == FRAME_LEAVING && m.leaving.may_end)
         check_may_end(n, m.leaving.id);
-    if (frame->kind == FRAME_FOUNDERS)
+    if (frame->kind == FRAME_BOOTSTRAP_MEMBERS)
         check_list_told(n, m.list);
     if (frame->kind == FRAME_COLLECT && m.bootstrap_announcement.members.n &&
         lasting.bootstrap_list != list_hash(m.bootstrap_announcement.members))
--- a/tests/model/choices.cc
+++ b/tests/model/choices.cc
@@ -42,7 +42,7 @@
         const struct log_member *m = log_member(log, other->id);
         if (!m && other->up)
             to.push_back({'M', n.at, 0, other->at});
-        if (!m || m->voter != VOTES_NOT || other->at == n.at)
+        if (!m || m->voter != LOG_LEARNER || other->at == n.at)
             continue;
         const struct log_peer *peer = log_peer(const_cast<struct log *>(log), other->id);
         if (!peer || peer->match < log->commit || !peer->match)
@@ -50,7 +50,7 @@
         to.push_back({'M', n.at, 1, other->at});
         for (int64_t i = 0; i < log->members.n; i++) {
             const struct log_member *gone = &log->members.members[i];
-            if (log_votes(gone) && gone->id != log->id)
+            if (log_votes_after_change(gone) && gone->id != log->id)
                 to.push_back({'M', n.at, retired(gone->id) ? 3 : 2, other->at + 16 * (int)i});
         }
     }
--- a/tests/model/controller_node.cc
+++ b/tests/model/controller_node.cc
@@ -50,7 +50,7 @@
         controller.id = id;
         rc = load();
         if (!rc && !controller_empty(&controller))
-            log.votes_from_ms = world_ms(&world) + ELECTION;
+            log.no_vote_before_ms = world_ms(&world) + ELECTION;
     }
     return rc ? rc : bootstrap_load(&controller);
 }
@@ -124,7 +124,7 @@
 {
     if (!votes())
         return;
-    if (log.role == LOG_LEADER && log_leads(&log))
+    if (log.role == LOG_LEADER && log_has_lease(&log))
         directory_learn_leader(&controller.directory, log.term, (int64_t)world.self);
     else if (controller.directory.leader == (int64_t)world.self)
         directory_suspect_leader(&controller.directory);
@@ -137,9 +137,9 @@
 int Node::take(const struct frame *frame)
 {
     if (!fleet)
-        return log_take(&log, frame);
-    if (frame_of_log(frame->kind)) {
-        int rc = votes() ? log_take(&log, frame) : ERROR_NONE;
+        return log_on_frame(&log, frame);
+    if (frame_is_for_log(frame->kind)) {
+        int rc = votes() ? log_on_frame(&log, frame) : ERROR_NONE;
         learn_leader();
         return rc;
     }
@@ -196,7 +196,7 @@
 {
     int64_t now = world_ms(&world);
     if (log.role == LOG_LEADER && log.handed_over_ms && now - log.handed_over_ms > HAND_OVER)
-        log_follow(&log, log.term, 0);
+        log_become_follower(&log, log.term, 0);
     if (!controller.leaving)
         return;
     if (log.role == LOG_LEADER && !log.handed_over_ms && now >= controller.next_hand_over_ms &&
--- a/tests/model/member_monitors.cc
+++ b/tests/model/member_monitors.cc
@@ -12,7 +12,7 @@
 
 constexpr int64_t NO_MEMBER = -1;
 
-static bool votes_now(int64_t right) { return right == VOTES || right == VOTES_NEWLY; }
+static bool votes_now(int64_t right) { return right == LOG_VOTER || right == LOG_INCOMING_VOTER; }
 
 /* Notes what the leader had committed as each of its last two rounds of heartbeats began. */
 void Site::note_round(Node &n)
@@ -58,7 +58,7 @@
 /* From one right to another: is a vote lost, or a learner removed? That the former voter of an exchange goes is not. */
 static bool lowered(int64_t from, int64_t to)
 {
-    return (votes_now(from) && !votes_now(to)) || (from == VOTES_NOT && to == NO_MEMBER);
+    return (votes_now(from) && !votes_now(to)) || (from == LOG_LEARNER && to == NO_MEMBER);
 }
 
 static int64_t right_of(const std::vector<std::pair<int64_t, int64_t>> &rights, int64_t id)
--- a/tests/model/monitors.cc
+++ b/tests/model/monitors.cc
@@ -17,7 +17,7 @@
     struct frame f;
     auto slot = (int)((to - ADDR) / ADDR_STEP);
     if (!frame_parse(&f, frame->bytes.at, frame->bytes.len, CLUSTER))
-        frame_of_log(f.kind) ? check_said(n, &f) : check_controller_said(n, &f);
+        frame_is_for_log(f.kind) ? check_said(n, &f) : check_controller_said(n, &f);
     if (n.fleet && f.kind == FRAME_APPEND)
         note_round(n);
     if (((sides_ >> n.at ^ sides_ >> slot) & 1) || slot == n.at)
@@ -27,7 +27,7 @@
     auto *at = reinterpret_cast<const char *>(frame->bytes.at);
     auto len = (size_t)frame->bytes.len;
     bool at_once = n.fleet && ((n.fleet->focus != EACH_FRAME && f.kind == FRAME_COLLECT) ||
-                               (n.fleet->focus == BALLOTS && frame_of_log(f.kind)));
+                               (n.fleet->focus == BALLOTS && frame_is_for_log(f.kind)));
     messages_.push_back(
         {n.at, slot, false, at_once, std::make_shared<const std::string>(at, len), hash_bytes(at, len, 0)});
 }
@@ -131,13 +131,13 @@
     for (int64_t i = 0; i < log->members.n; i++) {
         const struct log_member *m = &log->members.members[i];
         int slot = slot_of(m->id);
-        if (m->voter == VOTES_NOT)
+        if (m->voter == LOG_LEARNER)
             continue;
         bool has = true; /* of an identity whose disk is gone: it did have it when it said so */
         if (slot >= 0)
             has = own(slot).after_power_loss().holds(index, term);
-        voters += m->voter != VOTED, have += m->voter != VOTED && has;
-        former += m->voter != VOTES_NEWLY, former_have += m->voter != VOTES_NEWLY && has;
+        voters += m->voter != LOG_OUTGOING_VOTER, have += m->voter != LOG_OUTGOING_VOTER && has;
+        former += m->voter != LOG_INCOMING_VOTER, former_have += m->voter != LOG_INCOMING_VOTER && has;
     }
     if (have * 2 <= voters || (changing && former_have * 2 <= former))
         say("entry %lld is committed on %d of %d disks (%d of %d former)", (long long)index, have, voters, former_have,
@@ -221,7 +221,7 @@
     if (strchr(study_->menu, 'X'))
         return;
     for (auto &n : nodes_) {
-        if (!n->votes() || !log_leads(&n->log))
+        if (!n->votes() || !log_has_lease(&n->log))
             continue;
         for (auto &other : nodes_)
             if (other->votes() && other->log.role == LOG_LEADER && other->log.term > n->log.term)
--- a/tests/model/site.cc
+++ b/tests/model/site.cc
@@ -45,7 +45,7 @@
     std::vector<struct log_member> voters;
     char zone[] = "z";
     for (int i = 0; i < study_->voters; i++)
-        voters.push_back({node(i).id, (int64_t)node(i).world.self, VOTES, zone});
+        voters.push_back({node(i).id, (int64_t)node(i).world.self, LOG_VOTER, zone});
     struct log_members members = {voters.data(), study_->voters};
     for (auto &n : nodes_) {
         n->load();
@@ -128,7 +128,7 @@
     if (rc)
         say("node %d cannot read its own disk after it ended", n.at);
     else if (n.log.members.n || log_last(&n.log) || n.log.term) /* as controller.c does */
-        n.log.votes_from_ms = clock(n) + ELECTION;
+        n.log.no_vote_before_ms = clock(n) + ELECTION;
 }
 
 static void acknowledged(void *arg, int64_t op, int error, const struct bytes *)
@@ -148,12 +148,12 @@
     int64_t at = choice.b == 5 ? choice.c : choice.c / 16;
     int64_t gone = at < n.log.members.n ? n.log.members.members[at].id : 0;
     switch (choice.b) {
-    case 0: log_change(&n.log, other.id, addr, "z", VOTES_NOT, 0); break;
-    case 1: log_change(&n.log, other.id, addr, "z", VOTES, 0); break;
+    case 0: log_change_member(&n.log, other.id, addr, "z", LOG_LEARNER, 0); break;
+    case 1: log_change_member(&n.log, other.id, addr, "z", LOG_VOTER, 0); break;
     case 2: log_exchange(&n.log, gone, other.id); break;
     case 3: log_replace(&n.log, gone, other.id); break;
-    case 4: log_settle(&n.log); break;
-    default: log_change(&n.log, gone, 0, NULL, 0, 1);
+    case 4: log_finish_exchange(&n.log); break;
+    default: log_change_member(&n.log, gone, 0, NULL, 0, 1);
     }
 }
 
@@ -232,7 +232,8 @@
     if (study_->fleet.focus != MEMBERSHIP || directory_leader(&n.controller.directory))
         return;
     for (auto &other : nodes_)
-        if (other->votes() && !other->frozen && !((sides_ >> n.at ^ sides_ >> other->at) & 1) && log_leads(&other->log))
+        if (other->votes() && !other->frozen && !((sides_ >> n.at ^ sides_ >> other->at) & 1) &&
+            log_has_lease(&other->log))
             directory_learn_leader(&n.controller.directory, other->log.term, (int64_t)other->world.self);
 }
 
--- a/tests/model/world.cc
+++ b/tests/model/world.cc
@@ -41,7 +41,7 @@
 {
     File *f = file(node_of(w), name);
     if (!f)
-        return ERROR_NO_SUCH;
+        return ERROR_NOT_FOUND;
     bytes_add(to, f->data.data(), (int64_t)f->data.size());
     return 0;
 }
@@ -65,7 +65,7 @@
 {
     File *f = file(node_of(w), name);
     if (!f)
-        return ERROR_NO_SUCH;
+        return ERROR_NOT_FOUND;
     f->data.resize((size_t)len);
     f->synced = std::min(f->synced, f->data.size());
     f->hash = hash_bytes(f->data.data(), f->data.size(), 0);
@@ -84,7 +84,7 @@
         return 0;
     }
     if (!f)
-        return ERROR_NO_SUCH;
+        return ERROR_NOT_FOUND;
     f->synced = f->data.size();
     n.lasting.known = false;
     n.dying = n.armed >= 4;
@@ -108,7 +108,7 @@
         return 0;
     auto at = n.disk.now.find(from);
     if (at == n.disk.now.end())
-        return ERROR_NO_SUCH;
+        return ERROR_NOT_FOUND;
     n.disk.now[to] = at->second;
     n.disk.now.erase(from);
     return 0;
@@ -332,7 +332,7 @@
                                 (uint64_t)log.from_addr,
                                 left(log.election_due_ms),
                                 age(log.heard_leader_ms),
-                                left(log.votes_from_ms),
+                                left(log.no_vote_before_ms),
                                 (uint64_t)log.discounted_id,
                                 log.handed_over_ms != 0,
                                 log.role == LOG_LEADER ? age(log.leader_since_ms) : 0,
--- a/tests/platform/api_test.cc
+++ b/tests/platform/api_test.cc
@@ -166,13 +166,13 @@
     EXPECT_STREQ(count.request.path, "/p/q/");
     Read ready({ENTRY_READINESS, "GET", "/sagehitch/readiness", "", {}});
     EXPECT_EQ(ready.request.kind, REQUEST_READY);
-    refused({ENTRY_READINESS, "GET", "/", "", {}}, ERROR_NO_SUCH, "path");
+    refused({ENTRY_READINESS, "GET", "/", "", {}}, ERROR_NOT_FOUND, "path");
     refused({ENTRY_READINESS, "POST", "/sagehitch/readiness", "", {}}, ERROR_BAD_METHOD, "method");
     Read why({ENTRY_OPERATORS, "GET", "/why/00000000000000ff", "", {}});
     EXPECT_EQ(why.request.kind, REQUEST_WHY);
     EXPECT_EQ(api_request_job_id(&why.request), 255);
     refused({ENTRY_OPERATORS, "GET", "/why/ff", "", {}}, ERROR_GONE, "path");
-    refused({ENTRY_OPERATORS, "GET", "/other", "", {}}, ERROR_NO_SUCH, "path");
+    refused({ENTRY_OPERATORS, "GET", "/other", "", {}}, ERROR_NOT_FOUND, "path");
     refused({ENTRY_OPERATORS, "POST", "/sagehitch/configuration", "", {}}, ERROR_BAD_METHOD, "method");
     EXPECT_EQ(Read({ENTRY_OPERATORS, "GET", "/sagehitch/configuration", "", {}}).request.kind, REQUEST_CONFIG_GET);
 }
@@ -310,8 +310,8 @@
     refused(beat_request(with(body, "\"r4-2\"", "4")), ERROR_BAD_FIELD, "labels");
     refused(beat_request(with(body, "8000", "-1")), ERROR_BAD_FIELD, "freeCapacity.vcpus");
     refused(beat_request(with(body, "\"callSequence\":12", "\"callSequence\":[]")), ERROR_BAD_FIELD, "callSequence");
-    refused({ENTRY_OPERATORS, "PUT", "/sagehitch/executors/", body, {}}, ERROR_NO_SUCH, "path");
-    refused({ENTRY_OPERATORS, "PUT", "/sagehitch/executors/a/b", body, {}}, ERROR_NO_SUCH, "path");
+    refused({ENTRY_OPERATORS, "PUT", "/sagehitch/executors/", body, {}}, ERROR_NOT_FOUND, "path");
+    refused({ENTRY_OPERATORS, "PUT", "/sagehitch/executors/a/b", body, {}}, ERROR_NOT_FOUND, "path");
     refused({ENTRY_OPERATORS, "PUT", "/sagehitch/executors/a\r\nb", body, {}}, ERROR_BAD_FIELD, "path");
     refused({ENTRY_OPERATORS, "GET", "/sagehitch/executors/a", body, {}}, ERROR_BAD_METHOD, "method");
 }
@@ -332,14 +332,14 @@
         EXPECT_EQ(Answer(api_response_done(kind)).status, 200);
         EXPECT_EQ(Answer(api_response_done(kind)).body, "{}");
     }
-    EXPECT_EQ(Answer(api_response_error(REQUEST_READY, ERROR_NO_SUCH, 0, nullptr)).status, 503);
+    EXPECT_EQ(Answer(api_response_error(REQUEST_READY, ERROR_NOT_FOUND, 0, nullptr)).status, 503);
 }
 
 TEST(Door, AnswersToProblems)
 {
     const std::map<int, int> statuses = {
-        {ERROR_NO_SUCH, 404},    {ERROR_GONE, 410},       {ERROR_STALE, 412},     {ERROR_UNAVAILABLE, 503},
-        {ERROR_NOT_LEADER, 503}, {ERROR_NO_OWNER, 503},   {ERROR_OVERLOAD, 429},  {ERROR_GAVE_UP, 504},
+        {ERROR_NOT_FOUND, 404},  {ERROR_GONE, 410},       {ERROR_STALE, 412},     {ERROR_UNAVAILABLE, 503},
+        {ERROR_NOT_LEADER, 503}, {ERROR_NO_OWNER, 503},   {ERROR_OVERLOAD, 429},  {ERROR_OUTCOME_UNKNOWN, 504},
         {ERROR_BAD_JSON, 400},   {ERROR_BAD_FIELD, 400},  {ERROR_BAD_STEPS, 400}, {ERROR_TOO_LARGE, 413},
         {ERROR_KEY_TAKEN, 409},  {ERROR_BAD_METHOD, 405}, {ERROR_BOUND, 400},     {ERROR_NEVER_FITS, 422}};
     const char *detail = "stages: \"none\"";
--- a/tests/platform/rules_api_test.cc
+++ b/tests/platform/rules_api_test.cc
@@ -101,13 +101,13 @@
     refused(put("/rules/outlets/a", R"({"version":7,"rules":{"priority":-1}})"), ERROR_BAD_FIELD, "rules.priority");
     refused(put("/rules/outlets/a", R"({"version":7,"rules":{"priority":2000}})"), ERROR_BAD_FIELD, "rules.priority");
     refused(put("/rules/outlets/a", R"({"version":7,"rules":{},"queues":[1]})"), ERROR_BAD_FIELD, "queues");
-    refused(put("/rules/outlets/a/b", R"({"version":7,"rules":{}})"), ERROR_NO_SUCH, "path");
-    refused(get("/rules/outlets/"), ERROR_NO_SUCH, "path");
-    refused(get("/rules/other"), ERROR_NO_SUCH, "path");
+    refused(put("/rules/outlets/a/b", R"({"version":7,"rules":{}})"), ERROR_NOT_FOUND, "path");
+    refused(get("/rules/outlets/"), ERROR_NOT_FOUND, "path");
+    refused(get("/rules/other"), ERROR_NOT_FOUND, "path");
     refused(get("/rules/jobs/12"), ERROR_GONE, "path");
     refused(put("/rules/jobs/00000000000000ff", "{}"), ERROR_BAD_METHOD, "method");
     refused({ENTRY_OPERATORS, "DELETE", "/rules", "", {}}, ERROR_BAD_METHOD, "method");
-    refused(get("/rulesets"), ERROR_NO_SUCH, "path");
+    refused(get("/rulesets"), ERROR_NOT_FOUND, "path");
 }
 
 TEST(RulesDoor, OnlyOperatorsHaveIt)
@@ -118,8 +118,8 @@
 
 TEST(RulesDoor, Problems)
 {
-    const std::pair<int, int> all[] = {{ERROR_STALE, 412},   {ERROR_BOUND, 422},       {ERROR_KEY_TAKEN, 409},
-                                       {ERROR_GAVE_UP, 504}, {ERROR_UNAVAILABLE, 503}, {ERROR_NO_SUCH, 404}};
+    const std::pair<int, int> all[] = {{ERROR_STALE, 412},           {ERROR_BOUND, 422},       {ERROR_KEY_TAKEN, 409},
+                                       {ERROR_OUTCOME_UNKNOWN, 504}, {ERROR_UNAVAILABLE, 503}, {ERROR_NOT_FOUND, 404}};
     for (auto [error, want] : all) {
         api_response answer = api_response_error(REQUEST_RULES_PUT, error, 0, nullptr);
         int status = 0;
--- a/tests/proc/memory_disk.h
+++ b/tests/proc/memory_disk.h
@@ -33,7 +33,7 @@
         calls->disk_read = [](struct world *w, const char *name, struct bytes *to) -> int {
             auto at = of()(w).files.find(name);
             if (at == of()(w).files.end())
-                return ERROR_NO_SUCH;
+                return ERROR_NOT_FOUND;
             bytes_add(to, at->second.data(), (int64_t)at->second.size());
             return ERROR_NONE;
         };
--- a/tests/proc/relay_client.h
+++ b/tests/proc/relay_client.h
@@ -61,9 +61,9 @@
 // The kind stands in each answer, and the error's name where there is one.
 inline void write_answer(const struct api_response *answer, int *status, char **body)
 {
-    *status = answer->error == ERROR_GAVE_UP ? 504
-              : answer->error == ERROR_STALE ? 412
-                                             : error_response((int)answer->error)->status;
+    *status = answer->error == ERROR_OUTCOME_UNKNOWN ? 504
+              : answer->error == ERROR_STALE         ? 412
+                                                     : error_response((int)answer->error)->status;
     std::string raw = answer->error ? "" : text_of(answer);
     std::string text =
         "kind " + std::to_string(answer->kind) + " " + (answer->error ? error_response((int)answer->error)->name : raw);
--- a/tests/sim/catch_up_test.cc
+++ b/tests/sim/catch_up_test.cc
@@ -67,7 +67,7 @@
         int64_t from_us = c.now_us, target = log_of(leader()) ? log_of(leader())->commit : INT64_MAX;
         for (int64_t ms = 0; ms < most_ms; ms += 20) {
             struct log *log = log_of(h);
-            if (log && !log->broken && log->applied >= target && log_voter(log, log->id))
+            if (log && !log->broken && log->applied >= target && log_is_voter(log, log->id))
                 return (c.now_us - from_us) / 1000;
             if (ms % 100 == 0)
                 operator_change(&c, 0, 0);
@@ -88,8 +88,8 @@
         for (int64_t i = 0; log->role == LOG_LEADER && i < log->n_peers; i++) {
             const struct log_peer *p = &log->peers[i];
             all += "  peer next " + std::to_string(p->next) + " match " + std::to_string(p->match) + " base " +
-                   std::to_string(p->base) + " copying " + std::to_string(p->copying) + " offset " +
-                   std::to_string(p->offset) + " chunks " + std::to_string(p->chunks) + "\n";
+                   std::to_string(p->in_flight_base) + " copying " + std::to_string(p->snapshot_sent_index) +
+                   " offset " + std::to_string(p->offset) + " chunks " + std::to_string(p->chunks) + "\n";
         }
         return all;
     }
@@ -194,7 +194,7 @@
             const struct log_member *member = lead && log ? log_member(lead, log->id) : nullptr;
             if (member && !learnt_ms)
                 learnt_ms = ms;
-            if (member && log_votes(member)) {
+            if (member && log_votes_after_change(member)) {
                 voted_ms = ms;
                 EXPECT_GE(log_last(log), target) << "votes before it holds what was committed\n" << s.told(h);
             }
@@ -226,7 +226,7 @@
         std::string text(4 << 20, 'x');
         bytes_add(&body, text.data(), (int64_t)text.size());
         slow->link_kbit_s = 2000;
-        log_propose(log, ENTRY_BLANK, &body, nullptr, nullptr, 0);
+        log_propose(log, ENTRY_NOOP, &body, nullptr, nullptr, 0);
         int64_t index = log_last(log);
         bytes_free(&body);
         for (int64_t ms = 0; ms < 30000; ms += 20) {
--- a/tests/sim/cluster_leaver_loss_test.cc
+++ b/tests/sim/cluster_leaver_loss_test.cc
@@ -85,7 +85,7 @@
         struct log *l = s.log();
         for (int64_t i = 0; l && i < l->members.n; i++) {
             const struct log_member &m = l->members.members[i];
-            if (log_votes(&m) && m.id != leaver_id && !s.host_of(m))
+            if (log_votes_after_change(&m) && m.id != leaver_id && !s.host_of(m))
                 return true;
         }
         return !l;
--- a/tests/sim/cluster_leaving_test.cc
+++ b/tests/sim/cluster_leaving_test.cc
@@ -53,7 +53,7 @@
         std::string text((size_t)write_bytes, 'x');
         struct bytes body = {};
         bytes_add(&body, text.data(), (int64_t)text.size());
-        log_propose(log(), ENTRY_BLANK, &body, nullptr, nullptr, 0);
+        log_propose(log(), ENTRY_NOOP, &body, nullptr, nullptr, 0);
         bytes_free(&body);
     }
     // one ms of the run, with the writes that are due
--- a/tests/sim/cluster_losses.cc
+++ b/tests/sim/cluster_losses.cc
@@ -87,7 +87,7 @@
     int64_t n = 0;
     struct log *l = log();
     for (int64_t i = 0; l && i < l->members.n; i++)
-        n += log_votes(&l->members.members[i]);
+        n += log_votes_after_change(&l->members.members[i]);
     return n;
 }
 
@@ -103,7 +103,7 @@
 {
     for (;;) {
         host *h = cluster_any_controller(&c);
-        if (has_log(h) && log_voter(&h->controller->log, h->controller->id) && !is_away(h))
+        if (has_log(h) && log_is_voter(&h->controller->log, h->controller->id) && !is_away(h))
             return h;
     }
 }
@@ -114,7 +114,7 @@
     std::vector<host *> learners;
     for (int64_t i = 0; l && i < l->members.n; i++) {
         const struct log_member &m = l->members.members[i];
-        if ((m.voter == VOTES_NOT || m.voter == VOTES_NEWLY) && host_of(m))
+        if ((m.voter == LOG_LEARNER || m.voter == LOG_INCOMING_VOTER) && host_of(m))
             learners.push_back(host_of(m));
     }
     return learners.empty() ? nullptr : learners[(size_t)cluster_pick(&c, (int64_t)learners.size())];
@@ -248,7 +248,7 @@
     bool committed = l->members_index <= l->commit;
     if (!former)
         return committed ? REMOVED : COMMITTED;
-    if (former->voter == VOTED)
+    if (former->voter == LOG_OUTGOING_VOTER)
         return committed ? COMMITTED : PROPOSED;
     Step at = LOST;
     for (int64_t i = 0; i < l->members.n; i++) {
--- a/tests/sim/cluster_losses_quorum.cc
+++ b/tests/sim/cluster_losses_quorum.cc
@@ -17,7 +17,7 @@
 bool counted_as_voter(const struct log *log, const struct log_member &member)
 {
     bool changing = log->members_index > log->commit;
-    return log_votes(&member) || (changing && member.voter == VOTED);
+    return log_votes_after_change(&member) || (changing && member.voter == LOG_OUTGOING_VOTER);
 }
 
 // Not older than the other's: whoever has it gets the other's vote.
@@ -70,10 +70,12 @@
             if (not_older(l, &h->controller->log))
                 granting.push_back(h->controller->id);
         bool changing = l->members_index > l->commit;
-        bool by_new = has_majority(l->members, granting, [](const struct log_member &m) { return log_votes(&m); });
-        bool by_former = has_majority(l->members, granting,
-                                      [](const struct log_member &m) { return m.voter == VOTES || m.voter == VOTED; });
-        if (log_voter(l, candidate->controller->id) && by_new && (!changing || by_former))
+        bool by_new =
+            has_majority(l->members, granting, [](const struct log_member &m) { return log_votes_after_change(&m); });
+        bool by_former = has_majority(l->members, granting, [](const struct log_member &m) {
+            return m.voter == LOG_VOTER || m.voter == LOG_OUTGOING_VOTER;
+        });
+        if (log_is_voter(l, candidate->controller->id) && by_new && (!changing || by_former))
             return true;
     }
     return false;
@@ -108,7 +110,7 @@
         return false;
     for (int64_t i = 0; i < l->members.n; i++) {
         const struct log_member &m = l->members.members[i];
-        if (counted_as_voter(l, m) && (m.voter != VOTES || !host_of(m)))
+        if (counted_as_voter(l, m) && (m.voter != LOG_VOTER || !host_of(m)))
             return false;
     }
     return true;
--- a/tests/sim/cluster_members_test.cc
+++ b/tests/sim/cluster_members_test.cc
@@ -36,7 +36,7 @@
         for (int64_t i = 0; cluster_controller(&c, i); i++) {
             host *h = cluster_controller(&c, i);
             const struct log_member *m = h->controller->votes ? log_member(log(), h->controller->id) : nullptr;
-            if (m && h != cluster_leader(&c) && log_votes(m) == votes)
+            if (m && h != cluster_leader(&c) && log_votes_after_change(m) == votes)
                 return h;
         }
         return nullptr;
@@ -46,7 +46,7 @@
         std::string text(bytes, 'x');
         struct bytes body = {};
         bytes_add(&body, text.data(), (int64_t)text.size());
-        log_propose(log(), ENTRY_BLANK, &body, nullptr, nullptr, 0);
+        log_propose(log(), ENTRY_NOOP, &body, nullptr, nullptr, 0);
         bytes_free(&body);
     }
     int64_t changes() const
--- a/tests/sim/day_test.cc
+++ b/tests/sim/day_test.cc
@@ -35,7 +35,7 @@
             if (leader->core.keeper.logs[g].members.n != 3) // being replaced: still the same one loss
                 return false;
             for (int i = 1; i <= 3; i++)
-                if (!log_voter(&leader->core.keeper.logs[g], keeper(i)->core.keeper.id) ||
+                if (!log_is_voter(&leader->core.keeper.logs[g], keeper(i)->core.keeper.id) ||
                     keeper(i)->core.keeper.logs[g].commit + 20 < leader->core.keeper.logs[g].commit)
                     return false;
         }
--- a/tests/sim/disk_test.cc
+++ b/tests/sim/disk_test.cc
@@ -44,7 +44,7 @@
             EXPECT_EQ(f.voters(g), 3);
             machine *leader = sim_leader(&f.s, g);
             ASSERT_NE(leader, nullptr);
-            EXPECT_FALSE(log_voter(&leader->core.keeper.logs[g], old));
+            EXPECT_FALSE(log_is_voter(&leader->core.keeper.logs[g], old));
         }
         // the new one must now be able to stand in for another
         for (int i = 1; i <= 3; i++)
--- a/tests/sim/disks.h
+++ b/tests/sim/disks.h
@@ -15,13 +15,13 @@
         machine *leader = sim_leader(&s, group);
         int n = 0;
         for (int64_t i = 0; leader && i < leader->core.keeper.logs[group].members.n; i++)
-            n += log_votes(&leader->core.keeper.logs[group].members.members[i]);
+            n += log_votes_after_change(&leader->core.keeper.logs[group].members.members[i]);
         return n;
     }
     bool votes(machine *m, int64_t group)
     {
         machine *leader = sim_leader(&s, group);
-        return leader && m->up && log_voter(&leader->core.keeper.logs[group], m->core.keeper.id);
+        return leader && m->up && log_is_voter(&leader->core.keeper.logs[group], m->core.keeper.id);
     }
     // Whether it votes by a change that is committed: until then the vote is not passed on, and a second loss beside
     // the one being repaired is more than three voters bear, since the first disk may come back
--- a/tests/sim/points_test.cc
+++ b/tests/sim/points_test.cc
@@ -21,11 +21,11 @@
     {"orders", 0},
     {"ended", FRAME_ENDED},
     {"acknowledge", FRAME_ENDED_ACK},
-    {"go", FRAME_GO},
+    {"go", FRAME_GANG_START},
     {"check", FRAME_CHECK},
-    {"send on", FRAME_SEND_ON},
-    {"feed", FRAME_FEED},
-    {"news", FRAME_NEWS},
+    {"send on", FRAME_FORWARD_REQUEST},
+    {"feed", FRAME_CONTROL_UPDATES},
+    {"news", FRAME_CONTROL_UPDATES_NOTICE},
 };
 
 std::string gang(const std::string &key)
@@ -45,14 +45,14 @@
                 caller *load = sim_load(&f.s, 900, 10);
                 f.run(1000);
                 f.s.trap.kind = point.kind;
-                bool rare = point.kind == FRAME_GO || point.kind == FRAME_CHECK;
+                bool rare = point.kind == FRAME_GANG_START || point.kind == FRAME_CHECK;
                 f.s.trap.nth = 1 + sim_pick(&f.s, rare ? 4 : 20);
                 f.s.trap.receiver = receiver;
                 f.s.trap.freeze_ms = freeze_ms;
                 f.s.trap.armed = 1;
                 for (int i = 0; i < 6; i++) // gangs and longer work, so that every kind of frame is sent
                     f.post(gang("g" + std::to_string(i)));
-                for (int64_t i = 0; point.kind == FRAME_NEWS && i < 4; i++) // only a change is news
+                for (int64_t i = 0; point.kind == FRAME_CONTROL_UPDATES_NOTICE && i < 4; i++) // only a change is news
                     f.request(f.any(), "PUT", "/v1/settings/branch?expect=" + std::to_string(i) + "&path=root/x",
                               "{\"weight\":" + std::to_string(5 + i) + "}");
                 f.run(6000);
--- a/tests/sim/repair_test.cc
+++ b/tests/sim/repair_test.cc
@@ -93,7 +93,7 @@
         auto votes = [&] {
             for (int64_t g = 0; g < GROUP_COUNT; g++) {
                 machine *leader = sim_leader(&f.s, g);
-                if (!leader || !log_voter(&leader->core.keeper.logs[g], m->core.keeper.id) ||
+                if (!leader || !log_is_voter(&leader->core.keeper.logs[g], m->core.keeper.id) ||
                     m->core.keeper.logs[g].commit < leader->core.keeper.logs[g].commit - 5)
                     return false;
             }
--- a/tests/sim/runbook_test.cc
+++ b/tests/sim/runbook_test.cc
@@ -139,7 +139,7 @@
     std::vector<std::pair<std::string, std::string>> settings = {{"lost", r.addr("keeper2")},
                                                                  {"fresh", r.addr("keeper4")}};
     sim_kill(r.at("keeper2"), 1);
-    EXPECT_EQ(r.book(shipped("swap-keeper"), settings), ERROR_GAVE_UP); // nobody starts the new one
+    EXPECT_EQ(r.book(shipped("swap-keeper"), settings), ERROR_OUTCOME_UNKNOWN); // nobody starts the new one
     EXPECT_NE(r.why.find("line 12"), std::string::npos) << r.why;
     EXPECT_NE(r.record.find("\"how\":\"failed\""), std::string::npos);
     EXPECT_NE(r.record.find("\"how\":\"done\""), std::string::npos);
--- a/tests/sim/votes_test.cc
+++ b/tests/sim/votes_test.cc
@@ -64,7 +64,7 @@
             auto taken = [&](int64_t g) {
                 machine *m = sim_leader(&f.s, g);
                 struct log *l = m ? &m->core.keeper.logs[g] : nullptr;
-                return l && log_voter(l, f.keeper(4)->core.keeper.id) && l->members_index <= l->commit;
+                return l && log_is_voter(l, f.keeper(4)->core.keeper.id) && l->members_index <= l->commit;
             };
             for (int64_t ms = 0; ms < 15000 && !(taken(0) && taken(1)); ms++)
                 f.run(1);
@@ -118,7 +118,8 @@
         auto passes = [&] {
             bool yes = false;
             for (int64_t k = 0; k < l->members.n; k++)
-                yes |= l->members.members[k].id == fresh->core.keeper.id && l->members.members[k].voter == VOTES_NEWLY;
+                yes |= l->members.members[k].id == fresh->core.keeper.id &&
+                       l->members.members[k].voter == LOG_INCOMING_VOTER;
             return yes;
         };
         for (int64_t ms = 0; ms < 1500 && !passes(); ms++)
--- a/tests/unit/leader_again_test.cc
+++ b/tests/unit/leader_again_test.cc
@@ -49,9 +49,9 @@
 {
     t.add(1, NORMAL, one);
     dropped();
-    EXPECT_EQ(job(1, one), ERROR_GAVE_UP) << "it was taken";
-    EXPECT_EQ(job(1, {Rig::step(2, 100)}), ERROR_NO_SUCH) << "this one was not";
-    EXPECT_EQ(job(2, one), ERROR_NO_SUCH);
+    EXPECT_EQ(job(1, one), ERROR_OUTCOME_UNKNOWN) << "it was taken";
+    EXPECT_EQ(job(1, {Rig::step(2, 100)}), ERROR_NOT_FOUND) << "this one was not";
+    EXPECT_EQ(job(2, one), ERROR_NOT_FOUND);
     EXPECT_EQ(t.r.n_jobs, 1);
     t.run(100);
     configure({{"normal", "/normal/"}});
@@ -79,8 +79,8 @@
     EXPECT_EQ(cancel(1), 0);
     EXPECT_EQ(cancel(1), 0) << "sent again";
     dropped();
-    EXPECT_EQ(cancel(1), ERROR_GAVE_UP) << "it was taken";
-    EXPECT_EQ(cancel(2), ERROR_NO_SUCH) << "this one was not";
+    EXPECT_EQ(cancel(1), ERROR_OUTCOME_UNKNOWN) << "it was taken";
+    EXPECT_EQ(cancel(2), ERROR_NOT_FOUND) << "this one was not";
     EXPECT_NE(record_job(&t.r, 2)->state, JOB_CANCELLED);
 }
 
--- a/tests/unit/leader_rig.h
+++ b/tests/unit/leader_rig.h
@@ -213,7 +213,7 @@
     {
         auto b = std::move(log.front());
         log.pop_front();
-        dispatch_committed(d, b->tag, ERROR_GAVE_UP, nullptr);
+        dispatch_committed(d, b->tag, ERROR_OUTCOME_UNKNOWN, nullptr);
     }
     // One turn after another until nothing new is proposed.
     void settle()
--- a/tests/unit/log_pair.h
+++ b/tests/unit/log_pair.h
@@ -52,7 +52,7 @@
     static int read(struct world *w, const char *name, struct bytes *to)
     {
         if (!of(w)->files.count(name))
-            return ERROR_NO_SUCH;
+            return ERROR_NOT_FOUND;
         const std::string &file = of(w)->files[name];
         bytes_add(to, file.data(), (int64_t)file.size());
         return 0;
@@ -114,7 +114,7 @@
     {
         struct frame f;
         EXPECT_EQ(frame_parse(&f, (const uint8_t *)frame.data(), (int64_t)frame.size(), 9), 0);
-        return log_take(&log, &f);
+        return log_on_frame(&log, &f);
     }
     std::string next()
     {
@@ -124,7 +124,7 @@
     }
 };
 
-inline struct log_member member_of(int64_t id) { return {id, id << 16 | 7000, VOTES, must_dup("z")}; }
+inline struct log_member member_of(int64_t id) { return {id, id << 16 | 7000, LOG_VOTER, must_dup("z")}; }
 
 // A leader whose entries are all in a snapshot of that many bytes, and an empty member.
 struct Pair {
@@ -141,7 +141,7 @@
         std::mt19937 random(7);
         for (size_t i = 0; i < bytes; i++)
             lead.state.push_back((char)random());
-        EXPECT_EQ(log_change(&lead.log, MEMBER, MEMBER << 16 | 7000, "z", VOTES_NOT, 0), 0);
+        EXPECT_EQ(log_change_member(&lead.log, MEMBER, MEMBER << 16 | 7000, "z", LOG_LEARNER, 0), 0);
         log_flush(&lead.log);
         EXPECT_EQ(log_snapshot_save(&lead.log), 0);
         schema_free(&log_members_schema, &members);
--- a/tests/unit/log_removed_test.cc
+++ b/tests/unit/log_removed_test.cc
@@ -30,14 +30,14 @@
         lead.log.term = 2;
         log_lead(&lead.log);
         run(300);
-        EXPECT_EQ(log_change(&lead.log, FRESH, FRESH << 16 | 7000, "z", VOTES_NOT, 0), 0);
+        EXPECT_EQ(log_change_member(&lead.log, FRESH, FRESH << 16 | 7000, "z", LOG_LEARNER, 0), 0);
         run(500);
         away[THIRD] = true;
         run(300);
         away[MEMBER] = one_away;
         EXPECT_EQ((in_place ? log_replace : log_exchange)(&lead.log, THIRD, FRESH), 0);
         run(300);
-        EXPECT_EQ(log_settle(&lead.log), in_place ? ERROR_NO_SUCH : 0);
+        EXPECT_EQ(log_finish_exchange(&lead.log), in_place ? ERROR_NOT_FOUND : 0);
         run(300);
         EXPECT_EQ(!log_member(&member.log, THIRD), !one_away);
         EXPECT_EQ(lead.log.commit, log_last(&lead.log));
@@ -105,7 +105,7 @@
     int64_t term = s.lead.log.term, old_term = s.removed.log.term;
     s.away[THIRD] = false;
     s.run(10000);
-    EXPECT_TRUE(log_voter(&s.removed.log, THIRD)); // as far as it knows
+    EXPECT_TRUE(log_is_voter(&s.removed.log, THIRD)); // as far as it knows
     EXPECT_GT(s.asked, 5);
     EXPECT_EQ(s.real, 0);
     EXPECT_EQ(s.removed.log.term, old_term);
--- a/tests/unit/product_test.cc
+++ b/tests/unit/product_test.cc
@@ -40,10 +40,11 @@
     std::string page = read("docs/settings.md");
     for (int i = 0; i < settings_schema.n; i++) {
         const field *f = &settings_schema.fields[i];
-        std::string dflt = f->kind == F_BOOL ? (f->dflt ? "true" : "false") : std::to_string(f->dflt);
+        std::string default_value =
+            f->kind == F_BOOL ? (f->default_value ? "true" : "false") : std::to_string(f->default_value);
         std::string range =
             f->kind == F_BOOL ? "true, false" : std::to_string(f->min) + " to " + std::to_string(f->max);
-        std::string row = std::string("| ") + f->name + " | " + dflt + " | " + range + " |";
+        std::string row = std::string("| ") + f->name + " | " + default_value + " | " + range + " |";
         EXPECT_NE(page.find(row), std::string::npos) << row;
     }
 }
--- a/tests/unit/record_test.cc
+++ b/tests/unit/record_test.cc
@@ -77,7 +77,7 @@
     EXPECT_TRUE(r.queues[1].removed);
     EXPECT_STREQ(r.queues[1].config.name, "b");
     EXPECT_EQ(r.queues[1].live, 1);
-    EXPECT_EQ(add(2, two, "b"), ERROR_NO_SUCH);
+    EXPECT_EQ(add(2, two, "b"), ERROR_NOT_FOUND);
     EXPECT_EQ(add(1, two, "b"), 0); // sent again, its queue gone since
     EXPECT_EQ(config(5, 6, {{"b", 1}}, "six"), 0);
     EXPECT_FALSE(r.queues[1].removed);
@@ -142,15 +142,15 @@
     auto change = [&](int64_t n) {
         return config(version(n - 1), version(n), {{"a", n}}, "body " + std::to_string(n));
     };
-    for (int64_t n = 1; n < CHANGES_REMEMBERED; n++)
+    for (int64_t n = 1; n < CHANGES_KEPT; n++)
         ASSERT_EQ(change(n), 0);
     EXPECT_EQ(config(0, 3, {{"a", 2}, {"b", 0}}, "three"), 0) << "none is dropped yet";
     EXPECT_EQ(config(0, 2, {{"a", 2}}, "two"), ERROR_STALE);
-    ASSERT_EQ(change(CHANGES_REMEMBERED), 0);
-    ASSERT_EQ(change(CHANGES_REMEMBERED + 1), 0);
-    EXPECT_EQ(config(0, 3, {{"a", 2}, {"b", 0}}, "three"), ERROR_GAVE_UP);
-    EXPECT_EQ(config(0, 2, {{"a", 2}}, "two"), ERROR_GAVE_UP);
-    EXPECT_EQ(change(1), ERROR_GAVE_UP);
+    ASSERT_EQ(change(CHANGES_KEPT), 0);
+    ASSERT_EQ(change(CHANGES_KEPT + 1), 0);
+    EXPECT_EQ(config(0, 3, {{"a", 2}, {"b", 0}}, "three"), ERROR_OUTCOME_UNKNOWN);
+    EXPECT_EQ(config(0, 2, {{"a", 2}}, "two"), ERROR_OUTCOME_UNKNOWN);
+    EXPECT_EQ(change(1), ERROR_OUTCOME_UNKNOWN);
     EXPECT_EQ(change(2), 0) << "the oldest remembered";
     EXPECT_EQ(config(version(1), version(2), {{"a", 2}}, "other"), ERROR_STALE);
     EXPECT_EQ(config(version(2), version(2) + 1, {{"a", 2}}, "other"), ERROR_STALE);
@@ -164,9 +164,9 @@
     bytes_free(&from);
     EXPECT_EQ(snapshot_of(&other), packed);
     std::swap(r, other);
-    EXPECT_EQ(change(1), ERROR_GAVE_UP);
+    EXPECT_EQ(change(1), ERROR_OUTCOME_UNKNOWN);
     EXPECT_EQ(change(2), 0);
-    EXPECT_EQ(change(CHANGES_REMEMBERED + 1), 0);
+    EXPECT_EQ(change(CHANGES_KEPT + 1), 0);
     EXPECT_EQ(config(version(2), version(2) + 1, {{"a", 2}}, "other"), ERROR_STALE);
     EXPECT_LT(packed.size(), 16u << 10) << "bytes of a snapshot that holds a full history";
     record_end(&other);
@@ -180,7 +180,7 @@
     EXPECT_EQ(add(-5, two, "a", "other"), ERROR_KEY_TAKEN);
     EXPECT_EQ(add(-5, two, "b"), ERROR_KEY_TAKEN);
     EXPECT_EQ(add(-5, gang), ERROR_KEY_TAKEN);
-    EXPECT_EQ(add(6, two, "x"), ERROR_NO_SUCH);
+    EXPECT_EQ(add(6, two, "x"), ERROR_NOT_FOUND);
     EXPECT_EQ(cancel(-5), 0);
     EXPECT_EQ(job(-5)->rows, nullptr);
     EXPECT_EQ(add(-5, two), 0);
--- a/tests/unit/rules_test.cc
+++ b/tests/unit/rules_test.cc
@@ -154,11 +154,11 @@
     ASSERT_EQ(head(0, 1, {{"priority", 5, 2, 8}}), 0);
     ASSERT_EQ(outlet("north", 0, 1, {{"priority", 3}}), 0);
     ASSERT_EQ(outlet("north", 1, 2, {{"priority", 4}}), 0);
-    for (int64_t n = 1; n <= CHANGES_REMEMBERED - 1; n++)
+    for (int64_t n = 1; n <= CHANGES_KEPT - 1; n++)
         ASSERT_EQ(outlet("south", n - 1, n, {}), 0);
     EXPECT_EQ(head(0, 1, {{"priority", 5, 2, 8}}), 0) << "the newest needs no history";
-    EXPECT_EQ(outlet("north", 0, 1, {{"priority", 3}}), ERROR_GAVE_UP);
-    EXPECT_EQ(outlet("north", 0, 1, {{"priority", 7}}), ERROR_GAVE_UP) << "nobody knows";
+    EXPECT_EQ(outlet("north", 0, 1, {{"priority", 3}}), ERROR_OUTCOME_UNKNOWN);
+    EXPECT_EQ(outlet("north", 0, 1, {{"priority", 7}}), ERROR_OUTCOME_UNKNOWN) << "nobody knows";
     EXPECT_EQ(outlet("north", 1, 2, {{"priority", 4}}), 0);
     EXPECT_EQ(outlet("north", 1, 2, {{"priority", 3}}), ERROR_STALE);
     EXPECT_EQ(outlet("south", 0, 1, {}), 0);
@@ -192,7 +192,7 @@
     ASSERT_EQ(outlet("north", 0, 3, {{"priority", 7}}), 0);
     ASSERT_EQ(add(1, "north"), 0);
     ASSERT_EQ(add(2, ""), 0);
-    EXPECT_EQ(add(3, "west"), ERROR_NO_SUCH);
+    EXPECT_EQ(add(3, "west"), ERROR_NOT_FOUND);
     ASSERT_EQ(head(1, 2, {{"priority", 1, 0, 1}}), 0);
     ASSERT_EQ(add(4, "north"), 0);
     EXPECT_EQ(add(1, "north"), 0) << "sent again";
