--- a/sim/close.c
+++ b/sim/close.c
@@ -118,12 +118,12 @@
         if (e->kind != M_EXECUTOR || !e->up)
             continue;
         struct machine *m = sim_home(sim, e->name);
-        struct home *home = m && m->up ? home_find(&m->core.node, e->name) : NULL;
+        struct executor_owner *executor_owner = m && m->up ? executor_owner_find(&m->core.node, e->name) : NULL;
         int64_t kept = 0, cores = 0;
-        for (int64_t k = 0; home && k < home->n_rows; k++)
-            if (home->rows[k].state != ACC_ENDED)
-                kept++, cores += home->rows[k].ref.cores;
-        if (home && kept == e->core.executor.n_work)
+        for (int64_t k = 0; executor_owner && k < executor_owner->n_rows; k++)
+            if (executor_owner->rows[k].state != ALLOCATION_ENDED)
+                kept++, cores += executor_owner->rows[k].ref.cores;
+        if (executor_owner && kept == e->core.executor.n_work)
             continue;
         snprintf(what, len, "%s runs %lld, its home %s keeps %lld tasks with %lld cores", e->name,
                  (long long)e->core.executor.n_work, m ? m->name : "nowhere", (long long)kept, (long long)cores);
--- a/sim/oracle.c
+++ b/sim/oracle.c
@@ -83,15 +83,15 @@
 static void check_steps(struct oracle *o, const struct job *job, int64_t step)
 {
     const struct step_spec *s = &job->spec.steps[step];
-    for (int64_t k = 0; k < s->n_after; k++)
+    for (int64_t k = 0; k < s->n_depends_on; k++)
         for (int64_t e = 0; e < job->spec.n_steps; e++) {
-            if (strcmp(job->spec.steps[e].name, s->after[k]))
+            if (strcmp(job->spec.steps[e].name, s->depends_on[k]))
                 continue;
-            int64_t first = spec_first(&job->spec, e);
+            int64_t first = spec_first_task(&job->spec, e);
             for (int64_t i = 0; i < job->spec.steps[e].n_tasks; i++)
                 if (!oracle_task(o, job->id, first + i)->done)
                     oracle_breach(o, "job %lld step %s started before %s was done", (long long)job->id, s->name,
-                                  s->after[k]);
+                                  s->depends_on[k]);
         }
 }
 
@@ -100,7 +100,7 @@
 {
     const struct step_spec *s = &job->spec.steps[step];
     const struct task_spec *task = spec_task(&job->spec, r->no, NULL);
-    int64_t on_executor = 0, on_rack = 0, first = spec_first(&job->spec, step);
+    int64_t on_executor = 0, on_rack = 0, first = spec_first_task(&job->spec, step);
     int served = 0;
     for (int64_t i = 0; i < m->core.executor.state.n_services; i++)
         served |= !strcmp(m->core.executor.state.services[i], job->spec.service);
--- a/sim/oracle_known.c
+++ b/sim/oracle_known.c
@@ -91,8 +91,8 @@
         if (e->frozen)
             o->frozen_ms[i] = now_ms;
         struct machine *m = sim_home(sim, e->name);
-        struct home *home = able(sim, m) ? home_find(&m->core.node, e->name) : NULL;
-        if (!home || !home->opened || !admission_open(&m->core.node))
+        struct executor_owner *executor_owner = able(sim, m) ? executor_owner_find(&m->core.node, e->name) : NULL;
+        if (!executor_owner || !executor_owner->opened || !admission_open(&m->core.node))
             o->home_bad_ms[i] = now_ms;
     }
 }
@@ -122,7 +122,7 @@
 static int dropped(struct oracle *o, int64_t id)
 {
     struct machine *leader = sim_leader(o->sim, GROUP_JOBS);
-    return leader && !rows_job(&leader->core.keeper.shards[job_shard(id)], id);
+    return leader && !rows_find_job(&leader->core.keeper.shards[job_shard(id)], id);
 }
 
 static void told(struct sim *sim, void *arg, int64_t tag, int status, const char *body)
--- a/sim/oracle_promises.c
+++ b/sim/oracle_promises.c
@@ -137,7 +137,8 @@
         if (!job || (g->settled && now_ms - g->first_ms < GANG_MS + lease_of(o, job) + LAPSE_MS))
             continue;
         g->settled++;
-        int64_t first = spec_first(&job->spec, g->step), n = job->spec.steps[g->step].n_tasks, begun = 0, running = 0;
+        int64_t first = spec_first_task(&job->spec, g->step), n = job->spec.steps[g->step].n_tasks, begun = 0,
+                running = 0;
         for (int64_t k = first; k < first + n; k++)
             begun += oracle_task(o, g->job, k)->starts > 0;
         for (int64_t k = first; begun < n && k < first + n; k++) {
--- a/sim/service.c
+++ b/sim/service.c
@@ -98,8 +98,9 @@
         if (!reachable(sim, e))
             continue;
         struct machine *m = sim_home(sim, e->name);
-        struct home *home = m && m->up && !m->frozen ? home_find(&m->core.node, e->name) : NULL;
-        if (!home || !home->opened)
+        struct executor_owner *executor_owner =
+            m && m->up && !m->frozen ? executor_owner_find(&m->core.node, e->name) : NULL;
+        if (!executor_owner || !executor_owner->opened)
             return e->name;
     }
     return NULL;
--- a/sim/sim_fleet.c
+++ b/sim/sim_fleet.c
@@ -88,7 +88,7 @@
         struct machine *m = sim->machines[i];
         if (m->kind != M_KEEPER || !m->up || m->core.keeper.logs[GROUP_JOBS].applied <= applied)
             continue;
-        const struct job *job = rows_job(&m->core.keeper.shards[shard], id);
+        const struct job *job = rows_find_job(&m->core.keeper.shards[shard], id);
         if (!job)
             continue;
         applied = m->core.keeper.logs[GROUP_JOBS].applied;
@@ -96,7 +96,7 @@
     }
     for (int64_t i = 0; i < sim->n && shard < SHARD_COUNT && !best; i++) /* all keepers down: what an owner has */
         if (sim->machines[i]->kind == M_NODE && sim->machines[i]->up)
-            best = rows_job(&sim->machines[i]->core.node.shards[shard].rows, id);
+            best = rows_find_job(&sim->machines[i]->core.node.shards[shard].rows, id);
     return best;
 }
 
--- a/src/executor/executor.c
+++ b/src/executor/executor.c
@@ -144,9 +144,9 @@
         return;
     e->reporting = 0;
     json_t *json = status == 200 ? json_loadb(body, (size_t)len, 0, NULL) : NULL;
-    const char *home = json_string_value(json_object_get(json, "home"));
-    e->home_addr = home ? (int64_t)addr_parse(home) : 0;
-    if (!home)
+    const char *executor_owner = json_string_value(json_object_get(json, "home"));
+    e->home_addr = executor_owner ? (int64_t)addr_parse(executor_owner) : 0;
+    if (!executor_owner)
         e->report_due_ms = world_ms(e->w) + REPORT_MS / 4;
     json_decref(json);
 }
@@ -255,7 +255,7 @@
         begin(e, work);
 }
 
-static void go(struct executor *e, const struct exec_renew *r)
+static void go(struct executor *e, const struct exec_task_order *r)
 {
     for (int64_t i = 0; i < e->n_work; i++) {
         struct exec_work *work = &e->work[i];
@@ -265,7 +265,7 @@
     }
 }
 
-static void stop(struct executor *e, const struct exec_renew *r)
+static void stop(struct executor *e, const struct exec_task_order *r)
 {
     for (int64_t i = 0; i < e->n_work; i++) {
         struct exec_work *work = &e->work[i];
@@ -283,7 +283,7 @@
     end_add(e, &task, "unstarted", "stopped before its start"); /* and so it never will */
 }
 
-static void renew(struct executor *e, const struct exec_renew *r, int64_t ticket_ms)
+static void renew(struct executor *e, const struct exec_task_order *r, int64_t ticket_ms)
 {
     for (int64_t i = 0; i < e->n_work; i++) {
         struct exec_work *work = &e->work[i];
@@ -293,7 +293,7 @@
     }
 }
 
-static void ack(struct executor *e, const struct exec_renew *r)
+static void ack(struct executor *e, const struct exec_task_order *r)
 {
     for (int64_t i = 0; i < e->n_ended; i++) {
         struct exec_task *t = &e->ended[i];
@@ -312,7 +312,7 @@
     int64_t ticket_ms = o->ticket <= world_ms(e->w) ? o->ticket : 0;
     if (o->epoch > e->state.epoch) {
         e->state.epoch = o->epoch;
-        e->home_addr = o->home ? (int64_t)addr_parse(o->home) : 0;
+        e->home_addr = o->executor_owner ? (int64_t)addr_parse(o->executor_owner) : 0;
     }
     if (o->incarnation != e->state.incarnation)
         return;
--- a/src/home/home.c
+++ b/src/home/home.c
@@ -11,59 +11,60 @@
 
 enum { WANT_MS = 400 };
 
-struct home *home_find(struct node *node, const char *name)
+struct executor_owner *executor_owner_find(struct node *node, const char *name)
 {
-    for (int64_t i = 0; name && i < node->n_homes; i++)
-        if (!strcmp(node->homes[i]->name, name))
-            return node->homes[i];
+    for (int64_t i = 0; name && i < node->n_executor_owners; i++)
+        if (!strcmp(node->executor_owners[i]->name, name))
+            return node->executor_owners[i];
     return NULL;
 }
 
-static void home_free(struct home *home)
+static void home_free(struct executor_owner *executor_owner)
 {
-    for (int64_t i = 0; i < home->n_rows; i++)
-        account_free(&home->rows[i]);
-    free(home->rows);
-    free(home->acks);
-    schema_free(&exec_state_schema, &home->state);
-    free(home->name);
-    free(home);
+    for (int64_t i = 0; i < executor_owner->n_rows; i++)
+        account_free(&executor_owner->rows[i]);
+    free(executor_owner->rows);
+    free(executor_owner->acks);
+    schema_free(&exec_state_schema, &executor_owner->state);
+    free(executor_owner->name);
+    free(executor_owner);
 }
 
-void home_drop(struct node *node, struct home *home)
+void executor_owner_drop(struct node *node, struct executor_owner *executor_owner)
 {
-    world_note(node->w, EV_HOME_LOST, "executor=%s epoch=%lld", home->name, (long long)home->epoch);
-    for (int64_t i = 0; i < node->n_homes; i++)
-        if (node->homes[i] == home)
-            node->homes[i] = node->homes[--node->n_homes];
-    home_free(home);
+    world_note(node->w, EV_HOME_LOST, "executor=%s epoch=%lld", executor_owner->name, (long long)executor_owner->epoch);
+    for (int64_t i = 0; i < node->n_executor_owners; i++)
+        if (node->executor_owners[i] == executor_owner)
+            node->executor_owners[i] = node->executor_owners[--node->n_executor_owners];
+    home_free(executor_owner);
 }
 
-void homes_end(struct node *node)
+void executor_owners_end(struct node *node)
 {
-    while (node->n_homes)
-        home_free(node->homes[--node->n_homes]);
-    free(node->homes);
-    node->homes = NULL;
+    while (node->n_executor_owners)
+        home_free(node->executor_owners[--node->n_executor_owners]);
+    free(node->executor_owners);
+    node->executor_owners = NULL;
 }
 
-struct home *home_take_duty(struct node *node, const char *name, int64_t epoch)
+struct executor_owner *executor_owner_start(struct node *node, const char *name, int64_t epoch)
 {
-    struct home *home = home_find(node, name);
-    if (home && home->epoch >= epoch)
-        return home;
-    if (home)
-        home_drop(node, home);
-    home = must_alloc(sizeof *home);
-    home->name = must_dup(name);
-    home->epoch = epoch;
-    home->started_ms = home->heard_ms = world_ms(node->w);
+    struct executor_owner *executor_owner = executor_owner_find(node, name);
+    if (executor_owner && executor_owner->epoch >= epoch)
+        return executor_owner;
+    if (executor_owner)
+        executor_owner_drop(node, executor_owner);
+    executor_owner = must_alloc(sizeof *executor_owner);
+    executor_owner->name = must_dup(name);
+    executor_owner->epoch = epoch;
+    executor_owner->started_ms = executor_owner->heard_ms = world_ms(node->w);
     /* the former home may have been given tickets until its gate closed */
-    home->ticket_ms = home->started_ms + ADMISSION_MS;
-    struct room *room = room_find(node, name); /* what the former home told everybody */
-    home->addr = room ? room->addr : 0;
-    *array_add(node->homes, node->n_homes) = home;
-    return home;
+    executor_owner->ticket_ms = executor_owner->started_ms + ADMISSION_MS;
+    struct executor_summary *executor_summary =
+        executor_summary_find(node, name); /* what the former home told everybody */
+    executor_owner->addr = executor_summary ? executor_summary->addr : 0;
+    *array_add(node->executor_owners, node->n_executor_owners) = executor_owner;
+    return executor_owner;
 }
 
 /* --- reports ------------------------------------------------------------------------ */
@@ -94,7 +95,7 @@
     api_json(node, request, 200, json_pack("{s:s}", "home", addr_text(node->w->http_addr)));
 }
 
-void home_report(struct node *node, int64_t request, const char *body, int64_t len)
+void executor_owner_on_report(struct node *node, int64_t request, const char *body, int64_t len)
 {
     struct exec_state state = {0};
     struct validation_error validation_error = {0};
@@ -103,15 +104,15 @@
         api_validation_error(node, request, &validation_error);
         return;
     }
-    struct home *home = home_find(node, state.name);
+    struct executor_owner *executor_owner = executor_owner_find(node, state.name);
     snprintf(name, sizeof name, "home/%s", state.name);
     const struct ownership *ownership = config_tree_ownership(&node->config_tree, name);
     if (strcmp(state.cluster, node->cluster_name))
         api_error(node, request, ERROR_BAD_FIELD, "this is another cluster");
     else if (!addr_parse(state.address))
         api_error(node, request, ERROR_BAD_FIELD, "address must be IP:PORT");
-    else if (home) {
-        home_take_state(node, home, &state, 0);
+    else if (executor_owner) {
+        home_take_state(node, executor_owner, &state, 0);
         answer_home(node, request);
     } else if (ownership && ownership->owner != (int64_t)node->w->self)
         api_forward(node, request, ownership->owner,
@@ -127,207 +128,214 @@
 
 /* Neither below what was heard from the shard here, nor below its duty in the
  * configuration tree: a home that is new has heard from nobody yet. */
-static int epoch_ok(struct node *node, struct home *home, int64_t shard, int64_t epoch)
+static int epoch_ok(struct node *node, struct executor_owner *executor_owner, int64_t shard, int64_t epoch)
 {
-    if (shard < 0 || shard >= SHARD_COUNT || epoch < home->shard_epochs[shard] || epoch < node->shards[shard].epoch)
+    if (shard < 0 || shard >= SHARD_COUNT || epoch < executor_owner->shard_epochs[shard] ||
+        epoch < node->shards[shard].epoch)
         return 0;
-    home->shard_epochs[shard] = epoch;
+    executor_owner->shard_epochs[shard] = epoch;
     return 1;
 }
 
 /* Room that becomes free is kept a moment for the most urgent that was denied:
  * owners on many nodes ask, each sees only its own order. left: what would
  * remain after this reservation. */
-static int room_for(struct node *node, struct home *home, int64_t urgency, int64_t left_cores, int64_t left_mb)
+static int room_for(struct node *node, struct executor_owner *executor_owner, int64_t urgency, int64_t left_cores,
+                    int64_t left_mb)
 {
     int64_t now_ms = world_ms(node->w);
-    int waits = home->want_until_ms > now_ms;
+    int waits = executor_owner->want_until_ms > now_ms;
     if (left_cores < 0 || left_mb < 0) {
-        if (waits && urgency >= home->want_urgency)
+        if (waits && urgency >= executor_owner->want_urgency)
             return 0;
         int64_t cores, mem_mb;
-        account_room(home, &cores, &mem_mb);
-        home->want_urgency = urgency;
-        home->want_cores = cores - left_cores;
-        home->want_mb = mem_mb - left_mb;
-        home->want_until_ms = now_ms + WANT_MS;
+        account_room(executor_owner, &cores, &mem_mb);
+        executor_owner->want_urgency = urgency;
+        executor_owner->want_cores = cores - left_cores;
+        executor_owner->want_mb = mem_mb - left_mb;
+        executor_owner->want_until_ms = now_ms + WANT_MS;
         return 0;
     }
-    if (waits && urgency > home->want_urgency && (left_cores < home->want_cores || left_mb < home->want_mb))
+    if (waits && urgency > executor_owner->want_urgency &&
+        (left_cores < executor_owner->want_cores || left_mb < executor_owner->want_mb))
         return 0;
-    if (waits && urgency <= home->want_urgency)
-        home->want_until_ms = 0;
+    if (waits && urgency <= executor_owner->want_urgency)
+        executor_owner->want_until_ms = 0;
     return 1;
 }
 
-static int may_reserve(struct node *node, struct home *home, const struct reserve *m)
+static int may_reserve(struct node *node, struct executor_owner *executor_owner, const struct reserve_request *m)
 {
     int64_t cores, mem_mb;
-    if (!home || home->epoch != m->home_epoch || !home->opened || home->incarnation != m->incarnation ||
-        !admission_open(node) || node->leaving || !epoch_ok(node, home, m->shard, m->shard_epoch))
+    if (!executor_owner || executor_owner->epoch != m->executor_epoch || !executor_owner->opened ||
+        executor_owner->incarnation != m->incarnation || !admission_open(node) || node->leaving ||
+        !epoch_ok(node, executor_owner, m->shard, m->shard_epoch))
         return 0;
-    int64_t state = home_room_state(node, home);
-    if (state != ROOM_OPEN && state != ROOM_PROBATION)
+    int64_t state = home_room_state(node, executor_owner);
+    if (state != EXECUTOR_OPEN && state != EXECUTOR_PROBATION)
         return 0;
-    account_room(home, &cores, &mem_mb);
+    account_room(executor_owner, &cores, &mem_mb);
     for (int64_t i = 0; i < m->n_tasks; i++) {
         cores -= m->tasks[i].cores;
         mem_mb -= m->tasks[i].mem_mb;
     }
-    if (state == ROOM_PROBATION && home->n_rows)
+    if (state == EXECUTOR_PROBATION && executor_owner->n_rows)
         return 0; /* one at a time until it has proved itself */
-    return room_for(node, home, m->urgency, cores, mem_mb);
+    return room_for(node, executor_owner, m->urgency, cores, mem_mb);
 }
 
-void home_on_reserve(struct node *node, int64_t from, const struct reserve *m)
+void executor_owner_on_reserve(struct node *node, int64_t from, const struct reserve_request *m)
 {
-    struct home *home = home_find(node, m->executor);
-    struct reserved reply = {.req = m->req, .executor = m->executor, .error = ERROR_REJECTED};
-    if (may_reserve(node, home, m)) {
+    struct executor_owner *executor_owner = executor_owner_find(node, m->executor);
+    struct reserve_reply reply = {.req = m->req, .executor = m->executor, .error = ERROR_REJECTED};
+    if (may_reserve(node, executor_owner, m)) {
         reply.error = ERROR_NONE;
         for (int64_t i = 0; i < m->n_tasks; i++) {
             const struct task_ref *ref = &m->tasks[i];
-            if (account_find(home, ref->job, ref->no, ref->attempt))
+            if (account_find(executor_owner, ref->job, ref->no, ref->attempt))
                 continue;
-            struct account *row = array_add(home->rows, home->n_rows);
+            struct account *row = array_add(executor_owner->rows, executor_owner->n_rows);
             row->ref = *ref;
-            row->state = ACC_RESERVED;
+            row->state = ALLOCATION_RESERVED;
             row->since_ms = world_ms(node->w);
         }
     }
-    node_send(node, from, FRAME_RESERVED, &reserved_schema, &reply);
+    node_send(node, from, FRAME_RESERVED, &reserve_reply_schema, &reply);
 }
 
-void home_on_release(struct node *node, int64_t from, const struct reserve *m)
+void executor_owner_on_release(struct node *node, int64_t from, const struct reserve_request *m)
 {
-    struct home *home = home_find(node, m->executor);
+    struct executor_owner *executor_owner = executor_owner_find(node, m->executor);
     (void)from;
-    for (int64_t i = 0; home && i < m->n_tasks; i++) {
-        struct account *row = account_find(home, m->tasks[i].job, m->tasks[i].no, m->tasks[i].attempt);
-        if (row && row->state == ACC_RESERVED)
-            account_remove(home, row);
+    for (int64_t i = 0; executor_owner && i < m->n_tasks; i++) {
+        struct account *row = account_find(executor_owner, m->tasks[i].job, m->tasks[i].no, m->tasks[i].attempt);
+        if (row && row->state == ALLOCATION_RESERVED)
+            account_remove(executor_owner, row);
     }
-    node->rooms_due_ms = 0;
+    node->summaries_due_ms = 0;
 }
 
 /* A start whose reservation has lapsed is taken only if there is room anew;
  * otherwise it is told to have ended unstarted, and stays so. */
-void home_on_start(struct node *node, int64_t from, struct start_order *m)
+void executor_owner_on_start(struct node *node, int64_t from, struct start_order *m)
 {
-    struct home *home = home_find(node, m->executor);
+    struct executor_owner *executor_owner = executor_owner_find(node, m->executor);
     (void)from;
-    if (!home || home->epoch != m->home_epoch || !home->opened || !epoch_ok(node, home, m->shard, m->shard_epoch) ||
-        !admission_open(node))
+    if (!executor_owner || executor_owner->epoch != m->executor_epoch || !executor_owner->opened ||
+        !epoch_ok(node, executor_owner, m->shard, m->shard_epoch) || !admission_open(node))
         return;
     const struct exec_start *s = &m->start;
-    struct account *row = account_find(home, s->job, s->no, s->attempt);
+    struct account *row = account_find(executor_owner, s->job, s->no, s->attempt);
     int64_t cores, mem_mb;
-    if (row && row->state != ACC_RESERVED)
+    if (row && row->state != ALLOCATION_RESERVED)
         return;
     if (!row) {
-        account_room(home, &cores, &mem_mb);
-        row = array_add(home->rows, home->n_rows);
+        account_room(executor_owner, &cores, &mem_mb);
+        row = array_add(executor_owner->rows, executor_owner->n_rows);
         row->ref = (struct task_ref){
             .job = s->job, .no = s->no, .attempt = s->attempt, .cores = s->cores, .mem_mb = s->mem_mb};
         row->since_ms = world_ms(node->w);
         if (cores < s->cores || mem_mb < s->mem_mb) {
-            account_end(node, home, row, OUT_UNSTARTED, "no room left");
+            account_end(node, executor_owner, row, OUT_UNSTARTED, "no room left");
             return;
         }
     }
     row->lease_ms = s->lease_ms;
     row->stall_ms = s->stall_ms;
     /* its room was reserved; what the executor gave to others since then is gone all the same */
-    account_room(home, &cores, &mem_mb);
+    account_room(executor_owner, &cores, &mem_mb);
     if (cores < 0 || mem_mb < 0) {
-        account_end(node, home, row, OUT_UNSTARTED, "its room went to other work meanwhile");
+        account_end(node, executor_owner, row, OUT_UNSTARTED, "its room went to other work meanwhile");
         return;
     }
-    if (m->incarnation != home->incarnation) {
-        account_end(node, home, row, OUT_UNSTARTED, "the executor came back anew");
+    if (m->incarnation != executor_owner->incarnation) {
+        account_end(node, executor_owner, row, OUT_UNSTARTED, "the executor came back anew");
         return;
     }
-    int64_t state = home_room_state(node, home);
-    if (state == ROOM_LEAVING || state == ROOM_CLOSED) {
-        account_end(node, home, row, OUT_UNSTARTED, "the executor is leaving");
+    int64_t state = home_room_state(node, executor_owner);
+    if (state == EXECUTOR_LEAVING || state == EXECUTOR_CLOSED) {
+        account_end(node, executor_owner, row, OUT_UNSTARTED, "the executor is leaving");
         return;
     }
-    node_journal_add(node, s->job, s->no, s->attempt, s->hold ? "hold ordered" : "start ordered", home->name);
-    row->state = ACC_STARTING;
+    node_journal_add(node, s->job, s->no, s->attempt, s->hold ? "hold ordered" : "start ordered", executor_owner->name);
+    row->state = ALLOCATION_STARTING;
     row->since_ms = world_ms(node->w);
     row->start = must_alloc(sizeof *row->start);
     *row->start = *s;
     m->start = (struct exec_start){0}; /* its strings are ours now */
-    home->dirty = 1;
+    executor_owner->dirty = 1;
 }
 
-void home_on_stop(struct node *node, int64_t from, const struct check *m)
+void executor_owner_on_stop(struct node *node, int64_t from, const struct check_request *m)
 {
-    struct home *home = home_find(node, m->executor);
+    struct executor_owner *executor_owner = executor_owner_find(node, m->executor);
     (void)from;
-    if (!home || !home->opened || home->epoch != m->home_epoch || !epoch_ok(node, home, m->shard, m->shard_epoch))
+    if (!executor_owner || !executor_owner->opened || executor_owner->epoch != m->executor_epoch ||
+        !epoch_ok(node, executor_owner, m->shard, m->shard_epoch))
         return;
     for (int64_t i = 0; i < m->n_tasks; i++) {
         const struct task_ref *ref = &m->tasks[i];
-        struct account *row = account_find(home, ref->job, ref->no, ref->attempt);
-        if (!row || row->state == ACC_ENDED)
+        struct account *row = account_find(executor_owner, ref->job, ref->no, ref->attempt);
+        if (!row || row->state == ALLOCATION_ENDED)
             continue; /* a check tells what became of it */
-        if (row->state == ACC_RESERVED) {
-            account_end(node, home, row, OUT_UNSTARTED, "stopped before its start");
+        if (row->state == ALLOCATION_RESERVED) {
+            account_end(node, executor_owner, row, OUT_UNSTARTED, "stopped before its start");
         } else if (!row->stop_asked) {
             row->stop_asked = 1;
-            home->dirty = 1;
+            executor_owner->dirty = 1;
         }
     }
 }
 
 /* The whole gang is held: this part of it may begin. */
-void home_on_go(struct node *node, const struct check *m)
+void executor_owner_on_go(struct node *node, const struct check_request *m)
 {
-    struct home *home = home_find(node, m->executor);
-    if (!home || home->epoch != m->home_epoch || !epoch_ok(node, home, m->shard, m->shard_epoch) ||
-        !admission_open(node))
+    struct executor_owner *executor_owner = executor_owner_find(node, m->executor);
+    if (!executor_owner || executor_owner->epoch != m->executor_epoch ||
+        !epoch_ok(node, executor_owner, m->shard, m->shard_epoch) || !admission_open(node))
         return;
     for (int64_t i = 0; i < m->n_tasks; i++) {
-        struct account *row = account_find(home, m->tasks[i].job, m->tasks[i].no, m->tasks[i].attempt);
-        if (!row || row->state != ACC_HELD || row->go_asked || row->stop_asked)
+        struct account *row = account_find(executor_owner, m->tasks[i].job, m->tasks[i].no, m->tasks[i].attempt);
+        if (!row || row->state != ALLOCATION_HELD || row->go_asked || row->stop_asked)
             continue;
         row->go_asked = 1;
-        home->dirty = 1;
+        executor_owner->dirty = 1;
     }
 }
 
-void home_on_check(struct node *node, int64_t from, const struct check *m)
+void executor_owner_on_check(struct node *node, int64_t from, const struct check_request *m)
 {
-    struct home *home = home_find(node, m->executor);
-    if (!home || !epoch_ok(node, home, m->shard, m->shard_epoch) || !admission_open(node))
+    struct executor_owner *executor_owner = executor_owner_find(node, m->executor);
+    if (!executor_owner || !epoch_ok(node, executor_owner, m->shard, m->shard_epoch) || !admission_open(node))
         return;
-    struct checked reply = {.executor = m->executor, .home_epoch = home->epoch, .incarnation = home->incarnation};
+    struct check_reply reply = {
+        .executor = m->executor, .executor_epoch = executor_owner->epoch, .incarnation = executor_owner->incarnation};
     for (int64_t i = 0; i < m->n_tasks; i++) {
         const struct task_ref *ref = &m->tasks[i];
-        struct account *row = account_find(home, ref->job, ref->no, ref->attempt);
-        struct checked_task t = {.job = ref->job, .no = ref->no, .attempt = ref->attempt, .state = CHECK_UNKNOWN};
+        struct account *row = account_find(executor_owner, ref->job, ref->no, ref->attempt);
+        struct check_result t = {.job = ref->job, .no = ref->no, .attempt = ref->attempt, .state = CHECK_UNKNOWN};
         if (row)
             t.state = account_check_state(row);
-        else if (!home->opened && home->gone)
+        else if (!executor_owner->opened && executor_owner->gone)
             t.state = CHECK_GONE;
-        else if (!home->opened)
+        else if (!executor_owner->opened)
             continue; /* nothing can be said before the executor answered us */
         *array_add(reply.tasks, reply.n_tasks) = t;
     }
     if (reply.n_tasks)
-        node_send(node, from, FRAME_CHECKED, &checked_schema, &reply);
+        node_send(node, from, FRAME_CHECKED, &check_reply_schema, &reply);
     free(reply.tasks);
 }
 
-void home_on_ended_ack(struct node *node, const struct ended *m)
+void executor_owner_on_ended_ack(struct node *node, const struct ended *m)
 {
-    struct home *home = home_find(node, m->executor);
-    struct account *row = home ? account_find(home, m->job, m->no, m->attempt) : NULL;
-    if (!row || row->state != ACC_ENDED)
+    struct executor_owner *executor_owner = executor_owner_find(node, m->executor);
+    struct account *row = executor_owner ? account_find(executor_owner, m->job, m->no, m->attempt) : NULL;
+    if (!row || row->state != ALLOCATION_ENDED)
         return;
-    *array_add(home->acks, home->n_acks) = (struct exec_renew){.job = m->job, .no = m->no, .attempt = m->attempt};
-    account_remove(home, row);
-    home->dirty = 1;
+    *array_add(executor_owner->acks, executor_owner->n_acks) =
+        (struct exec_task_order){.job = m->job, .no = m->no, .attempt = m->attempt};
+    account_remove(executor_owner, row);
+    executor_owner->dirty = 1;
     (void)node;
 }
--- a/src/home/home_schemas.c
+++ b/src/home/home_schemas.c
@@ -45,12 +45,13 @@
                                             INT_NAMED(exec_start, stall_ms, "stallMs")};
 static SCHEMA(start_schema, exec_start, start_fields);
 
-static const struct field renew_fields[] = {INT(exec_renew, job), INT(exec_renew, no), INT(exec_renew, attempt),
-                                            INT_NAMED(exec_renew, lease_ms, "licenceMs")};
-static SCHEMA(renew_schema, exec_renew, renew_fields);
+static const struct field renew_fields[] = {INT(exec_task_order, job), INT(exec_task_order, no),
+                                            INT(exec_task_order, attempt),
+                                            INT_NAMED(exec_task_order, lease_ms, "licenceMs")};
+static SCHEMA(renew_schema, exec_task_order, renew_fields);
 
 static const struct field orders_fields[] = {STR(exec_orders, cluster),
-                                             STR(exec_orders, home),
+                                             STR_NAMED(exec_orders, executor_owner, "home"),
                                              INT(exec_orders, epoch),
                                              INT(exec_orders, incarnation),
                                              INT(exec_orders, ticket),
@@ -61,68 +62,69 @@
                                              LIST(exec_orders, goes, n_goes, renew_schema)};
 SCHEMA(exec_orders_schema, exec_orders, orders_fields);
 
-static const struct field room_fields[] = {STR(room, executor),
-                                           STR(room, kind),
-                                           STR(room, rack),
-                                           STRS(room, services, n_services),
-                                           INT(room, home),
-                                           INT(room, epoch),
-                                           INT(room, incarnation),
-                                           INT(room, state),
-                                           INT(room, cores),
-                                           INT_NAMED(room, mem_mb, "memMb"),
-                                           INT_NAMED(room, free_cores, "freeCores"),
-                                           INT_NAMED(room, free_mb, "freeMb"),
-                                           INT(room, wanted),
-                                           INT(room, addr),
-                                           INT_NAMED(room, leave_ms, "leaveMs")};
-SCHEMA(room_schema, room, room_fields);
+static const struct field room_fields[] = {STR(executor_summary, executor),
+                                           STR(executor_summary, kind),
+                                           STR(executor_summary, rack),
+                                           STRS(executor_summary, services, n_services),
+                                           INT_NAMED(executor_summary, executor_owner, "home"),
+                                           INT(executor_summary, epoch),
+                                           INT(executor_summary, incarnation),
+                                           INT(executor_summary, state),
+                                           INT(executor_summary, cores),
+                                           INT_NAMED(executor_summary, mem_mb, "memMb"),
+                                           INT_NAMED(executor_summary, free_cores, "freeCores"),
+                                           INT_NAMED(executor_summary, free_mb, "freeMb"),
+                                           INT(executor_summary, wanted),
+                                           INT(executor_summary, addr),
+                                           INT_NAMED(executor_summary, leave_ms, "leaveMs")};
+SCHEMA(executor_summary_schema, executor_summary, room_fields);
 
-static const struct field rooms_fields[] = {LIST(rooms_msg, rooms, n, room_schema)};
-SCHEMA(rooms_msg_schema, rooms_msg, rooms_fields);
+static const struct field rooms_fields[] = {
+    LIST_NAMED(executor_summaries_msg, executor_summaries, "rooms", n, executor_summary_schema)};
+SCHEMA(executor_summaries_msg_schema, executor_summaries_msg, rooms_fields);
 
 static const struct field ref_fields[] = {INT(task_ref, job), INT(task_ref, no), INT(task_ref, attempt),
                                           INT(task_ref, cores), INT_NAMED(task_ref, mem_mb, "memMb")};
 static SCHEMA(ref_schema, task_ref, ref_fields);
 
-static const struct field reserve_fields[] = {INT(reserve, req),
-                                              INT(reserve, shard),
-                                              INT_NAMED(reserve, shard_epoch, "shardEpoch"),
-                                              INT_NAMED(reserve, home_epoch, "homeEpoch"),
-                                              INT(reserve, incarnation),
-                                              INT(reserve, urgency),
-                                              STR(reserve, executor),
-                                              LIST(reserve, tasks, n_tasks, ref_schema)};
-SCHEMA(reserve_schema, reserve, reserve_fields);
+static const struct field reserve_fields[] = {INT(reserve_request, req),
+                                              INT(reserve_request, shard),
+                                              INT_NAMED(reserve_request, shard_epoch, "shardEpoch"),
+                                              INT_NAMED(reserve_request, executor_epoch, "homeEpoch"),
+                                              INT(reserve_request, incarnation),
+                                              INT(reserve_request, urgency),
+                                              STR(reserve_request, executor),
+                                              LIST(reserve_request, tasks, n_tasks, ref_schema)};
+SCHEMA(reserve_request_schema, reserve_request, reserve_fields);
 
-static const struct field reserved_fields[] = {INT(reserved, req), INT_NAMED(reserved, error, "problem"),
-                                               STR(reserved, executor)};
-SCHEMA(reserved_schema, reserved, reserved_fields);
+static const struct field reserved_fields[] = {INT(reserve_reply, req), INT_NAMED(reserve_reply, error, "problem"),
+                                               STR(reserve_reply, executor)};
+SCHEMA(reserve_reply_schema, reserve_reply, reserved_fields);
 
 static const struct field start_order_fields[] = {INT(start_order, shard),
                                                   INT_NAMED(start_order, shard_epoch, "shardEpoch"),
-                                                  INT_NAMED(start_order, home_epoch, "homeEpoch"),
+                                                  INT_NAMED(start_order, executor_epoch, "homeEpoch"),
                                                   INT(start_order, incarnation),
                                                   STR(start_order, executor),
                                                   SUB(start_order, start, start_schema)};
 SCHEMA(start_order_schema, start_order, start_order_fields);
 
-static const struct field check_fields[] = {INT(check, shard),
-                                            INT_NAMED(check, shard_epoch, "shardEpoch"),
-                                            INT_NAMED(check, home_epoch, "homeEpoch"),
-                                            INT(check, incarnation),
-                                            STR(check, executor),
-                                            LIST(check, tasks, n_tasks, ref_schema)};
-SCHEMA(check_schema, check, check_fields);
+static const struct field check_fields[] = {INT(check_request, shard),
+                                            INT_NAMED(check_request, shard_epoch, "shardEpoch"),
+                                            INT_NAMED(check_request, executor_epoch, "homeEpoch"),
+                                            INT(check_request, incarnation),
+                                            STR(check_request, executor),
+                                            LIST(check_request, tasks, n_tasks, ref_schema)};
+SCHEMA(check_request_schema, check_request, check_fields);
 
-static const struct field checked_task_fields[] = {INT(checked_task, job), INT(checked_task, no),
-                                                   INT(checked_task, attempt), INT(checked_task, state)};
-static SCHEMA(checked_task_schema, checked_task, checked_task_fields);
+static const struct field checked_task_fields[] = {INT(check_result, job), INT(check_result, no),
+                                                   INT(check_result, attempt), INT(check_result, state)};
+static SCHEMA(check_result_schema, check_result, checked_task_fields);
 
-static const struct field checked_fields[] = {INT_NAMED(checked, home_epoch, "homeEpoch"), INT(checked, incarnation),
-                                              STR(checked, executor),
-                                              LIST(checked, tasks, n_tasks, checked_task_schema)};
-SCHEMA(checked_schema, checked, checked_fields);
+static const struct field checked_fields[] = {INT_NAMED(check_reply, executor_epoch, "homeEpoch"),
+                                              INT(check_reply, incarnation), STR(check_reply, executor),
+                                              LIST(check_reply, tasks, n_tasks, check_result_schema)};
+SCHEMA(check_reply_schema, check_reply, checked_fields);
 
 static const struct field ended_fields[] = {INT(ended, job),     INT(ended, no),       INT(ended, attempt),
                                             INT(ended, outcome), STR(ended, executor), STR(ended, why)};
--- a/src/node/api.c
+++ b/src/node/api.c
@@ -231,7 +231,7 @@
     if (!starts(path, "/v1/"))
         api_error(node, request, ERROR_NOT_FOUND, "doors are under /v1/");
     else if (starts(path, "/v1/executors/report"))
-        home_report(node, request, body, len);
+        executor_owner_on_report(node, request, body, len);
     else if (api_views(node, request, method, path))
         return;
     else if (!admission_open(node))
--- a/src/node/api_views.c
+++ b/src/node/api_views.c
@@ -45,12 +45,12 @@
 {
     static const char *const states[] = {"open", "silent", "leaving", "quarantine", "probation", "closed"};
     json_t *list = json_array();
-    for (int64_t i = 0; i < node->n_rooms; i++) {
-        const struct room *r = &node->rooms[i];
+    for (int64_t i = 0; i < node->n_executor_summaries; i++) {
+        const struct executor_summary *r = &node->executor_summaries[i];
         const struct planned *drain = config_tree_drain(&node->config_tree, r->executor, node_fleet_ms(node), 0);
         json_t *one =
             json_pack("{s:s,s:s,s:s,s:s,s:o,s:I,s:I,s:I,s:I,s:I,s:I,s:I}", "executor", r->executor, "kind", r->kind,
-                      "rack", r->rack, "state", states[r->state], "home", addr_json(r->home), "epoch",
+                      "rack", r->rack, "state", states[r->state], "home", addr_json(r->executor_owner), "epoch",
                       (json_int_t)r->epoch, "incarnation", (json_int_t)r->incarnation, "cores", (json_int_t)r->cores,
                       "freeCores", (json_int_t)r->free_cores, "slowPct", (json_int_t)r->slow_pct, "memMb",
                       (json_int_t)r->mem_mb, "freeMb", (json_int_t)r->free_mb);
@@ -79,15 +79,15 @@
     for (int64_t i = 0; i + 1 < node->n_voters; i += 2)
         json_array_append_new(voters, json_pack("{s:o,s:I}", "addr", addr_json(node->voters[i]), "logs",
                                                 (json_int_t)node->voters[i + 1]));
-    json_t *homes = json_array();
-    for (int64_t i = 0; i < node->n_homes; i++)
-        json_array_append_new(homes, json_string(node->homes[i]->name));
+    json_t *executor_owners = json_array();
+    for (int64_t i = 0; i < node->n_executor_owners; i++)
+        json_array_append_new(executor_owners, json_string(node->executor_owners[i]->name));
     return json_pack("{s:s,s:o,s:b,s:b,s:I,s:I,s:o,s:I,s:I,s:I,s:o,s:o,s:o}", "role", "node", "addr",
                      addr_json((int64_t)node->w->self), "gate", admission_open(node), "leaving", (int)node->leaving,
                      "feed", (json_int_t)node->feed_index, "version", (json_int_t)node->config_tree.version, "leader",
                      addr_json(node->leaders[GROUP_CONTROL]), "fleetMs", (json_int_t)node_fleet_ms(node), "picks",
                      (json_int_t)node->picks, "framesDropped", (json_int_t)node->frames_dropped, "shards", shards,
-                     "homes", homes, "voters", voters);
+                     "homes", executor_owners, "voters", voters);
 }
 
 static json_t *calendar_view(struct node *node)
@@ -129,9 +129,9 @@
         jobs += s->rows.n_jobs;
         buffered += s->n_buffer;
     }
-    for (int64_t i = 0; i < node->n_homes; i++) {
-        accounts += node->homes[i]->n_rows;
-        silent += node->homes[i]->silent != 0;
+    for (int64_t i = 0; i < node->n_executor_owners; i++) {
+        accounts += node->executor_owners[i]->n_rows;
+        silent += node->executor_owners[i]->silent != 0;
     }
     json_t *counters =
         json_pack("{s:I,s:I,s:I,s:I,s:I,s:I}", "commits", (json_int_t)commits, "scanned", (json_int_t)scanned,
@@ -229,14 +229,14 @@
         json_array_append_new(reasons, json_string("the shard's breaker is open"));
     if (row->state == ROW_READY && row->staged)
         json_array_append_new(reasons, json_string("staged, a room is being reserved"));
-    for (int64_t i = 0; row->state == ROW_READY && i < node->n_rooms; i++) {
-        const char *denies = assign_denies(node, job, no, &node->rooms[i]);
-        snprintf(text, sizeof text, "%s: %s", node->rooms[i].executor, denies ? denies : "would do");
+    for (int64_t i = 0; row->state == ROW_READY && i < node->n_executor_summaries; i++) {
+        const char *denies = assign_rejection(node, job, no, &node->executor_summaries[i]);
+        snprintf(text, sizeof text, "%s: %s", node->executor_summaries[i].executor, denies ? denies : "would do");
         json_array_append_new(reasons, json_string(text));
     }
     if (row->state == ROW_PLACED) {
         snprintf(text, sizeof text, "on %s since %lld ms, licence %lld ms, home epoch %lld", row->executor,
-                 (long long)(now_ms - row->placed_ms), (long long)row->lease_ms, (long long)row->home_epoch);
+                 (long long)(now_ms - row->placed_ms), (long long)row->lease_ms, (long long)row->executor_epoch);
         json_array_append_new(reasons, json_string(text));
     }
     if (row->meta)
--- a/src/node/follow.c
+++ b/src/node/follow.c
@@ -128,13 +128,13 @@
         if (!strncmp(ownership->name, "shard/", 6)) {
             int64_t no = text_to_int64(ownership->name + 6);
             if (no >= 0 && no < SHARD_COUNT)
-                shard_follow(node, &node->shards[no], ownership->epoch, mine);
+                shard_on_owner_change(node, &node->shards[no], ownership->epoch, mine);
         } else if (!strncmp(ownership->name, "home/", 5)) {
-            struct home *home = home_find(node, ownership->name + 5);
+            struct executor_owner *executor_owner = executor_owner_find(node, ownership->name + 5);
             if (mine)
-                home_take_duty(node, ownership->name + 5, ownership->epoch);
-            else if (home && home->epoch < ownership->epoch)
-                home_drop(node, home);
+                executor_owner_start(node, ownership->name + 5, ownership->epoch);
+            else if (executor_owner && executor_owner->epoch < ownership->epoch)
+                executor_owner_drop(node, executor_owner);
         }
     }
 }
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -34,19 +34,19 @@
 
 void node_end(struct node *node)
 {
-    homes_end(node);
+    executor_owners_end(node);
     shards_end(node);
     for (int64_t i = 0; i < node->stagings.cap; i++)
-        place_forget(node, slab_number(&node->stagings, i));
+        staging_free(node, slab_number(&node->stagings, i));
     drop_proposals(node);
     slab_end(&node->requests);
     slab_end(&node->stagings);
     for (int64_t i = 0; i < node->n_queues; i++)
         free(node->queues[i].path);
     free(node->queues);
-    for (int64_t i = 0; i < node->n_rooms; i++)
-        schema_free(&room_schema, &node->rooms[i]);
-    free(node->rooms);
+    for (int64_t i = 0; i < node->n_executor_summaries; i++)
+        schema_free(&executor_summary_schema, &node->executor_summaries[i]);
+    free(node->executor_summaries);
     journal_end(&node->journal);
     config_tree_end(&node->config_tree);
     peers_end(&node->peers);
@@ -105,31 +105,31 @@
         struct proposed proposed;
         struct send_on send_on;
         struct sent_on sent_on;
-        struct rooms_msg rooms;
-        struct reserve reserve;
-        struct reserved reserved;
+        struct executor_summaries_msg executor_summaries;
+        struct reserve_request reserve_request;
+        struct reserve_reply reserve_reply;
         struct start_order start;
-        struct check check;
-        struct checked checked;
+        struct check_request check_request;
+        struct check_reply check_reply;
         struct ended ended;
     } m;
-    static const struct schema *const schemas[FRAME_LAST] = {[FRAME_CONTROL_UPDATES] = &control_updates_schema,
-                                                             [FRAME_CONTROL_UPDATES_NOTICE] =
-                                                                 &control_updates_request_schema,
-                                                             [FRAME_PROPOSED] = &proposed_schema,
-                                                             [FRAME_FORWARD_REQUEST] = &forward_request_schema,
-                                                             [FRAME_FORWARD_RESPONSE] = &forward_response_schema,
-                                                             [FRAME_EXECUTOR_SUMMARIES] = &rooms_msg_schema,
-                                                             [FRAME_RESERVE] = &reserve_schema,
-                                                             [FRAME_RESERVED] = &reserved_schema,
-                                                             [FRAME_RELEASE] = &reserve_schema,
-                                                             [FRAME_START] = &start_order_schema,
-                                                             [FRAME_STOP] = &check_schema,
-                                                             [FRAME_GANG_START] = &check_schema,
-                                                             [FRAME_CHECK] = &check_schema,
-                                                             [FRAME_CHECKED] = &checked_schema,
-                                                             [FRAME_ENDED] = &ended_schema,
-                                                             [FRAME_ENDED_ACK] = &ended_schema};
+    static const struct schema *const schemas[FRAME_LAST] = {
+        [FRAME_CONTROL_UPDATES] = &control_updates_schema,
+        [FRAME_CONTROL_UPDATES_NOTICE] = &control_updates_request_schema,
+        [FRAME_PROPOSED] = &proposed_schema,
+        [FRAME_FORWARD_REQUEST] = &forward_request_schema,
+        [FRAME_FORWARD_RESPONSE] = &forward_response_schema,
+        [FRAME_EXECUTOR_SUMMARIES] = &executor_summaries_msg_schema,
+        [FRAME_RESERVE] = &reserve_request_schema,
+        [FRAME_RESERVED] = &reserve_reply_schema,
+        [FRAME_RELEASE] = &reserve_request_schema,
+        [FRAME_START] = &start_order_schema,
+        [FRAME_STOP] = &check_request_schema,
+        [FRAME_GANG_START] = &check_request_schema,
+        [FRAME_CHECK] = &check_request_schema,
+        [FRAME_CHECKED] = &check_reply_schema,
+        [FRAME_ENDED] = &ended_schema,
+        [FRAME_ENDED_ACK] = &ended_schema};
     const struct schema *schema = schemas[frame->kind];
     int64_t from = (int64_t)frame->from;
     memset(&m, 0, sizeof m);
@@ -144,17 +144,17 @@
     case FRAME_PROPOSED: node_on_proposed(node, from, &m.proposed); break;
     case FRAME_FORWARD_REQUEST: node_on_send_on(node, from, &m.send_on); break;
     case FRAME_FORWARD_RESPONSE: node_on_sent_on(node, &m.sent_on); break;
-    case FRAME_EXECUTOR_SUMMARIES: rooms_take(node, from, &m.rooms); break;
-    case FRAME_RESERVE: home_on_reserve(node, from, &m.reserve); break;
-    case FRAME_RESERVED: place_on_reserved(node, &m.reserved); break;
-    case FRAME_RELEASE: home_on_release(node, from, &m.reserve); break;
-    case FRAME_START: home_on_start(node, from, &m.start); break;
-    case FRAME_STOP: home_on_stop(node, from, &m.check); break;
-    case FRAME_GANG_START: home_on_go(node, &m.check); break;
-    case FRAME_CHECK: home_on_check(node, from, &m.check); break;
-    case FRAME_CHECKED: track_on_checked(node, &m.checked); break;
+    case FRAME_EXECUTOR_SUMMARIES: executor_summaries_merge(node, from, &m.executor_summaries); break;
+    case FRAME_RESERVE: executor_owner_on_reserve(node, from, &m.reserve_request); break;
+    case FRAME_RESERVED: place_on_reserved(node, &m.reserve_reply); break;
+    case FRAME_RELEASE: executor_owner_on_release(node, from, &m.reserve_request); break;
+    case FRAME_START: executor_owner_on_start(node, from, &m.start); break;
+    case FRAME_STOP: executor_owner_on_stop(node, from, &m.check_request); break;
+    case FRAME_GANG_START: executor_owner_on_go(node, &m.check_request); break;
+    case FRAME_CHECK: executor_owner_on_check(node, from, &m.check_request); break;
+    case FRAME_CHECKED: track_on_checked(node, &m.check_reply); break;
     case FRAME_ENDED: track_on_ended(node, &m.ended); break;
-    case FRAME_ENDED_ACK: home_on_ended_ack(node, &m.ended); break;
+    case FRAME_ENDED_ACK: executor_owner_on_ended_ack(node, &m.ended); break;
     default: break;
     }
     schema_free(schema, &m);
@@ -183,7 +183,7 @@
     api_on_timer(node);
     shards_on_timer(node);
     place_on_timer(node);
-    homes_on_timer(node);
+    executor_owners_on_timer(node);
 }
 
 void node_leave(struct node *node)
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -112,9 +112,9 @@
 };
 
 struct staging_place {
-    int64_t no, room, answered, good;
+    int64_t no, executor_summary, answered, good;
     char *executor;
-    int64_t home_epoch, incarnation, home;
+    int64_t executor_epoch, incarnation, executor_owner;
 };
 struct staging {
     int64_t shard, shard_epoch, job, queue, until_ms, committing, n_places, failed, step, urgency;
@@ -140,11 +140,12 @@
     struct shard shards[SHARD_COUNT];
     struct queue *queues;
     int64_t n_queues;
-    struct room *rooms;
-    int64_t n_rooms;
-    struct home **homes;
-    int64_t n_homes;
-    int64_t rooms_due_ms, rooms_told_ms, rooms_all_ms, rooms_hash, rate_due_ms, reqs, started_ms, runs_due_ms;
+    struct executor_summary *executor_summaries;
+    int64_t n_executor_summaries;
+    struct executor_owner **executor_owners;
+    int64_t n_executor_owners;
+    int64_t summaries_due_ms, summaries_sent_ms, summaries_sent_to_all_ms, summaries_hash, rate_due_ms, reqs,
+        started_ms, runs_due_ms;
     int64_t picks, pick_steps; /* counts for measurements */
     int64_t frames_dropped;
 };
@@ -202,7 +203,7 @@
 json_t *why_view(struct node *node, struct shard *shard, const struct job *job, int64_t no);
 
 /* shard/owner.c */
-void shard_follow(struct node *node, struct shard *shard, int64_t epoch, int mine);
+void shard_on_owner_change(struct node *node, struct shard *shard, int64_t epoch, int mine);
 void shards_on_timer(struct node *node);
 void shard_lose(struct node *node, struct shard *shard, const char *why);
 void shards_end(struct node *node);
@@ -213,15 +214,15 @@
                          int64_t staging);
 void worker_on_timer(struct node *node, struct shard *shard);
 int breaker_closed(struct node *node, struct shard *shard); /* 1: ops may flow */
-void breaker_count(struct node *node, struct shard *shard, int good, int64_t took_ms);
+void breaker_record(struct node *node, struct shard *shard, int good, int64_t took_ms);
 
 /* shard/ready.c */
 void ready_rebuild(struct node *node, struct shard *shard);
 void ready_clear(struct shard *shard);
-void ready_row(struct node *node, struct shard *shard, struct job *job, int64_t no);
-void ready_job(struct node *node, struct shard *shard, struct job *job);
-void ready_new(struct node *node, struct shard *shard, struct job *job);
-void ready_time(struct shard *shard, int64_t ms, int64_t job, int64_t no);
+void ready_add_row(struct node *node, struct shard *shard, struct job *job, int64_t no);
+void ready_add_rows(struct node *node, struct shard *shard, struct job *job);
+void ready_add_job(struct node *node, struct shard *shard, struct job *job);
+void ready_schedule_check(struct shard *shard, int64_t ms, int64_t job, int64_t no);
 void ready_scan(struct node *node, struct shard *shard);
 int ready_pick(struct node *node, int64_t now_ms, struct shard **shard, struct ready_item *item);
 int64_t row_priority(struct node *node, const struct job *job);
@@ -229,22 +230,23 @@
 
 /* shard/place.c, shard/assign.c */
 void place_on_timer(struct node *node);
-void place_on_reserved(struct node *node, const struct reserved *m);
-void place_committed(struct node *node, struct shard *shard, int64_t staging, const struct op *op, int folded);
-void place_forget(struct node *node, int64_t staging);
+void place_on_reserved(struct node *node, const struct reserve_reply *m);
+void place_committed(struct node *node, struct shard *shard, int64_t staging, const struct op *op, int apply_error);
+void staging_free(struct node *node, int64_t staging);
 int assign_places(struct node *node, struct shard *shard, struct job *job, struct staging *staging);
-const char *assign_denies(struct node *node, const struct job *job, int64_t no, const struct room *room);
-void assign_learn(struct node *node, const struct job *job, int64_t no);
+const char *assign_rejection(struct node *node, const struct job *job, int64_t no,
+                             const struct executor_summary *executor_summary);
+void assign_record_duration(struct node *node, const struct job *job, int64_t no);
 int assign_could_fit(struct node *node, const struct job_spec *spec, int64_t *bad_no);
-struct room *room_find(struct node *node, const char *executor);
-void rooms_take(struct node *node, int64_t from, struct rooms_msg *m);
+struct executor_summary *executor_summary_find(struct node *node, const char *executor);
+void executor_summaries_merge(struct node *node, int64_t from, struct executor_summaries_msg *m);
 
 /* shard/gang.c */
-int gang_is(const struct job *job, int64_t no);
+int is_gang_member(const struct job *job, int64_t no);
 int gang_may_stage(const struct job *job, int64_t no);
 void gang_placed(struct node *node, struct job *job, int64_t no);
-void gang_seen(struct node *node, struct shard *shard, struct job *job, int64_t no, int64_t state);
-void gang_watch(struct node *node, struct shard *shard, struct job *job, int64_t no);
+void gang_on_member_state(struct node *node, struct shard *shard, struct job *job, int64_t no, int64_t state);
+void gang_check_timeout(struct node *node, struct shard *shard, struct job *job, int64_t no);
 void gang_stop(struct node *node, struct shard *shard, struct job *job, int64_t no);
 
 /* shard/track.c */
@@ -253,11 +255,11 @@
 void track_stop(struct node *node, struct shard *shard, struct job *job, int64_t no);
 void track_start(struct node *node, struct shard *shard, struct job *job, int64_t no);
 void track_on_ended(struct node *node, const struct ended *m);
-void track_on_checked(struct node *node, const struct checked *m);
+void track_on_checked(struct node *node, const struct check_reply *m);
 void track_committed(struct node *node, struct shard *shard, const struct op *op);
 
 /* shard/preempt.c */
-void preempt_watch(struct node *node, struct shard *shard, const char *executor);
+void preempt_check(struct node *node, struct shard *shard, const char *executor);
 void preempt_committed(struct node *node, struct shard *shard, struct job *job, const struct op *op);
 static inline int row_preempted(const struct row *row) { return row->preempted && row->preempted == row->attempt; }
 
@@ -266,6 +268,6 @@
 void enqueue_cancel(struct node *node, int64_t request, int64_t job);
 void enqueue_show(struct node *node, int64_t request, int64_t job, const char *path);
 void enqueue_list(struct node *node, int64_t request, int64_t shard, const char *path);
-void enqueue_committed(struct node *node, struct shard *shard, const struct buffered_op *b, int folded);
+void enqueue_committed(struct node *node, struct shard *shard, const struct buffered_op *b, int apply_error);
 void enqueue_runs(struct node *node);
 #endif
--- a/src/shard/assign.c
+++ b/src/shard/assign.c
@@ -7,39 +7,40 @@
 
 enum { ROOM_FRESH_MS = 2000 };
 
-struct room *room_find(struct node *node, const char *executor)
+struct executor_summary *executor_summary_find(struct node *node, const char *executor)
 {
-    for (int64_t i = 0; i < node->n_rooms; i++)
-        if (!strcmp(node->rooms[i].executor, executor))
-            return &node->rooms[i];
+    for (int64_t i = 0; i < node->n_executor_summaries; i++)
+        if (!strcmp(node->executor_summaries[i].executor, executor))
+            return &node->executor_summaries[i];
     return NULL;
 }
 
-void rooms_take(struct node *node, int64_t from, struct rooms_msg *m)
+void executor_summaries_merge(struct node *node, int64_t from, struct executor_summaries_msg *m)
 {
     for (int64_t i = 0; i < m->n; i++) {
-        struct room *room = &m->rooms[i];
-        if (!room->executor || !room->kind || !room->rack || room->home != from)
+        struct executor_summary *executor_summary = &m->executor_summaries[i];
+        if (!executor_summary->executor || !executor_summary->kind || !executor_summary->rack ||
+            executor_summary->executor_owner != from)
             continue;
-        struct room *have = room_find(node, room->executor);
-        if (have && room->epoch < have->epoch)
+        struct executor_summary *have = executor_summary_find(node, executor_summary->executor);
+        if (have && executor_summary->epoch < have->epoch)
             continue;
         int64_t slow_pct = have ? have->slow_pct : 100;
         if (!have)
-            have = array_add(node->rooms, node->n_rooms);
+            have = array_add(node->executor_summaries, node->n_executor_summaries);
         else
-            schema_free(&room_schema, have);
-        *have = *room;
+            schema_free(&executor_summary_schema, have);
+        *have = *executor_summary;
         have->slow_pct = slow_pct;
         have->seen_ms = world_ms(node->w);
-        memset(room, 0, sizeof *room); /* its strings are ours now */
+        memset(executor_summary, 0, sizeof *executor_summary); /* its strings are ours now */
     }
 }
 
-static int serves(const struct room *room, const char *service)
+static int serves(const struct executor_summary *executor_summary, const char *service)
 {
-    for (int64_t i = 0; i < room->n_services; i++)
-        if (!strcmp(room->services[i], service))
+    for (int64_t i = 0; i < executor_summary->n_services; i++)
+        if (!strcmp(executor_summary->services[i], service))
             return 1;
     return 0;
 }
@@ -56,26 +57,27 @@
     const char *rack;
 };
 
-static void crowd_add(struct node *node, struct crowd *crowd, const struct room *room, const char *executor)
+static void crowd_add(struct node *node, struct crowd *crowd, const struct executor_summary *executor_summary,
+                      const char *executor)
 {
-    struct room *other = room_find(node, executor);
-    crowd->on_executor += !strcmp(executor, room->executor);
-    crowd->on_rack += other && !strcmp(other->rack, room->rack);
+    struct executor_summary *other = executor_summary_find(node, executor);
+    crowd->on_executor += !strcmp(executor, executor_summary->executor);
+    crowd->on_rack += other && !strcmp(other->rack, executor_summary->rack);
     if (other)
         crowd->rack = other->rack;
 }
 
-static struct crowd crowd_of(struct node *node, const struct job *job, int64_t step, const struct room *room,
-                             const struct staging *own)
+static struct crowd crowd_of(struct node *node, const struct job *job, int64_t step,
+                             const struct executor_summary *executor_summary, const struct staging *own)
 {
     struct crowd crowd = {0};
-    int64_t first = spec_first(&job->spec, step), n = job->spec.steps[step].n_tasks;
+    int64_t first = spec_first_task(&job->spec, step), n = job->spec.steps[step].n_tasks;
     for (int64_t i = first; i < first + n; i++)
         if (job->rows[i].state == ROW_PLACED ||
             (job->rows[i].state == ROW_DONE && !strcmp(job->spec.steps[step].rack, "one")))
             if (job->rows[i].executor) {
                 struct crowd one = crowd;
-                crowd_add(node, &one, room, job->rows[i].executor);
+                crowd_add(node, &one, executor_summary, job->rows[i].executor);
                 if (job->rows[i].state != ROW_PLACED)
                     one.on_executor = crowd.on_executor, one.on_rack = crowd.on_rack;
                 crowd = one;
@@ -86,75 +88,78 @@
             continue;
         for (int64_t k = 0; k < staging->n_places; k++)
             if (staging->places[k].executor)
-                crowd_add(node, &crowd, room, staging->places[k].executor);
+                crowd_add(node, &crowd, executor_summary, staging->places[k].executor);
     }
     for (int64_t k = 0; own && k < own->n_places; k++)
         if (own->places[k].executor)
-            crowd_add(node, &crowd, room, own->places[k].executor);
+            crowd_add(node, &crowd, executor_summary, own->places[k].executor);
     return crowd;
 }
 
-static const char *denies(struct node *node, const struct job *job, int64_t no, const struct room *room,
-                          const struct staging *own)
+static const char *denies(struct node *node, const struct job *job, int64_t no,
+                          const struct executor_summary *executor_summary, const struct staging *own)
 {
     int64_t step = 0, now_ms = node_fleet_ms(node);
     const struct task_spec *task = spec_task(&job->spec, no, &step);
     const struct step_spec *s = &job->spec.steps[step];
     static const char *const states[] = {NULL, "silent", "leaving", "in quarantine", NULL, "closed"};
-    if (!serves(room, job->spec.service))
+    if (!serves(executor_summary, job->spec.service))
         return "does not serve this service";
-    if (strcmp(room->kind, task->kind))
+    if (strcmp(executor_summary->kind, task->kind))
         return "is of another kind";
-    if (room->cores < task->cores || room->mem_mb < task->mem_mb)
+    if (executor_summary->cores < task->cores || executor_summary->mem_mb < task->mem_mb)
         return "could never hold it";
-    if (rack_named(s) && strcmp(s->rack, room->rack))
+    if (rack_named(s) && strcmp(s->rack, executor_summary->rack))
         return "is not on the named rack";
-    if (states[room->state])
-        return states[room->state];
-    if (world_ms(node->w) - room->seen_ms > ROOM_FRESH_MS)
+    if (states[executor_summary->state])
+        return states[executor_summary->state];
+    if (world_ms(node->w) - executor_summary->seen_ms > ROOM_FRESH_MS)
         return "its home has not been heard";
-    if (config_tree_drain(&node->config_tree, room->executor, now_ms, node_settings(node, job->queue)->lease_ms))
+    if (config_tree_drain(&node->config_tree, executor_summary->executor, now_ms,
+                          node_settings(node, job->queue)->lease_ms))
         return "the calendar drains it";
-    if ((!own || !own->ignores_view) && (room->free_cores < task->cores || room->free_mb < task->mem_mb))
+    if ((!own || !own->ignores_view) &&
+        (executor_summary->free_cores < task->cores || executor_summary->free_mb < task->mem_mb))
         return "has no room now";
-    if (own && !own->ignores_view && own->urgency > room->wanted)
+    if (own && !own->ignores_view && own->urgency > executor_summary->wanted)
         return "keeps its room for more urgent work";
-    struct crowd crowd = crowd_of(node, job, step, room, own);
+    struct crowd crowd = crowd_of(node, job, step, executor_summary, own);
     if (s->per_executor && crowd.on_executor >= s->per_executor)
         return "holds as many of this step as allowed";
     if (s->per_rack && crowd.on_rack >= s->per_rack)
         return "its rack holds as many of this step as allowed";
-    if (s->rack && !strcmp(s->rack, "one") && crowd.rack && strcmp(crowd.rack, room->rack))
+    if (s->rack && !strcmp(s->rack, "one") && crowd.rack && strcmp(crowd.rack, executor_summary->rack))
         return "the step keeps to another rack";
     return NULL;
 }
 
-const char *assign_denies(struct node *node, const struct job *job, int64_t no, const struct room *room)
+const char *assign_rejection(struct node *node, const struct job *job, int64_t no,
+                             const struct executor_summary *executor_summary)
 {
-    return denies(node, job, no, room, NULL);
+    return denies(node, job, no, executor_summary, NULL);
 }
 
-static int64_t score(struct node *node, const struct room *room)
+static int64_t score(struct node *node, const struct executor_summary *executor_summary)
 {
-    int64_t free = room->cores ? room->free_cores * 1000 / room->cores : 0;
+    int64_t free = executor_summary->cores ? executor_summary->free_cores * 1000 / executor_summary->cores : 0;
     /* judged by progress: one that takes twice as long as the others counts as full by a third */
-    if (room->slow_pct > 125)
-        free -= (room->slow_pct < 1000 ? room->slow_pct - 100 : 900) * 3;
+    if (executor_summary->slow_pct > 125)
+        free -= (executor_summary->slow_pct < 1000 ? executor_summary->slow_pct - 100 : 900) * 3;
     return free * 64 + (int64_t)(world_random(node->w) % 4096);
 }
 
 /* A task is done: how long that took, against its queue's other work. Kept per
  * node from what its own shards see; an executor is slow to it, not by its word. */
-void assign_learn(struct node *node, const struct job *job, int64_t no)
+void assign_record_duration(struct node *node, const struct job *job, int64_t no)
 {
     const struct row *row = &job->rows[no];
     struct queue *q = &node->queues[job->queue];
-    struct room *room = row->executor ? room_find(node, row->executor) : NULL;
+    struct executor_summary *executor_summary = row->executor ? executor_summary_find(node, row->executor) : NULL;
     int64_t took_ms = row->ended_ms - row->placed_ms;
-    if (!room || took_ms < 1)
+    if (!executor_summary || took_ms < 1)
         return;
     int64_t pct = q->mean_ms ? took_ms * 100 / q->mean_ms : 100;
-    room->slow_pct += ((pct < 2000 ? pct : 2000) - room->slow_pct) / 4;
+    executor_summary->slow_pct += ((pct < 2000 ? pct : 2000) - executor_summary->slow_pct) / 4;
     /* a slow executor must not become the measure of its queue */
     if (!q->mean_ms)
         q->mean_ms = took_ms;
@@ -164,19 +169,19 @@
         q->mean_ms = 1;
 }
 
-static struct room *best_room(struct node *node, const struct job *job, int64_t no, const struct staging *own,
-                              const char *rack)
+static struct executor_summary *best_room(struct node *node, const struct job *job, int64_t no,
+                                          const struct staging *own, const char *rack)
 {
-    struct room *best = NULL;
+    struct executor_summary *best = NULL;
     int64_t best_score = 0;
-    for (int64_t i = 0; i < node->n_rooms; i++) {
-        struct room *room = &node->rooms[i];
-        if ((rack && strcmp(rack, room->rack)) || denies(node, job, no, room, own))
+    for (int64_t i = 0; i < node->n_executor_summaries; i++) {
+        struct executor_summary *executor_summary = &node->executor_summaries[i];
+        if ((rack && strcmp(rack, executor_summary->rack)) || denies(node, job, no, executor_summary, own))
             continue;
-        int64_t value = score(node, room);
+        int64_t value = score(node, executor_summary);
         if (best && value <= best_score)
             continue;
-        best = room;
+        best = executor_summary;
         best_score = value;
     }
     return best;
@@ -186,11 +191,12 @@
 {
     for (int64_t i = 0; i < staging->n_places; i++) {
         struct staging_place *place = &staging->places[i];
-        struct room *room = place->executor ? room_find(node, place->executor) : NULL;
+        struct executor_summary *executor_summary =
+            place->executor ? executor_summary_find(node, place->executor) : NULL;
         const struct task_spec *task = spec_task(&job->spec, place->no, NULL);
-        if (room) {
-            room->free_cores += task->cores;
-            room->free_mb += task->mem_mb;
+        if (executor_summary) {
+            executor_summary->free_cores += task->cores;
+            executor_summary->free_mb += task->mem_mb;
         }
         free(place->executor);
         place->executor = NULL;
@@ -201,18 +207,18 @@
 {
     for (int64_t i = 0; i < staging->n_places; i++) {
         struct staging_place *place = &staging->places[i];
-        struct room *room = best_room(node, job, place->no, staging, rack);
+        struct executor_summary *executor_summary = best_room(node, job, place->no, staging, rack);
         const struct task_spec *task = spec_task(&job->spec, place->no, NULL);
-        if (!room) {
+        if (!executor_summary) {
             give_back(node, job, staging);
             return ERROR_REJECTED;
         }
-        place->executor = must_dup(room->executor);
-        place->home_epoch = room->epoch;
-        place->incarnation = room->incarnation;
-        place->home = room->home;
-        room->free_cores -= task->cores; /* until the home says better */
-        room->free_mb -= task->mem_mb;
+        place->executor = must_dup(executor_summary->executor);
+        place->executor_epoch = executor_summary->epoch;
+        place->incarnation = executor_summary->incarnation;
+        place->executor_owner = executor_summary->executor_owner;
+        executor_summary->free_cores -= task->cores; /* until the home says better */
+        executor_summary->free_mb -= task->mem_mb;
     }
     return ERROR_NONE;
 }
@@ -224,11 +230,11 @@
     (void)shard;
     if (staging->n_places == 1 || !step->rack || strcmp(step->rack, "one"))
         return assign_on(node, job, staging, NULL);
-    for (int64_t i = 0; i < node->n_rooms; i++) {
+    for (int64_t i = 0; i < node->n_executor_summaries; i++) {
         int seen = 0;
         for (int64_t k = 0; k < i && !seen; k++)
-            seen = !strcmp(node->rooms[k].rack, node->rooms[i].rack);
-        if (!seen && !assign_on(node, job, staging, node->rooms[i].rack))
+            seen = !strcmp(node->executor_summaries[k].rack, node->executor_summaries[i].rack);
+        if (!seen && !assign_on(node, job, staging, node->executor_summaries[i].rack))
             return ERROR_NONE;
     }
     return ERROR_REJECTED;
@@ -243,12 +249,12 @@
     for (int64_t t = 0; t < step->n_tasks; t++)
         if (step->tasks[t].cores < least)
             least = step->tasks[t].cores;
-    for (int64_t i = 0; i < node->n_rooms; i++) {
-        const struct room *room = &node->rooms[i];
-        if (!serves(room, spec->service) || strcmp(room->kind, step->tasks[0].kind) ||
-            (rack && strcmp(rack, room->rack)))
+    for (int64_t i = 0; i < node->n_executor_summaries; i++) {
+        const struct executor_summary *executor_summary = &node->executor_summaries[i];
+        if (!serves(executor_summary, spec->service) || strcmp(executor_summary->kind, step->tasks[0].kind) ||
+            (rack && strcmp(rack, executor_summary->rack)))
             continue;
-        int64_t here = least > 0 ? room->cores / least : step->n_tasks;
+        int64_t here = least > 0 ? executor_summary->cores / least : step->n_tasks;
         n += step->per_executor && here > step->per_executor ? step->per_executor : here;
     }
     return n;
@@ -265,8 +271,8 @@
         return most_at_once(node, spec, step, step->rack) >= step->n_tasks;
     if (!step->rack || strcmp(step->rack, "one"))
         return most_at_once(node, spec, step, NULL) >= step->n_tasks;
-    for (int64_t i = 0; i < node->n_rooms; i++)
-        if (most_at_once(node, spec, step, node->rooms[i].rack) >= step->n_tasks &&
+    for (int64_t i = 0; i < node->n_executor_summaries; i++)
+        if (most_at_once(node, spec, step, node->executor_summaries[i].rack) >= step->n_tasks &&
             (!step->per_rack || step->per_rack >= step->n_tasks))
             return 1;
     return 0;
@@ -278,7 +284,7 @@
     int64_t homes = 0, no = 0;
     for (int64_t i = 0; i < node->config_tree.n_ownerships; i++)
         homes += !strncmp(node->config_tree.ownerships[i].name, "home/", 5);
-    if (!homes || node->n_rooms < homes)
+    if (!homes || node->n_executor_summaries < homes)
         return 1;
     for (int64_t s = 0; s < spec->n_steps; s++) {
         *bad_no = no;
@@ -287,11 +293,11 @@
         for (int64_t t = 0; t < spec->steps[s].n_tasks; t++, no++) {
             const struct task_spec *task = &spec->steps[s].tasks[t];
             int fits = 0;
-            for (int64_t i = 0; i < node->n_rooms && !fits; i++) {
-                const struct room *room = &node->rooms[i];
-                fits = serves(room, spec->service) && !strcmp(room->kind, task->kind) && room->cores >= task->cores &&
-                       room->mem_mb >= task->mem_mb &&
-                       (!rack_named(&spec->steps[s]) || !strcmp(spec->steps[s].rack, room->rack));
+            for (int64_t i = 0; i < node->n_executor_summaries && !fits; i++) {
+                const struct executor_summary *executor_summary = &node->executor_summaries[i];
+                fits = serves(executor_summary, spec->service) && !strcmp(executor_summary->kind, task->kind) &&
+                       executor_summary->cores >= task->cores && executor_summary->mem_mb >= task->mem_mb &&
+                       (!rack_named(&spec->steps[s]) || !strcmp(spec->steps[s].rack, executor_summary->rack));
             }
             *bad_no = no;
             if (!fits)
--- a/src/shard/enqueue.c
+++ b/src/shard/enqueue.c
@@ -47,7 +47,7 @@
         }
         return;
     }
-    const struct job *job = rows_job(&shard->rows, known);
+    const struct job *job = rows_find_job(&shard->rows, known);
     if (job->body_hash != hash)
         api_error(node, request, ERROR_KEY_TAKEN, "this key names a job with another body");
     else
@@ -58,7 +58,7 @@
 {
     const struct settings *settings = node_settings(node, queue);
     int64_t bad_no = 0;
-    for (int64_t i = 0; i < spec_tasks(spec); i++) {
+    for (int64_t i = 0; i < spec_task_count(spec); i++) {
         const struct task_spec *task = spec_task(spec, i, NULL);
         if (task->payload && (int64_t)strlen(task->payload) > settings->payload_max)
             return api_error(node, request, ERROR_TOO_LARGE, "task %lld: payload over this queue's %lld bytes",
@@ -107,7 +107,7 @@
 static void take_job(struct node *node, struct shard *shard, int64_t request, const struct job_spec *spec,
                      const char *body)
 {
-    int64_t hash = body_hash(spec), known = rows_key(&shard->rows, spec->key);
+    int64_t hash = body_hash(spec), known = rows_find_key(&shard->rows, spec->key);
     int64_t queue = node_queue(node, spec->service, spec->queue);
     struct request *r = slab_at(&node->requests, request);
     int redirected = key_shard(spec->key) != shard->no;
@@ -154,20 +154,20 @@
     schema_free(&job_spec_schema, &spec);
 }
 
-void enqueue_committed(struct node *node, struct shard *shard, const struct buffered_op *b, int folded)
+void enqueue_committed(struct node *node, struct shard *shard, const struct buffered_op *b, int apply_error)
 {
     const struct op *op = &b->op;
     if (op->kind == OP_JOB) {
-        struct job *job = folded ? NULL : rows_job(&shard->rows, op->job);
+        struct job *job = apply_error ? NULL : rows_find_job(&shard->rows, op->job);
         if (job) {
             job->queue = node_queue(node, job->spec.service, job->spec.queue);
-            ready_new(node, shard, job);
+            ready_add_job(node, shard, job);
             node_journal_add(node, job->id, -1, 0, "accepted", job->spec.key);
             world_note(node->w, EV_JOB_TAKEN, "job=%lld key=%s", (long long)job->id, job->spec.key);
             if (b->request)
                 answer_job(node, b->request, job, 201);
         } else if (b->request) {
-            int64_t known = rows_key(&shard->rows, op->spec->key);
+            int64_t known = rows_find_key(&shard->rows, op->spec->key);
             char *body = schema_to_text(&job_spec_schema, op->spec);
             if (known)
                 answer_known(node, shard, b->request, known, op->body_hash, body);
@@ -177,17 +177,17 @@
         }
     } else if (op->kind == OP_REDIRECT && b->request) {
         char *body = schema_to_text(&job_spec_schema, op->spec);
-        int64_t known = rows_key(&shard->rows, op->key);
+        int64_t known = rows_find_key(&shard->rows, op->key);
         answer_known(node, shard, b->request, known ? known : -1 - op->to_shard, op->body_hash, body);
         free(body);
     } else if (op->kind == OP_CANCEL) {
-        struct job *job = rows_job(&shard->rows, op->job);
+        struct job *job = rows_find_job(&shard->rows, op->job);
         node_journal_add(node, op->job, -1, 0, "cancelled", NULL);
         for (int64_t i = 0; job && i < job->n_rows; i++)
             if (job->rows[i].state == ROW_PLACED && job->state == JOB_CANCELLING)
                 track_stop(node, shard, job, i);
-        if (job && job_ended(job) && !folded)
-            ready_time(shard, job->ended_ms + node_settings(node, job->queue)->keep_ms, job->id, 0);
+        if (job && job_ended(job) && !apply_error)
+            ready_schedule_check(shard, job->ended_ms + node_settings(node, job->queue)->keep_ms, job->id, 0);
         if (job && b->request)
             answer_job(node, b->request, job, 200);
         else if (b->request)
@@ -206,7 +206,7 @@
 void enqueue_cancel(struct node *node, int64_t request, int64_t id)
 {
     struct shard *shard = open_shard(node, request, job_shard(id));
-    struct job *job = shard ? rows_job(&shard->rows, id) : NULL;
+    struct job *job = shard ? rows_find_job(&shard->rows, id) : NULL;
     if (shard && !job)
         api_error(node, request, ERROR_NOT_FOUND, "no such job");
     else if (job && (job_ended(job) || job->state == JOB_CANCELLING))
@@ -218,7 +218,7 @@
 void enqueue_show(struct node *node, int64_t request, int64_t id, const char *path)
 {
     struct shard *shard = open_shard(node, request, job_shard(id));
-    struct job *job = shard ? rows_job(&shard->rows, id) : NULL;
+    struct job *job = shard ? rows_find_job(&shard->rows, id) : NULL;
     char *task = api_query_param(path, "why");
     if (shard && !job)
         api_error(node, request, ERROR_NOT_FOUND, "no such job");
@@ -241,12 +241,12 @@
     int64_t id = dot ? (no << SHARD_BITS) | text_to_int64(dot + 1) : 0, n = 0;
     struct job *job = NULL;
     if (key) {
-        int64_t known = rows_key(&shard->rows, key);
+        int64_t known = rows_find_key(&shard->rows, key);
         if (known > 0)
-            json_array_append_new(list, job_view(rows_job(&shard->rows, known), 0));
+            json_array_append_new(list, job_view(rows_find_job(&shard->rows, known), 0));
     } else {
         char next[48];
-        while (n < LIST_PAGE && (job = rows_next(&shard->rows, &id))) {
+        while (n < LIST_PAGE && (job = rows_next_job(&shard->rows, &id))) {
             json_array_append_new(list, job_view(job, 0));
             n++;
         }
@@ -269,7 +269,7 @@
     char key[200];
     snprintf(key, sizeof key, "run:%.100s:%lld", p->id, (long long)at_ms);
     struct shard *shard = &node->shards[key_shard(key)];
-    if (shard->state != SHARD_OPEN || rows_key(&shard->rows, key))
+    if (shard->state != SHARD_OPEN || rows_find_key(&shard->rows, key))
         return;
     for (int64_t i = 0; i < shard->n_buffer; i++)
         if (shard->buffer[i].op.kind == OP_JOB && !strcmp(shard->buffer[i].op.spec->key, key))
--- a/src/shard/gang.c
+++ b/src/shard/gang.c
@@ -7,7 +7,7 @@
 
 enum { HOLD_MS = 1200 };
 
-int gang_is(const struct job *job, int64_t no)
+int is_gang_member(const struct job *job, int64_t no)
 {
     int64_t step = 0;
     spec_task(&job->spec, no, &step);
@@ -18,7 +18,7 @@
 {
     int64_t step = 0;
     spec_task(&job->spec, no, &step);
-    *first = spec_first(&job->spec, step);
+    *first = spec_first_task(&job->spec, step);
     *end = *first + job->spec.steps[step].n_tasks;
 }
 
@@ -26,7 +26,7 @@
 int gang_may_stage(const struct job *job, int64_t no)
 {
     int64_t first, end;
-    if (!gang_is(job, no))
+    if (!is_gang_member(job, no))
         return 1;
     members(job, no, &first, &end);
     for (int64_t i = first; i < end; i++)
@@ -39,7 +39,7 @@
 {
     struct row *row = &job->rows[no];
     row->held = row->runs = row->gang_ms = 0;
-    if (gang_is(job, no))
+    if (is_gang_member(job, no))
         row->gang_ms = world_ms(node->w);
 }
 
@@ -55,7 +55,7 @@
 /* A home's word on one member. Once all are held or more, those held may go;
  * after a change of owner the words are gathered again, and one that already
  * runs means that the go was given. */
-void gang_seen(struct node *node, struct shard *shard, struct job *job, int64_t no, int64_t state)
+void gang_on_member_state(struct node *node, struct shard *shard, struct job *job, int64_t no, int64_t state)
 {
     int64_t first, end;
     struct row *row = &job->rows[no];
@@ -73,7 +73,7 @@
 }
 
 /* Too long without the whole gang running: all of it is stopped. */
-void gang_watch(struct node *node, struct shard *shard, struct job *job, int64_t no)
+void gang_check_timeout(struct node *node, struct shard *shard, struct job *job, int64_t no)
 {
     int64_t first, end, now_ms = world_ms(node->w);
     struct row *row = &job->rows[no];
--- a/src/shard/owner.c
+++ b/src/shard/owner.c
@@ -40,7 +40,7 @@
         int64_t number = slab_number(&node->stagings, i);
         struct staging *staging = slab_at(&node->stagings, number);
         if (staging && staging->shard == shard->no)
-            place_forget(node, number);
+            staging_free(node, number);
     }
     ready_clear(shard);
     free(shard->placed);
@@ -81,7 +81,7 @@
     shard->proposal = node_propose(node, GROUP_JOBS, &op, OPEN_WAIT_MS, opened, shard->epoch * SHARD_COUNT + shard->no);
 }
 
-void shard_follow(struct node *node, struct shard *shard, int64_t epoch, int mine)
+void shard_on_owner_change(struct node *node, struct shard *shard, int64_t epoch, int mine)
 {
     if (epoch <= shard->epoch)
         return;
--- a/src/shard/place.c
+++ b/src/shard/place.c
@@ -13,10 +13,10 @@
 
 static struct job *staging_job(struct node *node, const struct staging *staging)
 {
-    return rows_job(&node->shards[staging->shard].rows, staging->job);
+    return rows_find_job(&node->shards[staging->shard].rows, staging->job);
 }
 
-void place_forget(struct node *node, int64_t number)
+void staging_free(struct node *node, int64_t number)
 {
     struct staging *staging = staging_at(node, number);
     if (!staging)
@@ -29,17 +29,18 @@
 }
 
 /* The places of one executor, from index i on, as one message. */
-static int64_t gather(struct node *node, const struct staging *staging, int64_t number, int64_t i, struct reserve *m)
+static int64_t gather(struct node *node, const struct staging *staging, int64_t number, int64_t i,
+                      struct reserve_request *m)
 {
     const struct staging_place *first = &staging->places[i];
     struct job *job = staging_job(node, staging);
-    *m = (struct reserve){.req = number,
-                          .shard = staging->shard,
-                          .shard_epoch = staging->shard_epoch,
-                          .home_epoch = first->home_epoch,
-                          .incarnation = first->incarnation,
-                          .executor = first->executor,
-                          .urgency = staging->urgency};
+    *m = (struct reserve_request){.req = number,
+                                  .shard = staging->shard,
+                                  .shard_epoch = staging->shard_epoch,
+                                  .executor_epoch = first->executor_epoch,
+                                  .incarnation = first->incarnation,
+                                  .executor = first->executor,
+                                  .urgency = staging->urgency};
     for (int64_t k = 0; k < i; k++)
         if (!strcmp(staging->places[k].executor, first->executor))
             return 0; /* went with an earlier one */
@@ -60,10 +61,10 @@
 static void each_executor(struct node *node, int64_t number, enum frame_kind kind)
 {
     struct staging copy = *staging_at(node, number);
-    struct reserve m;
+    struct reserve_request m;
     for (int64_t i = 0; i < copy.n_places; i++) {
         if (gather(node, &copy, number, i, &m))
-            node_send(node, copy.places[i].home, kind, &reserve_schema, &m);
+            node_send(node, copy.places[i].executor_owner, kind, &reserve_request_schema, &m);
         free(m.tasks);
         /* a home on this node may have answered and ended the staging already */
         if (!staging_at(node, number))
@@ -87,11 +88,11 @@
             node_journal_add(node, job->id, staging->places[i].no, row->attempt + 1, "given back",
                              staging->places[i].executor);
             /* a random wait lets two gangs that want the same rooms miss each other */
-            ready_time(shard, now_ms + 20 + (int64_t)(world_random(node->w) % AGAIN_MS), job->id,
-                       staging->places[i].no);
+            ready_schedule_check(shard, now_ms + 20 + (int64_t)(world_random(node->w) % AGAIN_MS), job->id,
+                                 staging->places[i].no);
         }
     }
-    place_forget(node, number);
+    staging_free(node, number);
 }
 
 static void commit(struct node *node, int64_t number)
@@ -107,13 +108,13 @@
         *array_add(op->places, op->n_places) = (struct place){.no = place->no,
                                                               .attempt = job->rows[place->no].attempt + 1,
                                                               .incarnation = place->incarnation,
-                                                              .home_epoch = place->home_epoch,
+                                                              .executor_epoch = place->executor_epoch,
                                                               .lease_ms = lease_ms,
                                                               .executor = must_dup(place->executor)};
     }
 }
 
-void place_on_reserved(struct node *node, const struct reserved *m)
+void place_on_reserved(struct node *node, const struct reserve_reply *m)
 {
     struct staging *staging = staging_at(node, m->req);
     if (!staging || staging->committing || !m->executor)
@@ -125,11 +126,11 @@
             place->answered = 1;
         waiting += !place->answered;
     }
-    struct room *room = room_find(node, m->executor);
+    struct executor_summary *executor_summary = executor_summary_find(node, m->executor);
     if (m->error) {
         staging->failed = 1;
-        if (room)
-            room->free_cores = 0; /* our view was wrong: wait for the home's next word */
+        if (executor_summary)
+            executor_summary->free_cores = 0; /* our view was wrong: wait for the home's next word */
     }
     if (waiting)
         return;
@@ -140,19 +141,19 @@
         commit(node, m->req);
 }
 
-void place_committed(struct node *node, struct shard *shard, int64_t number, const struct op *op, int folded)
+void place_committed(struct node *node, struct shard *shard, int64_t number, const struct op *op, int apply_error)
 {
     struct staging *staging = staging_at(node, number);
-    struct job *job = rows_job(&shard->rows, op->job);
-    if (folded) {
+    struct job *job = rows_find_job(&shard->rows, op->job);
+    if (apply_error) {
         if (staging && job) {
             each_executor(node, number, FRAME_RELEASE);
             for (int64_t i = 0; i < op->n_places; i++) {
                 job->rows[op->places[i].no].staged = 0;
-                ready_row(node, shard, job, op->places[i].no);
+                ready_add_row(node, shard, job, op->places[i].no);
             }
         }
-        place_forget(node, number);
+        staging_free(node, number);
         return;
     }
     for (int64_t i = 0; i < op->n_places; i++) {
@@ -162,22 +163,22 @@
         job->rows[no].stopping = 0;
         job->rows[no].checked_ms = world_ms(node->w);
         *array_add(shard->placed, shard->n_placed) = (struct task_ref){.job = job->id, .no = no};
-        ready_time(shard, job->rows[no].placed_ms + node_settings(node, job->queue)->run_max_ms, job->id, no);
+        ready_schedule_check(shard, job->rows[no].placed_ms + node_settings(node, job->queue)->run_max_ms, job->id, no);
         gang_placed(node, job, no);
         const struct task_spec *task = spec_task(&job->spec, no, NULL);
         if (task->deadline_ms)
-            ready_time(shard, job->created_ms + task->deadline_ms, job->id, no);
+            ready_schedule_check(shard, job->created_ms + task->deadline_ms, job->id, no);
         node->queues[job->queue].drained++;
         track_start(node, shard, job, no);
     }
-    place_forget(node, number);
+    staging_free(node, number);
 }
 
 /* --- picking --------------------------------------------------------------------- */
 
 static void stage(struct node *node, struct shard *shard, const struct ready_item *item)
 {
-    struct job *job = rows_job(&shard->rows, item->job);
+    struct job *job = rows_find_job(&shard->rows, item->job);
     int64_t number = slab_take(&node->stagings, sizeof(struct staging)), step = 0;
     int64_t now_ms = node_fleet_ms(node), latest = gang_may_stage(job, item->no) ? 0 : now_ms + AGAIN_MS;
     spec_task(&job->spec, item->no, &step);
@@ -190,7 +191,7 @@
                                 .until_ms = world_ms(node->w) + RESERVE_MS,
                                 .urgency = row_urgency(node, job->queue, item->priority, item->due_ms, now_ms)};
     if (job->spec.steps[step].gang) {
-        int64_t first = spec_first(&job->spec, step), n = job->spec.steps[step].n_tasks;
+        int64_t first = spec_first_task(&job->spec, step), n = job->spec.steps[step].n_tasks;
         for (int64_t i = first; i < first + n; i++) {
             if (job->rows[i].state != ROW_READY || job->rows[i].staged)
                 continue;
@@ -214,9 +215,9 @@
     if (rc) {
         for (int64_t i = 0; i < staging->n_places; i++) {
             job->rows[staging->places[i].no].staged = 0;
-            ready_time(shard, (latest > now_ms ? latest : now_ms + AGAIN_MS), job->id, staging->places[i].no);
+            ready_schedule_check(shard, (latest > now_ms ? latest : now_ms + AGAIN_MS), job->id, staging->places[i].no);
         }
-        place_forget(node, number);
+        staging_free(node, number);
         return;
     }
     for (int64_t i = 0; i < staging->n_places; i++)
--- a/src/shard/preempt.c
+++ b/src/shard/preempt.c
@@ -10,22 +10,22 @@
 /* When the executor will be gone, by fleet time; 0: not that we know. */
 static int64_t leaves_at(struct node *node, const char *executor, int64_t ahead_ms)
 {
-    const struct room *room = room_find(node, executor);
+    const struct executor_summary *executor_summary = executor_summary_find(node, executor);
     const struct planned *drain = config_tree_drain(&node->config_tree, executor, node_fleet_ms(node), ahead_ms);
-    int64_t at_ms = room ? room->leave_ms : 0;
+    int64_t at_ms = executor_summary ? executor_summary->leave_ms : 0;
     if (drain && (!at_ms || drain->at_ms < at_ms))
         at_ms = drain->at_ms;
     return at_ms;
 }
 
 /* Looks at what this shard has on that executor; asked each time it is checked. */
-void preempt_watch(struct node *node, struct shard *shard, const char *executor)
+void preempt_check(struct node *node, struct shard *shard, const char *executor)
 {
     int64_t now_ms = node_fleet_ms(node), at_ms = -1, for_ms = 0;
     if (peers_min_level(&node->peers) < LEVEL_PREEMPT)
         return;
     for (int64_t i = 0; i < shard->n_placed; i++) {
-        struct job *job = rows_job(&shard->rows, shard->placed[i].job);
+        struct job *job = rows_find_job(&shard->rows, shard->placed[i].job);
         struct row *row = job ? &job->rows[shard->placed[i].no] : NULL;
         if (!row || row->state != ROW_PLACED || row->staged || row->preempt_asked || row->stopping ||
             job->state != JOB_ACTIVE || strcmp(row->executor, executor))
@@ -46,7 +46,7 @@
 {
     int64_t step = 0;
     spec_task(&job->spec, op->no, &step);
-    int64_t first = spec_first(&job->spec, step), n = job->spec.steps[step].n_tasks;
+    int64_t first = spec_first_task(&job->spec, step), n = job->spec.steps[step].n_tasks;
     job->rows[op->no].preempt_asked = 0;
     for (int64_t i = first; i < first + n; i++) {
         struct row *row = &job->rows[i];
--- a/src/shard/ready.c
+++ b/src/shard/ready.c
@@ -79,7 +79,7 @@
 
 /* --- times -------------------------------------------------------------------------- */
 
-void ready_time(struct shard *shard, int64_t ms, int64_t job, int64_t no)
+void ready_schedule_check(struct shard *shard, int64_t ms, int64_t job, int64_t no)
 {
     Word_t key = (Word_t)(ms > shard->checkpoint_ms ? ms : shard->checkpoint_ms + 1);
     PWord_t at = (PWord_t)JudyLIns(&shard->times, key, NULL);
@@ -89,13 +89,13 @@
     *array_add(list->refs, list->n) = (struct task_ref){.job = job, .no = no};
 }
 
-void ready_row(struct node *node, struct shard *shard, struct job *job, int64_t no)
+void ready_add_row(struct node *node, struct shard *shard, struct job *job, int64_t no)
 {
     struct row *row = &job->rows[no];
     if (row->state != ROW_READY || row->staged || row->indexed || job->state != JOB_ACTIVE)
         return;
     if (row->due_ms > node_fleet_ms(node)) {
-        ready_time(shard, row->due_ms, job->id, no);
+        ready_schedule_check(shard, row->due_ms, job->id, no);
         return;
     }
     row->indexed = 1;
@@ -110,22 +110,22 @@
     const struct task_spec *task = spec_task(&job->spec, no, NULL);
     const struct settings *settings = node_settings(node, job->queue);
     int64_t from = job->spec.start_at_ms > job->created_ms ? job->spec.start_at_ms : job->created_ms;
-    ready_time(shard, from + (task->ttl_ms ? task->ttl_ms : settings->ttl_ms), job->id, no);
+    ready_schedule_check(shard, from + (task->ttl_ms ? task->ttl_ms : settings->ttl_ms), job->id, no);
     if (task->deadline_ms)
-        ready_time(shard, job->created_ms + task->deadline_ms, job->id, no);
+        ready_schedule_check(shard, job->created_ms + task->deadline_ms, job->id, no);
 }
 
-void ready_job(struct node *node, struct shard *shard, struct job *job)
+void ready_add_rows(struct node *node, struct shard *shard, struct job *job)
 {
     for (int64_t i = 0; i < job->n_rows; i++)
-        ready_row(node, shard, job, i);
+        ready_add_row(node, shard, job, i);
 }
 
-void ready_new(struct node *node, struct shard *shard, struct job *job)
+void ready_add_job(struct node *node, struct shard *shard, struct job *job)
 {
     for (int64_t i = 0; i < job->n_rows; i++)
         row_limits(node, shard, job, i);
-    ready_job(node, shard, job);
+    ready_add_rows(node, shard, job);
 }
 
 void ready_clear(struct shard *shard)
@@ -151,10 +151,10 @@
     struct job *job;
     ready_clear(shard);
     shard->checkpoint_ms = shard->rows.checkpoint_ms;
-    while ((job = rows_next(&shard->rows, &id))) {
+    while ((job = rows_next_job(&shard->rows, &id))) {
         job->queue = node_queue(node, job->spec.service, job->spec.queue);
         if (job_ended(job)) {
-            ready_time(shard, job->ended_ms + node_settings(node, job->queue)->keep_ms, job->id, 0);
+            ready_schedule_check(shard, job->ended_ms + node_settings(node, job->queue)->keep_ms, job->id, 0);
             continue;
         }
         for (int64_t i = 0; i < job->n_rows; i++) {
@@ -164,10 +164,11 @@
             if (job->rows[i].state == ROW_PLACED) {
                 *array_add(shard->placed, shard->n_placed) = (struct task_ref){.job = id, .no = i};
                 job->rows[i].stopping = row_preempted(&job->rows[i]); /* the stop goes on under a new owner */
-                ready_time(shard, job->rows[i].placed_ms + node_settings(node, job->queue)->run_max_ms, id, i);
+                ready_schedule_check(shard, job->rows[i].placed_ms + node_settings(node, job->queue)->run_max_ms, id,
+                                     i);
             }
         }
-        ready_job(node, shard, job);
+        ready_add_rows(node, shard, job);
     }
 }
 
@@ -198,9 +199,9 @@
         op->meta = must_dup(late ? "cutoff passed before it could start" : "ttl passed before it could start");
         row->staged = 1;
     } else if (late || stale) {
-        ready_time(shard, now_ms + 100, job->id, no); /* being placed just now: look again */
+        ready_schedule_check(shard, now_ms + 100, job->id, no); /* being placed just now: look again */
     } else {
-        ready_row(node, shard, job, no);
+        ready_add_row(node, shard, job, no);
     }
 }
 
@@ -217,7 +218,7 @@
         if ((int64_t)key > shard->checkpoint_ms)
             shard->checkpoint_ms = (int64_t)key;
         for (int64_t i = 0; i < list.n; i++) {
-            struct job *job = rows_job(&shard->rows, list.refs[i].job);
+            struct job *job = rows_find_job(&shard->rows, list.refs[i].job);
             shard->scanned++;
             if (job)
                 row_due(node, shard, job, list.refs[i].no, now_ms);
@@ -233,7 +234,7 @@
 {
     while (ready->n) {
         struct ready_item *head = &ready->items[0];
-        struct job *job = rows_job(&shard->rows, head->job);
+        struct job *job = rows_find_job(&shard->rows, head->job);
         struct row *row = job && head->no < job->n_rows ? &job->rows[head->no] : NULL;
         node->pick_steps++;
         if (row && job->state == JOB_ACTIVE && row->state == ROW_READY && !row->staged && row->indexed &&
@@ -243,7 +244,7 @@
         heap_pop(ready);
         if (row && row->indexed) {
             row->indexed = 0;
-            ready_row(node, shard, job, old.no);
+            ready_add_row(node, shard, job, old.no);
         }
     }
     return NULL;
@@ -287,7 +288,7 @@
         return 0;
     *item = best->items[0];
     heap_pop(best);
-    rows_job(&(*shard)->rows, item->job)->rows[item->no].indexed = 0;
+    rows_find_job(&(*shard)->rows, item->job)->rows[item->no].indexed = 0;
     node->picks++;
     return 1;
 }
--- a/src/shard/rows.c
+++ b/src/shard/rows.c
@@ -28,13 +28,13 @@
 
 void rows_start(struct rows *rows, int64_t shard) { *rows = (struct rows){.shard = shard, .next_job = 1}; }
 
-struct job *rows_job(const struct rows *rows, int64_t id)
+struct job *rows_find_job(const struct rows *rows, int64_t id)
 {
     PWord_t at = (PWord_t)JudyLGet((Pcvoid_t)rows->jobs, (Word_t)id, NULL);
     return at ? (struct job *)*at : NULL;
 }
 
-struct job *rows_next(const struct rows *rows, int64_t *id)
+struct job *rows_next_job(const struct rows *rows, int64_t *id)
 {
     Word_t index = (Word_t)*id;
     PWord_t at = (PWord_t)JudyLNext((Pcvoid_t)rows->jobs, &index, NULL);
@@ -42,7 +42,7 @@
     return at ? (struct job *)*at : NULL;
 }
 
-int64_t rows_key(const struct rows *rows, const char *key)
+int64_t rows_find_key(const struct rows *rows, const char *key)
 {
     PWord_t at = (PWord_t)JudySLGet((Pcvoid_t)rows->keys, (const uint8_t *)key, NULL);
     return at ? (int64_t)*at : 0;
@@ -68,7 +68,7 @@
 
 static void drop_job(struct rows *rows, struct job *job)
 {
-    if (rows_key(rows, job->spec.key) == job->id)
+    if (rows_find_key(rows, job->spec.key) == job->id)
         JudySLDel(&rows->keys, (const uint8_t *)job->spec.key, NULL);
     JudyLDel(&rows->jobs, (Word_t)job->id, NULL);
     rows->n_jobs--;
@@ -81,7 +81,7 @@
 {
     int64_t id = 0;
     struct job *job;
-    while ((job = rows_next(rows, &id)))
+    while ((job = rows_next_job(rows, &id)))
         drop_job(rows, job);
     JudySLFreeArray(&rows->keys, NULL);
     for (int64_t i = 0; i < rows->n_redirects; i++)
@@ -111,14 +111,14 @@
 
 static int fold_job(struct rows *rows, const struct op *op)
 {
-    if (!op->spec || rows_key(rows, op->spec->key) || rows_job(rows, op->job))
+    if (!op->spec || rows_find_key(rows, op->spec->key) || rows_find_job(rows, op->job))
         return ERROR_REJECTED;
     struct job *job = must_alloc(sizeof *job);
     job->id = op->job;
     job->created_ms = op->time_ms;
     job->body_hash = op->body_hash;
     schema_copy(&job_spec_schema, &job->spec, op->spec);
-    job->n_rows = spec_tasks(&job->spec);
+    job->n_rows = spec_task_count(&job->spec);
     job->rows = must_alloc(sizeof *job->rows * (size_t)job->n_rows);
     int64_t seq = op->job & ((1LL << SHARD_BITS) - 1);
     if (seq >= rows->next_job)
@@ -176,7 +176,7 @@
         row->state = ROW_PLACED;
         row->attempt = p->attempt;
         row->incarnation = p->incarnation;
-        row->home_epoch = p->home_epoch;
+        row->executor_epoch = p->executor_epoch;
         row->lease_ms = p->lease_ms;
         row->placed_ms = op->time_ms;
         free(row->executor);
@@ -226,7 +226,7 @@
         job->rows[op->no].attempt != op->attempt || job->state != JOB_ACTIVE)
         return ERROR_REJECTED;
     spec_task(&job->spec, op->no, &step);
-    int64_t first = spec_first(&job->spec, step), n = job->spec.steps[step].n_tasks;
+    int64_t first = spec_first_task(&job->spec, step), n = job->spec.steps[step].n_tasks;
     for (int64_t i = first; i < first + n; i++)
         if (job->rows[i].state == ROW_PLACED && (i == op->no || job->spec.steps[step].gang))
             job->rows[i].preempted = job->rows[i].attempt;
@@ -238,7 +238,7 @@
     if (op->kind == OP_JOB)
         return fold_job(rows, op);
     if (op->kind == OP_REDIRECT) {
-        if (!op->key || rows_key(rows, op->key))
+        if (!op->key || rows_find_key(rows, op->key))
             return ERROR_REJECTED;
         set_key(rows, op->key, -1 - op->to_shard);
         *array_add(rows->redirects, rows->n_redirects) =
@@ -247,7 +247,7 @@
     }
     if (op->kind == OP_ACK) /* changes nothing; that it was taken proves the epoch */
         return ERROR_NONE;
-    struct job *job = rows_job(rows, op->job);
+    struct job *job = rows_find_job(rows, op->job);
     if (!job)
         return ERROR_NOT_FOUND;
     if (op->kind == OP_DROP) {
@@ -306,7 +306,7 @@
     int64_t id = 0;
     struct job *job;
     form.jobs = must_alloc(sizeof *form.jobs * (size_t)rows->n_jobs);
-    while ((job = rows_next(rows, &id)))
+    while ((job = rows_next_job(rows, &id)))
         form.jobs[form.n_jobs++] = *job;
     schema_pack(&form_schema, &form, to);
     free(form.jobs);
@@ -331,7 +331,7 @@
     for (int64_t i = 0; i < form.n_jobs; i++) {
         struct job *job = must_alloc(sizeof *job);
         *job = form.jobs[i];
-        if (spec_tasks(&job->spec) != job->n_rows) {
+        if (spec_task_count(&job->spec) != job->n_rows) {
             schema_free(&job_schema, job);
             free(job);
             continue;
--- a/src/shard/rows.h
+++ b/src/shard/rows.h
@@ -14,8 +14,8 @@
 };
 struct step_spec {
     char *name, *rack;
-    char **after;
-    int64_t n_after;
+    char **depends_on;
+    int64_t n_depends_on;
     int64_t per_executor, per_rack, gang, start_at_ms;
     struct task_spec *tasks;
     int64_t n_tasks;
@@ -32,10 +32,10 @@
 enum job_state { JOB_ACTIVE, JOB_FAILING, JOB_CANCELLING, JOB_DONE, JOB_FAILED, JOB_CANCELLED };
 
 /* One task. Invariants: attempt counts placements and only rises; executor,
- * incarnation, home_epoch and lease_ms belong to that attempt and hold while
+ * incarnation, executor_epoch and lease_ms belong to that attempt and hold while
  * the state is ROW_PLACED. staged: an owner has work under way on it. */
 struct row {
-    int64_t state, attempt, failures, due_ms, incarnation, home_epoch, lease_ms, placed_ms, ended_ms;
+    int64_t state, attempt, failures, due_ms, incarnation, executor_epoch, lease_ms, placed_ms, ended_ms;
     int64_t preempted; /* the attempt that was to be stopped for our sake, committed before the stop */
     char *executor, *meta;
     /* of the owner's memory only */
@@ -58,7 +58,7 @@
 };
 
 struct place {
-    int64_t no, attempt, incarnation, home_epoch, lease_ms;
+    int64_t no, attempt, incarnation, executor_epoch, lease_ms;
     char *executor;
 };
 
@@ -103,16 +103,16 @@
 int rows_fold(struct rows *rows, const struct op *op);
 void rows_snapshot(const struct rows *rows, struct bytes *to);
 int rows_restore(struct rows *rows, const struct bytes *from);
-struct job *rows_job(const struct rows *rows, int64_t id);
+struct job *rows_find_job(const struct rows *rows, int64_t id);
 /* 0: unknown; > 0: job id; < 0: -1 - shard it was sent on to. */
-int64_t rows_key(const struct rows *rows, const char *key);
-struct job *rows_next(const struct rows *rows, int64_t *id); /* first with id > *id */
+int64_t rows_find_key(const struct rows *rows, const char *key);
+struct job *rows_next_job(const struct rows *rows, int64_t *id); /* first with id > *id */
 
 /* rows_spec.c */
-int64_t spec_tasks(const struct job_spec *spec);
+int64_t spec_task_count(const struct job_spec *spec);
 int spec_check(const struct job_spec *spec, struct validation_error *validation_error);
 const struct task_spec *spec_task(const struct job_spec *spec, int64_t no, int64_t *step);
-int64_t spec_first(const struct job_spec *spec, int64_t step);
+int64_t spec_first_task(const struct job_spec *spec, int64_t step);
 const char *row_state_name(int64_t state);
 const char *job_state_name(int64_t state);
 int job_step_ready(const struct job *job, int64_t step);
--- a/src/shard/rows_schemas.c
+++ b/src/shard/rows_schemas.c
@@ -6,7 +6,7 @@
                                           INT(row, failures),
                                           INT_NAMED(row, due_ms, "dueMs"),
                                           INT(row, incarnation),
-                                          INT_NAMED(row, home_epoch, "homeEpoch"),
+                                          INT_NAMED(row, executor_epoch, "homeEpoch"),
                                           INT_NAMED(row, lease_ms, "licenceMs"),
                                           INT_NAMED(row, placed_ms, "placedMs"),
                                           INT_NAMED(row, ended_ms, "endedMs"),
@@ -27,7 +27,7 @@
 static const struct field place_fields[] = {INT(place, no),
                                             INT(place, attempt),
                                             INT(place, incarnation),
-                                            INT_NAMED(place, home_epoch, "homeEpoch"),
+                                            INT_NAMED(place, executor_epoch, "homeEpoch"),
                                             INT_NAMED(place, lease_ms, "licenceMs"),
                                             STR(place, executor)};
 static SCHEMA(place_schema, place, place_fields);
--- a/src/shard/rows_spec.c
+++ b/src/shard/rows_spec.c
@@ -18,7 +18,7 @@
 static const struct field step_fields[] = {
     STR(step_spec, name, .flags = FF_REQUIRED, .min = 1, .max = 64),
     STR(step_spec, rack, .default_str = "any", .max = 64),
-    STRS(step_spec, after, n_after, .max = 64),
+    STRS_NAMED(step_spec, depends_on, "after", n_depends_on, .max = 64),
     INT_NAMED(step_spec, per_executor, "perExecutor", .min = 0, .max = 10000),
     INT_NAMED(step_spec, per_rack, "perRack", .min = 0, .max = 10000),
     BOOL(step_spec, gang),
@@ -35,7 +35,7 @@
     LIST(job_spec, steps, n_steps, step_spec_schema, .flags = FF_REQUIRED, .min = 1, .max = 64)};
 SCHEMA(job_spec_schema, job_spec, job_fields);
 
-int64_t spec_tasks(const struct job_spec *spec)
+int64_t spec_task_count(const struct job_spec *spec)
 {
     int64_t n = 0;
     for (int64_t i = 0; i < spec->n_steps; i++)
@@ -43,7 +43,7 @@
     return n;
 }
 
-int64_t spec_first(const struct job_spec *spec, int64_t step)
+int64_t spec_first_task(const struct job_spec *spec, int64_t step)
 {
     int64_t n = 0;
     for (int64_t i = 0; i < step; i++)
@@ -81,8 +81,8 @@
         before = left;
         for (int64_t i = 0; i < spec->n_steps; i++) {
             int free = !gone[i];
-            for (int64_t k = 0; free && k < spec->steps[i].n_after; k++)
-                free = gone[step_named(spec, spec->steps[i].after[k])];
+            for (int64_t k = 0; free && k < spec->steps[i].n_depends_on; k++)
+                free = gone[step_named(spec, spec->steps[i].depends_on[k])];
             if (free) {
                 gone[i] = 1;
                 left--;
@@ -112,12 +112,12 @@
         if (step_named(spec, step->name) != i)
             return validation_error_at(validation_error, ERROR_BAD_STEPS, "a name no other step has",
                                        "steps[%lld].name", i, 0);
-        for (int64_t k = 0; k < step->n_after; k++)
-            if (step_named(spec, step->after[k]) < 0)
+        for (int64_t k = 0; k < step->n_depends_on; k++)
+            if (step_named(spec, step->depends_on[k]) < 0)
                 return validation_error_at(validation_error, ERROR_BAD_STEPS, "the name of a step",
                                            "steps[%lld].after[%lld]", i, k);
     }
-    if (spec_tasks(spec) > TASKS_MAX)
+    if (spec_task_count(spec) > TASKS_MAX)
         return validation_error_at(validation_error, ERROR_TOO_LARGE, "at most 2000 tasks", "steps", 0, 0);
     if (has_cycle(spec))
         return validation_error_at(validation_error, ERROR_BAD_STEPS, "steps that do not wait for themselves", "steps",
@@ -128,9 +128,9 @@
 int job_step_ready(const struct job *job, int64_t step)
 {
     const struct step_spec *s = &job->spec.steps[step];
-    for (int64_t k = 0; k < s->n_after; k++) {
-        int64_t earlier = step_named(&job->spec, s->after[k]);
-        int64_t first = spec_first(&job->spec, earlier);
+    for (int64_t k = 0; k < s->n_depends_on; k++) {
+        int64_t earlier = step_named(&job->spec, s->depends_on[k]);
+        int64_t first = spec_first_task(&job->spec, earlier);
         for (int64_t i = 0; i < job->spec.steps[earlier].n_tasks; i++)
             if (job->rows[first + i].state != ROW_DONE)
                 return 0;
--- a/src/shard/track.c
+++ b/src/shard/track.c
@@ -25,11 +25,11 @@
     struct row *row = &job->rows[no];
     const struct task_spec *task = spec_task(&job->spec, no, NULL);
     int64_t epoch, to = home_addr(node, row->executor, &epoch);
-    if (job->state == JOB_CANCELLING || row->stopping || epoch != row->home_epoch)
+    if (job->state == JOB_CANCELLING || row->stopping || epoch != row->executor_epoch)
         return; /* the next check tells what to do */
     struct start_order m = {.shard = shard->no,
                             .shard_epoch = shard->epoch,
-                            .home_epoch = row->home_epoch,
+                            .executor_epoch = row->executor_epoch,
                             .incarnation = row->incarnation,
                             .executor = row->executor};
     m.start = (struct exec_start){.job = job->id,
@@ -42,7 +42,7 @@
                                   .queue = job->spec.queue,
                                   .kind = task->kind,
                                   .payload = task->payload,
-                                  .hold = gang_is(job, no),
+                                  .hold = is_gang_member(job, no),
                                   .stall_ms = node_settings(node, job->queue)->stall_ms};
     node_send(node, to, FRAME_START, &start_order_schema, &m);
 }
@@ -51,14 +51,14 @@
                       struct task_ref *refs, int64_t n)
 {
     int64_t epoch, to = home_addr(node, executor, &epoch);
-    struct check m = {.shard = shard->no,
-                      .shard_epoch = shard->epoch,
-                      .home_epoch = epoch,
-                      .executor = (char *)(uintptr_t)executor,
-                      .tasks = refs,
-                      .n_tasks = n};
+    struct check_request m = {.shard = shard->no,
+                              .shard_epoch = shard->epoch,
+                              .executor_epoch = epoch,
+                              .executor = (char *)(uintptr_t)executor,
+                              .tasks = refs,
+                              .n_tasks = n};
     if (n)
-        node_send(node, to, kind, &check_schema, &m);
+        node_send(node, to, kind, &check_request_schema, &m);
 }
 
 void track_go(struct node *node, struct shard *shard, struct job *job, int64_t no)
@@ -84,21 +84,21 @@
     struct task_ref *refs = NULL, *stops = NULL;
     for (int64_t i = 0; i < shard->n_placed; i++) {
         struct task_ref at = shard->placed[i];
-        struct job *job = rows_job(&shard->rows, at.job);
+        struct job *job = rows_find_job(&shard->rows, at.job);
         if (!job || job->rows[at.no].state != ROW_PLACED) {
             shard->placed[i--] = shard->placed[--shard->n_placed];
             continue;
         }
         struct row *row = &job->rows[at.no];
         if (row->gang_ms && !row->stopping)
-            gang_watch(node, shard, job, at.no);
+            gang_check_timeout(node, shard, job, at.no);
         if (now_ms - row->checked_ms < CHECK_MS)
             continue;
         int64_t n = 0, n_stops = 0;
         char *executor = must_dup(row->executor);
-        preempt_watch(node, shard, executor);
+        preempt_check(node, shard, executor);
         for (int64_t k = i; k < shard->n_placed; k++) {
-            job = rows_job(&shard->rows, shard->placed[k].job);
+            job = rows_find_job(&shard->rows, shard->placed[k].job);
             row = job ? &job->rows[shard->placed[k].no] : NULL;
             if (!row || row->state != ROW_PLACED || now_ms - row->checked_ms < CHECK_MS ||
                 strcmp(row->executor, executor))
@@ -144,7 +144,7 @@
         may_retry && job->state == JOB_ACTIVE && outcome != OUT_DONE &&
         (!failed || failures < settings->attempts_max) &&
         !(row->stopping && outcome == OUT_STOPPED && !preempted && spec_task(&job->spec, no, NULL)->deadline_ms);
-    if (gang_is(job, no) && outcome != OUT_DONE && outcome != OUT_FAILED)
+    if (is_gang_member(job, no) && outcome != OUT_DONE && outcome != OUT_FAILED)
         gang_stop(node, shard, job, no); /* it never ran, or ran no longer: the others neither */
     struct op *op = worker_buffer(node, shard, retry ? OP_NACK : OP_END, job->id, 0, 0);
     row->staged = 1;
@@ -178,7 +178,7 @@
     if (id <= 0 || s >= SHARD_COUNT || node->shards[s].state != SHARD_OPEN)
         return NULL;
     *shard = &node->shards[s];
-    struct job *job = rows_job(&(*shard)->rows, id);
+    struct job *job = rows_find_job(&(*shard)->rows, id);
     if (!job || no < 0 || no >= job->n_rows || job->rows[no].state != ROW_PLACED || job->rows[no].attempt != attempt)
         return NULL;
     return job;
@@ -208,28 +208,28 @@
     }
     if (job->rows[m->no].staged)
         return;
-    if (gang_is(job, m->no) && (m->outcome == OUT_DONE || m->outcome == OUT_FAILED))
-        gang_seen(node, shard, job, m->no, CHECK_RUNS);
+    if (is_gang_member(job, m->no) && (m->outcome == OUT_DONE || m->outcome == OUT_FAILED))
+        gang_on_member_state(node, shard, job, m->no, CHECK_RUNS);
     decide(node, shard, job, m->no, m->outcome, m->why);
 }
 
-void track_on_checked(struct node *node, const struct checked *m)
+void track_on_checked(struct node *node, const struct check_reply *m)
 {
     for (int64_t i = 0; i < m->n_tasks; i++) {
-        const struct checked_task *t = &m->tasks[i];
+        const struct check_result *t = &m->tasks[i];
         struct shard *shard = NULL;
         struct job *job = placed_job(node, t->job, t->no, t->attempt, &shard);
         struct row *row = job ? &job->rows[t->no] : NULL;
-        if (!row || row->staged || !admission_open(node) || m->home_epoch < row->home_epoch)
+        if (!row || row->staged || !admission_open(node) || m->executor_epoch < row->executor_epoch)
             continue;
         if (t->state == CHECK_GONE || (t->state == CHECK_UNKNOWN && m->incarnation != row->incarnation))
             decide(node, shard, job, t->no, OUT_GONE, "the executor went away with it");
-        else if (t->state == CHECK_UNKNOWN && m->home_epoch > row->home_epoch)
+        else if (t->state == CHECK_UNKNOWN && m->executor_epoch > row->executor_epoch)
             decide(node, shard, job, t->no, OUT_UNSTARTED, "the former home never had it started");
         else if (t->state == CHECK_UNKNOWN || t->state == CHECK_RESERVED)
             track_start(node, shard, job, t->no);
-        else if (gang_is(job, t->no))
-            gang_seen(node, shard, job, t->no, t->state);
+        else if (is_gang_member(job, t->no))
+            gang_on_member_state(node, shard, job, t->no, t->state);
     }
 }
 
@@ -249,7 +249,7 @@
         acknowledge(node, shard, op);
         return;
     }
-    struct job *job = rows_job(&shard->rows, op->job);
+    struct job *job = rows_find_job(&shard->rows, op->job);
     if (!job || op->no >= job->n_rows)
         return;
     struct row *row = &job->rows[op->no];
@@ -259,7 +259,7 @@
     }
     row->staged = row->stopping = row->preempt_asked = 0;
     if (op->kind == OP_END && op->state == ROW_DONE)
-        assign_learn(node, job, op->no);
+        assign_record_duration(node, job, op->no);
     if (row->executor && op->attempt == row->attempt) {
         int64_t epoch, to = home_addr(node, row->executor, &epoch);
         struct ended ack = {.job = op->job, .no = op->no, .attempt = op->attempt, .executor = row->executor};
@@ -267,8 +267,8 @@
     }
     if (job_ended(job)) {
         world_note(node->w, EV_JOB_ENDED, "job=%lld state=%s", (long long)job->id, job_state_name(job->state));
-        ready_time(shard, job->ended_ms + node_settings(node, job->queue)->keep_ms, job->id, 0);
+        ready_schedule_check(shard, job->ended_ms + node_settings(node, job->queue)->keep_ms, job->id, 0);
     } else {
-        ready_job(node, shard, job);
+        ready_add_rows(node, shard, job);
     }
 }
--- a/src/shard/worker.c
+++ b/src/shard/worker.c
@@ -24,7 +24,7 @@
 
 /* --- breaker -------------------------------------------------------------------- */
 
-void breaker_count(struct node *node, struct shard *shard, int good, int64_t took_ms)
+void breaker_record(struct node *node, struct shard *shard, int good, int64_t took_ms)
 {
     struct breaker *b = &shard->breaker;
     const struct settings *p = &node->root_settings;
@@ -96,7 +96,7 @@
     shard->proposal = 0;
     if (!error && schema_unpack(&batch_result_schema, &result, bytes->at, bytes->len))
         error = ERROR_BAD_FRAME;
-    breaker_count(node, shard, !error, took_ms);
+    breaker_record(node, shard, !error, took_ms);
     if (error)
         return; /* the same batch goes again; its numbers make that harmless */
     if (result.error == ERROR_EPOCH || result.error == ERROR_REJECTED)
--- a/tests/sim/api_test.cc
+++ b/tests/sim/api_test.cc
@@ -189,21 +189,21 @@
     EXPECT_GE(e->core.executor.state.epoch, 1);
     EXPECT_EQ(f.request(e, "POST", "/v1/orders", orders).status, 409);
     EXPECT_EQ(f.request(e, "POST", "/v1/orders", "{\"cluster\":\"other\",\"epoch\":9}").status, 400);
-    machine *home = sim_home(&f.s, "executor1");
-    home_take_duty(&home->core.node, "executor1", 0);
-    struct home *h = home_find(&home->core.node, "executor1");
+    machine *executor_owner = sim_home(&f.s, "executor1");
+    executor_owner_start(&executor_owner->core.node, "executor1", 0);
+    struct executor_owner *h = executor_owner_find(&executor_owner->core.node, "executor1");
     ASSERT_NE(h, nullptr);
     EXPECT_GE(h->epoch, 1);
-    reserve r = {};
+    reserve_request r = {};
     task_ref ref = {7, 0, 1, 1, 1};
-    r.shard = 2, r.shard_epoch = 1, r.home_epoch = h->epoch, r.incarnation = h->incarnation;
+    r.shard = 2, r.shard_epoch = 1, r.executor_epoch = h->epoch, r.incarnation = h->incarnation;
     r.executor = h->name, r.tasks = &ref, r.n_tasks = 1;
     int64_t rows = h->n_rows;
     h->shard_epochs[2] = 5;
-    home_on_reserve(&home->core.node, (int64_t)home->base.self, &r);
+    executor_owner_on_reserve(&executor_owner->core.node, (int64_t)executor_owner->base.self, &r);
     EXPECT_EQ(h->n_rows, rows);
     r.shard_epoch = 5;
-    home_on_reserve(&home->core.node, (int64_t)home->base.self, &r);
+    executor_owner_on_reserve(&executor_owner->core.node, (int64_t)executor_owner->base.self, &r);
     EXPECT_EQ(h->n_rows, rows + 1);
 }
 
--- a/tests/sim/executor_room_test.cc
+++ b/tests/sim/executor_room_test.cc
@@ -36,7 +36,7 @@
         int64_t shut = f.s.event_counts[EV_TASK_STILL];
         EXPECT_GT(shut, 0);
         EXPECT_EQ(still(8500), 0); // the limit, a new home, the stop
-        EXPECT_NE(room_find(&f.any()->core.node, e->name)->state, ROOM_OPEN);
+        EXPECT_NE(executor_summary_find(&f.any()->core.node, e->name)->state, EXECUTOR_OPEN);
         e->core.executor.stall_pct = 0;
         EXPECT_EQ(f.settle(load), 0);
         EXPECT_EQ(sim_load_state(&f.s, "done") + sim_load_state(&f.s, "failed"), load->n_jobs);
--- a/tests/sim/executor_test.cc
+++ b/tests/sim/executor_test.cc
@@ -123,7 +123,7 @@
         caller *again = sim_load(&f.s, 510, 10);
         EXPECT_EQ(f.settle(again), 0);
         EXPECT_GT(oracle_starts(f.s.oracle), before);
-        EXPECT_EQ(room_find(&f.any()->core.node, e->name)->state, ROOM_OPEN);
+        EXPECT_EQ(executor_summary_find(&f.any()->core.node, e->name)->state, EXECUTOR_OPEN);
     }
 }
 
@@ -224,7 +224,7 @@
     f.run(20000); // duties have settled
     machine *m = f.executor(1);
     auto home = [&] { return sim_home(&f.s, m->name); };
-    auto account = [&] { return home_find(&home()->core.node, m->name); };
+    auto account = [&] { return executor_owner_find(&home()->core.node, m->name); };
     std::string old = f.request(m, "GET", "/v1/state").body;
     f.run(1500);
     ASSERT_NE(account(), nullptr);
--- a/tests/sim/handover_test.cc
+++ b/tests/sim/handover_test.cc
@@ -135,7 +135,7 @@
         struct start_order order = {};
         order.shard = job_shard(j->id);
         order.shard_epoch = leader->core.keeper.shards[order.shard].epoch - 1;
-        order.home_epoch = home_find(&home->core.node, j->rows[0].executor)->epoch;
+        order.executor_epoch = executor_owner_find(&home->core.node, j->rows[0].executor)->epoch;
         order.incarnation = j->rows[0].incarnation;
         order.executor = j->rows[0].executor;
         order.start = {};
--- a/tests/sim/net_test.cc
+++ b/tests/sim/net_test.cc
@@ -192,9 +192,9 @@
         machine *e = f.at("executor" + std::to_string(1 + sim_pick(&f.s, 11)));
         auto waits = [&] {
             int64_t n = 0;
-            home *h = home_find(&sim_home(&f.s, e->name)->core.node, e->name);
+            executor_owner *h = executor_owner_find(&sim_home(&f.s, e->name)->core.node, e->name);
             for (int64_t i = 0; h && i < h->n_rows; i++)
-                n += h->rows[i].state == ACC_STARTING;
+                n += h->rows[i].state == ALLOCATION_STARTING;
             return n;
         };
         int sent = 0;
--- a/tests/sim/repair_test.cc
+++ b/tests/sim/repair_test.cc
@@ -42,7 +42,8 @@
         for (int i = 1; i <= 11 && whole; i++) {
             std::string name = "executor" + std::to_string(i);
             machine *m = sim_home(&f.s, name.c_str());
-            struct home *h = m && m->up && !m->frozen ? home_find(&m->core.node, name.c_str()) : nullptr;
+            struct executor_owner *h =
+                m && m->up && !m->frozen ? executor_owner_find(&m->core.node, name.c_str()) : nullptr;
             whole = h && h->opened;
         }
         if (whole || sim_ms(&f.s) - from > 30000)
--- a/tests/sim/strikes.cc
+++ b/tests/sim/strikes.cc
@@ -98,8 +98,8 @@
     int n = 0;
     for (int64_t shard = 0; leader && shard < SHARD_COUNT; shard++) {
         int64_t id = 0;
-        const job *j = rows_next(&leader->core.keeper.shards[shard], &id);
-        for (; j && n < 6; j = rows_next(&leader->core.keeper.shards[shard], &id)) {
+        const job *j = rows_next_job(&leader->core.keeper.shards[shard], &id);
+        for (; j && n < 6; j = rows_next_job(&leader->core.keeper.shards[shard], &id)) {
             char text[32];
             if (job_ended(j))
                 continue;
--- a/tests/unit/rows_test.cc
+++ b/tests/unit/rows_test.cc
@@ -107,7 +107,7 @@
     ASSERT_EQ((size_t)r->n_jobs, model.jobs.size());
     int64_t live = 0;
     for (auto &[id, want] : model.jobs) {
-        const job *have = rows_job(r, id);
+        const job *have = rows_find_job(r, id);
         ASSERT_NE(have, nullptr);
         ASSERT_EQ(have->state, want.state) << id;
         for (size_t i = 0; i < want.rows.size(); i++) {
@@ -218,7 +218,7 @@
     EXPECT_EQ(apply(2, 1, 0, 0).error, ERROR_EPOCH);
     EXPECT_EQ(apply(1, 0, 3, 1).error, ERROR_EPOCH);
     EXPECT_EQ(apply(3, 0, 1, 1).seq, 1);
-    EXPECT_EQ(rows_key(&r, "k"), -4);
+    EXPECT_EQ(rows_find_key(&r, "k"), -4);
     EXPECT_EQ(r.n_redirects, 1);
     rows_end(&r);
 }
