--- a/src/proc/disk.c
+++ b/src/proc/disk.c
@@ -8,7 +8,7 @@
 #include <unistd.h>
 
 #include "base/error.h"
-#include "proc/real.h"
+#include "proc/runtime.h"
 
 static struct runtime *real_of(struct world *w) { return (struct runtime *)w; }
 
--- a/src/proc/notes.c
+++ b/src/proc/event_log.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "base/events.h"
-#include "proc/real.h"
+#include "proc/runtime.h"
 
 static log4c_category_t *category;
 
--- a/src/proc/http_out.c
+++ b/src/proc/http_client.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#include "proc/real.h"
+#include "proc/runtime.h"
 
 /* A call in flight, freed after done() was called. headers: owned, NULL: the common ones; repeatable: it only reads;
  * headed: the head of the response is complete. Invariant: of one that is not repeatable no byte is sent on a second
--- a/src/proc/http_in.c
+++ b/src/proc/http_server.c
@@ -11,7 +11,7 @@
 #include "base/error.h"
 #include "base/events.h"
 #include "controller/codec.h"
-#include "proc/real.h"
+#include "proc/runtime.h"
 
 enum {
     BODY_MAX = 8 << 20,
--- a/src/proc/net.c
+++ b/src/proc/net.c
@@ -10,7 +10,7 @@
 
 #include "base/frame.h"
 #include "base/error.h"
-#include "proc/real.h"
+#include "proc/runtime.h"
 
 enum { AGAIN_MS = 100, CONNECT_MS = 1000, STUCK_MS = 2000, CHECK_MS = 100, SMALL = 16 << 10 };
 
--- a/src/proc/roles.c
+++ b/src/proc/roles.c
@@ -1,4 +1,4 @@
-/* The roles as processes: each core connected to the world of proc/real.h. */
+/* The roles as processes: each core connected to the world of proc/runtime.h. */
 #include "proc/roles.h"
 
 #include <errno.h>
@@ -11,7 +11,7 @@
 #include "executor/executor.h"
 #include "keeper/keeper.h"
 #include "node/node.h"
-#include "proc/real.h"
+#include "proc/runtime.h"
 
 static struct peer_setup peer_setup_of(struct runtime *runtime, const struct local *local)
 {
--- a/src/proc/real.c
+++ b/src/proc/runtime.c
@@ -1,5 +1,5 @@
 /* The world of a real process: clocks, timer, signals, start and end. */
-#include "proc/real.h"
+#include "proc/runtime.h"
 
 #include <fcntl.h>
 #include <stdio.h>
--- a/tests/proc/proc_rig.h
+++ b/tests/proc/proc_rig.h
@@ -23,7 +23,7 @@
 #include "base/error.h"
 #include "base/frame.h"
 #include "controller/codec.h"
-#include "proc/real.h"
+#include "proc/runtime.h"
 }
 
 namespace proc_rig
