--- a/src/executor/executor.h
+++ b/src/executor/executor.h
@@ -3,7 +3,7 @@
 #ifndef SAGEHITCH_EXECUTOR_H
 #define SAGEHITCH_EXECUTOR_H
 #include "base/world.h"
-#include "home/home.h"
+#include "executor_owner/executor_owner.h"
 
 enum exec_event { EXEC_STARTED, EXEC_ENDED, EXEC_REFUSED };
 
--- a/src/home/home_account.c
+++ b/src/executor_owner/allocations.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "base/events.h"
-#include "home/home.h"
+#include "executor_owner/executor_owner.h"
 #include "node/node.h"
 
 enum { STILL_STEP_MS = 2000 };
--- a/src/home/home_orders.c
+++ b/src/executor_owner/executor_orders.c
@@ -6,7 +6,7 @@
 
 #include "base/events.h"
 #include "base/error.h"
-#include "home/home.h"
+#include "executor_owner/executor_owner.h"
 #include "node/node.h"
 
 enum { CALL_MS = 1000, BEAT_MS = 400, ROOMS_MS = 300, ROOMS_ALL_MS = 5000, ROOMS_EACH_MS = 100, STARTS_A_CALL = 64 };
--- a/src/home/home.c
+++ b/src/executor_owner/executor_owner.c
@@ -1,5 +1,5 @@
 /* The home's side of reservations, starts, stops and checks. */
-#include "home/home.h"
+#include "executor_owner/executor_owner.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/home/home_schemas.c
+++ b/src/executor_owner/executor_owner_schemas.c
@@ -1,4 +1,4 @@
-#include "home/home.h"
+#include "executor_owner/executor_owner.h"
 
 static const struct field task_fields[] = {INT(exec_task, job),
                                            INT(exec_task, no),
--- a/src/home/home_timers.c
+++ b/src/executor_owner/executor_owner_timers.c
@@ -1,5 +1,5 @@
 /* What an executor's owner does as time passes: reservations lapse, ends are told again, silence is judged. */
-#include "home/home.h"
+#include "executor_owner/executor_owner.h"
 
 #include "base/error.h"
 #include "base/events.h"
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -6,7 +6,7 @@
 #include "base/journal.h"
 #include "base/slab.h"
 #include "config_tree/config_tree.h"
-#include "home/home.h"
+#include "executor_owner/executor_owner.h"
 #include "log/log.h"
 #include "shard/rows.h"
 #include "peer/peer.h"
