--- a/tests/sim/executor_room_test.cc
+++ b/tests/sim/executor_room_test.cc
@@ -162,8 +162,9 @@
                 f.at("keeper" + std::to_string(i))->disk.stall_until_us = f.s.now_us + 3200000;
             f.run(500 + sim_pick(&f.s, 300));
             for (int64_t i = 0; i < f.s.n; i++)
-                for (int64_t k = 0; f.s.machines[i]->kind == M_NODE && k < f.s.machines[i]->core.node.n_homes; k++)
-                    late += f.s.machines[i]->core.node.homes[k]->n_rows;
+                for (int64_t k = 0; f.s.machines[i]->kind == M_NODE && k < f.s.machines[i]->core.node.n_executor_owners;
+                     k++)
+                    late += f.s.machines[i]->core.node.executor_owners[k]->n_rows;
             for (int i = 1; i <= 11; i++)
                 sim_other(f.executor(i), 16);
             f.run(4500);
--- a/tests/unit/config_tree_test.cc
+++ b/tests/unit/config_tree_test.cc
@@ -81,7 +81,7 @@
     config_tree_result result = {};
     ownership d = {};
     char name[] = "shard/1";
-    op.kind = CONFIG_OP_OWNERSHIPS, op.duties = &d, op.n_ownerships = 1;
+    op.kind = CONFIG_OP_OWNERSHIPS, op.ownerships = &d, op.n_ownerships = 1;
     d.name = name, d.owner = 7, d.epoch = 3;
     config_tree_fold(&t.c, &op, &result);
     d.owner = 8, d.epoch = 3;
--- a/tests/unit/leader_steps_test.cc
+++ b/tests/unit/leader_steps_test.cc
@@ -46,7 +46,7 @@
             found.push_back(t.log.back()->batch.ops[i].kind);
         return found;
     }
-    int64_t slow_pct(const Executor &e) { return executor_view_of(t.d, e.agent)->slow_pct; }
+    int64_t duration_pct(const Executor &e) { return executor_view_of(t.d, e.agent)->duration_pct; }
     // A job of one step, spread over all executors; each of its runs there takes so many ms, by executor.
     void work(int64_t id, int64_t tasks, int64_t estimate_ms, const std::map<Executor *, int64_t> &takes_ms)
     {
@@ -153,8 +153,8 @@
     Executor &one = t.executor(400), &other = t.executor(400);
     for (int64_t i = 0; i < 6; i++)
         work(1 + i, 8, i % 2 ? 10 : 9000, {{&one, 400}, {&other, 400}});
-    EXPECT_NEAR((double)slow_pct(one), 100, 10);
-    EXPECT_NEAR((double)slow_pct(other), 100, 10);
+    EXPECT_NEAR((double)duration_pct(one), 100, 10);
+    EXPECT_NEAR((double)duration_pct(other), 100, 10);
 }
 
 TEST_F(Steps, AnExecutorThatTakesLongerThanTheOthersIsKnown)
@@ -162,9 +162,9 @@
     Executor &one = t.executor(400), &other = t.executor(400), &slow = t.executor(400);
     for (int64_t i = 0; i < 6; i++)
         work(1 + i, 12, i % 2 ? 10 : 9000, {{&one, 400}, {&other, 400}, {&slow, 1600}});
-    EXPECT_GT(slow_pct(slow), 150);
-    EXPECT_LT(slow_pct(one), 125);
-    EXPECT_LT(slow_pct(other), 125);
+    EXPECT_GT(duration_pct(slow), 150);
+    EXPECT_LT(duration_pct(one), 125);
+    EXPECT_LT(duration_pct(other), 125);
 }
 
 // What an urgent queue gets says little of what it needs where patient work holds the room.
--- a/tests/unit/leader_time_test.cc
+++ b/tests/unit/leader_time_test.cc
@@ -350,11 +350,11 @@
     t.executor();
     t.add(1, NORMAL, {Rig::step(1, 1000)});
     t.run(500);
-    int64_t calm = t.orders.back()->o.pace_ms;
+    int64_t calm = t.orders.back()->o.poll_delay_ms;
     t.add(2, NORMAL, {Rig::step(1, 1000)});
     t.run(500);
-    EXPECT_GT(t.orders.back()->o.pace_ms, 0);
-    EXPECT_LT(t.orders.back()->o.pace_ms, calm);
+    EXPECT_GT(t.orders.back()->o.poll_delay_ms, 0);
+    EXPECT_LT(t.orders.back()->o.poll_delay_ms, calm);
 }
 
 } // namespace
--- a/tests/unit/plan_order_test.cc
+++ b/tests/unit/plan_order_test.cc
@@ -1,5 +1,5 @@
 // Placing: the order of what waits, and the room kept for more urgent queues.
-#include "plan_site.h"
+#include "plan_fixture.h"
 
 namespace
 {
--- a/tests/unit/plan_random_test.cc
+++ b/tests/unit/plan_random_test.cc
@@ -1,5 +1,5 @@
 // Placing on random records and seats: what must hold of every round, and of victims.
-#include "plan_site.h"
+#include "plan_fixture.h"
 
 namespace
 {
--- a/tests/unit/plan_test.cc
+++ b/tests/unit/plan_test.cc
@@ -1,5 +1,5 @@
 // Placing: the choices it is meant to make. What holds of every round is in plan_random_test.cc.
-#include "plan_site.h"
+#include "plan_fixture.h"
 
 namespace
 {
--- a/tests/unit/turns_test.cc
+++ b/tests/unit/turns_test.cc
@@ -1,5 +1,5 @@
 // Placing the jobs of outlets: turns, hours, how many at once, and the urgency their rules give.
-#include "plan_site.h"
+#include "plan_fixture.h"
 
 namespace
 {
