--- a/src/controller/ballot.c
+++ b/src/controller/ballot.c
@@ -37,16 +37,16 @@
 /* Participation in the first start is synced before the first message is sent. */
 int ballot_load(struct controller *c)
 {
-    int rc = ERROR_NO_SUCH;
+    int rc = ERROR_NOT_FOUND;
     if (c->votes)
         rc = log_load_schema(c->w, "founding-ballot", &acceptor_schema, &c->acceptor);
     c->proposer.start_ms = world_ms(c->w) + (rc ? 0 : AGAIN_MS);
     c->may_bootstrap = !rc;
-    if (rc != ERROR_NO_SUCH || !c->setup.first_start)
-        return rc == ERROR_NO_SUCH ? ERROR_NONE : rc;
+    if (rc != ERROR_NOT_FOUND || !c->setup.first_start)
+        return rc == ERROR_NOT_FOUND ? ERROR_NONE : rc;
     c->may_bootstrap = 1;
     for (int64_t i = 0; i < c->n_seeds; i++)
-        *list_more(c->acceptor.seeds, c->acceptor.n_seeds) = c->seeds[i];
+        *array_add(c->acceptor.seeds, c->acceptor.n_seeds) = c->seeds[i];
     return rank_of(c, (int64_t)c->w->self) >= 0 ? save(c, &c->acceptor) : ERROR_NONE;
 }
 
@@ -116,7 +116,7 @@
     struct ballot_reply reply;
     if (phase == BALLOT_ACCEPT)
         m.members = p->members;
-    if (!(p->answered >> rank_of(c, self) & 1)) {
+    if (!(p->agreed >> rank_of(c, self) & 1)) {
         if (!acceptor_answer(c, &m, &reply))
             return;
         on_reply(c, self, &reply);
@@ -128,7 +128,7 @@
 
 static int majority_answered(const struct controller *c)
 {
-    return __builtin_popcountll((unsigned long long)c->proposer.answered) > c->acceptor.n_seeds / 2;
+    return __builtin_popcountll((unsigned long long)c->proposer.agreed) > c->acceptor.n_seeds / 2;
 }
 
 /* After promises of a majority: proposes the list accepted under the highest ballot, else a list of its own choice. */
@@ -140,7 +140,7 @@
     if (!p->members.n)
         return;
     p->phase = BALLOT_ACCEPT;
-    p->answered = 0;
+    p->agreed = 0;
     send_ballot(c);
 }
 
@@ -158,7 +158,7 @@
         give_up(c, reply->log_exists ? AGAIN_MS : RETRY_MS + (int64_t)(world_random(c->w) % RETRY_MS));
         return;
     }
-    p->answered |= 1LL << rank;
+    p->agreed |= 1LL << rank;
     if (p->phase == BALLOT_PREPARE && reply->accepted > p->best_accepted) {
         p->best_accepted = reply->accepted;
         schema_free(&log_members_schema, &p->members);
@@ -185,7 +185,7 @@
         int64_t round = top / RANKS / RANDOM + 1;
         p->ballot = (round * RANDOM + (int64_t)(world_random(c->w) % RANDOM)) * RANKS + rank;
         p->phase = BALLOT_PREPARE;
-        p->answered = 0;
+        p->agreed = 0;
     } else if (p->phase == BALLOT_PREPARE && majority_answered(c)) {
         begin_accept(c);
         if (p->phase != BALLOT_PREPARE)
