--- a/src/dispatch/job.c
+++ b/src/dispatch/job.c
@@ -64,25 +64,27 @@
 
 /* --- checks ------------------------------------------------------------- */
 
-static enum sagehitch_error step_check(const struct job_spec *spec, int64_t no,
+static enum sagehitch_error step_check(const struct job_spec *spec, int64_t step_index,
                                        struct validation_error *validation_error)
 {
-    const struct step_spec *step = &spec->steps[no];
+    const struct step_spec *step = &spec->steps[step_index];
     if (step->task_count < 1)
-        return validation_error_set(validation_error, ERROR_BAD_FIELD, "1 or more", "steps[%d].taskCount", (int)no);
-    _Static_assert(JOB_TASKS_MAX <= 1 << TASK_INDEX_BITS, "the index of a task has room");
+        return validation_error_set(validation_error, ERROR_BAD_FIELD, "1 or more", "steps[%d].taskCount",
+                                    (int)step_index);
+    _Static_assert(JOB_TASKS_MAX <= 1 << TASK_INDEX_BITS, "the index of a task fits into TASK_INDEX_BITS");
     if (step->task_count > JOB_TASKS_MAX)
-        return validation_error_set(validation_error, ERROR_TOO_LARGE, "fewer tasks", "steps[%d].taskCount", (int)no);
+        return validation_error_set(validation_error, ERROR_TOO_LARGE, "fewer tasks", "steps[%d].taskCount",
+                                    (int)step_index);
     for (int i = 0; i < submission_step_schema.n; i++) {
         const struct field *field = &step_spec_fields[i];
         if ((field->kind == F_INT || field->kind == F_BOOL) && *(const int64_t *)((const char *)step + field->off) < 0)
             return validation_error_set(validation_error, ERROR_BAD_FIELD, "no negative number", "steps[%d].%s",
-                                        (int)no, field->name);
+                                        (int)step_index, field->name);
     }
     for (int64_t i = 0; i < step->n_depends_on; i++)
-        if (step->depends_on[i] < 0 || step->depends_on[i] >= no)
+        if (step->depends_on[i] < 0 || step->depends_on[i] >= step_index)
             return validation_error_set(validation_error, ERROR_BAD_STEPS, "the number of an earlier step",
-                                        "steps[%d].dependsOn[%d]", (int)no, (int)i);
+                                        "steps[%d].dependsOn[%d]", (int)step_index, (int)i);
     return ERROR_NONE;
 }
 
@@ -127,12 +129,13 @@
 
 static int empty(const char *text) { return !text || !*text; }
 
-/* Names seen so far in a configuration: sets of strings (JudySL), so that even 4 MiB are checked quickly. */
+/* Names found so far in a configuration, as sets of strings (JudySL), so that a configuration of 4 MiB is checked
+ * quickly. */
 struct config_names {
-    Pvoid_t services, queues, places;
+    Pvoid_t services, queues, routes;
 };
 
-/* Returns 0 where it was there already. */
+/* Returns 0 if the set has the name already. */
 static int add_name(Pvoid_t *names, const char *name)
 {
     PPvoid_t at = JudySLIns(names, (const uint8_t *)name, PJE0);
@@ -144,43 +147,43 @@
     return 1;
 }
 
-/* Hosts are compared in lower case. */
-static int add_place(Pvoid_t *places, const struct queue_config *queue)
+/* Adds the host, in lower case, and the prefix of a queue; returns 0 if another queue has both. */
+static int add_route(Pvoid_t *routes, const struct queue_config *queue)
 {
-    char *place = must_printf("%s\n%s", queue->host, queue->prefix);
-    for (char *c = place; *c != '\n'; c++)
+    char *route_key = must_printf("%s\n%s", queue->host, queue->prefix);
+    for (char *c = route_key; *c != '\n'; c++)
         *c = (char)tolower((unsigned char)*c);
-    int added = add_name(places, place);
-    free(place);
+    int added = add_name(routes, route_key);
+    free(route_key);
     return added;
 }
 
-static enum sagehitch_error queue_check(const struct config *config, int64_t no, struct config_names *names,
+static enum sagehitch_error queue_check(const struct config *config, int64_t queue_index, struct config_names *names,
                                         struct validation_error *validation_error)
 {
-    const struct queue_config *queue = &config->queues[no];
-    int at = (int)no;
+    const struct queue_config *queue = &config->queues[queue_index];
+    int index = (int)queue_index;
     if (empty(queue->name))
-        return validation_error_set(validation_error, ERROR_BAD_FIELD, "a name", "queues[%d].name", at);
+        return validation_error_set(validation_error, ERROR_BAD_FIELD, "a name", "queues[%d].name", index);
     if (empty(queue->host))
-        return validation_error_set(validation_error, ERROR_BAD_FIELD, "a host", "queues[%d].host", at);
+        return validation_error_set(validation_error, ERROR_BAD_FIELD, "a host", "queues[%d].host", index);
     if (!queue->prefix || queue->prefix[0] != '/')
-        return validation_error_set(validation_error, ERROR_BAD_FIELD, "a path from / on", "queues[%d].prefix", at);
+        return validation_error_set(validation_error, ERROR_BAD_FIELD, "a path from / on", "queues[%d].prefix", index);
     if (empty(queue->service) || !JudySLGet(names->services, (const uint8_t *)queue->service, PJE0))
         return validation_error_set(validation_error, ERROR_BAD_FIELD, "a service that is listed", "queues[%d].service",
-                                    at);
+                                    index);
     if (queue->timeout_ms <= 0)
-        return validation_error_set(validation_error, ERROR_BAD_FIELD, "more than 0", "queues[%d].timeoutMs", at);
+        return validation_error_set(validation_error, ERROR_BAD_FIELD, "more than 0", "queues[%d].timeoutMs", index);
     if (queue->attempts_max < 0)
-        return validation_error_set(validation_error, ERROR_BAD_FIELD, "0 or more", "queues[%d].attemptsMax", at);
+        return validation_error_set(validation_error, ERROR_BAD_FIELD, "0 or more", "queues[%d].attemptsMax", index);
     if (queue->stretch_pct < 0)
-        return validation_error_set(validation_error, ERROR_BAD_FIELD, "0 or more", "queues[%d].stretchPct", at);
+        return validation_error_set(validation_error, ERROR_BAD_FIELD, "0 or more", "queues[%d].stretchPct", index);
     if (!add_name(&names->queues, queue->name))
         return validation_error_set(validation_error, ERROR_BAD_FIELD, "a name that no other queue has",
-                                    "queues[%d].name", at);
-    if (!add_place(&names->places, queue))
+                                    "queues[%d].name", index);
+    if (!add_route(&names->routes, queue))
         return validation_error_set(validation_error, ERROR_BAD_FIELD, "host and prefix that no other queue has",
-                                    "queues[%d].prefix", at);
+                                    "queues[%d].prefix", index);
     return ERROR_NONE;
 }
 
@@ -210,7 +213,7 @@
     enum sagehitch_error rc = names_check(config, &names, validation_error);
     JudySLFreeArray(&names.services, PJE0);
     JudySLFreeArray(&names.queues, PJE0);
-    JudySLFreeArray(&names.places, PJE0);
+    JudySLFreeArray(&names.routes, PJE0);
     return rc;
 }
 
--- a/src/dispatch/job.h
+++ b/src/dispatch/job.h
@@ -1,27 +1,27 @@
-/* A job as submitted: steps of tasks and the repetitions (times) in which they run; and the configuration of queues
+/* A job as submitted (its steps, their tasks, and the repetitions in which they run), and the configuration of queues
  * and services. Structs own their strings and lists; schema_free() with their schema frees them. */
 #ifndef SAGEHITCH_DISPATCH_JOB_H
 #define SAGEHITCH_DISPATCH_JOB_H
 #include "base/error.h"
 #include "base/schema.h"
 
-/* SPEC_MAX: bytes of a job's text; JOB_TASKS_MAX: tasks over all steps and repetitions. */
+/* SPEC_MAX: maximum length of a job's text in bytes; JOB_TASKS_MAX: tasks over all steps and repetitions. */
 enum { SPEC_MAX = 4000, STEPS_MAX = 64, JOB_TASKS_MAX = 20000 };
 
-/* A step. Resources are requested for each task. Members after depends_on are flags (0 or 1) unless described. */
+/* A step. Resources are requested for each task. checkpoints to lasting are flags (0 or 1). */
 struct step_spec {
     int64_t task_count, cpu_milli, memory_mb, gpus;
     int64_t estimate_ms; /* expected duration of a task; may be far off */
     int64_t *depends_on; /* numbers of earlier steps */
     int64_t n_depends_on;
-    int64_t checkpoints;  /* its tasks save their progress and can resume */
-    int64_t gang;         /* all its tasks run at the same time or none does */
-    int64_t same_rack;    /* the gang should be on one rack */
-    int64_t duplicates;   /* two attempts may run at once, the first to end counts */
-    int64_t lasting;      /* runs until the job is cancelled */
-    int64_t per_executor; /* at most so many of its tasks on one executor; 0: any */
-    char *label;          /* the executor must have it; NULL: none */
-    char *rack;           /* preferred, its data are there; NULL: any */
+    int64_t checkpoints;  /* its tasks save checkpoints and can resume from them */
+    int64_t gang;         /* either all its tasks run at the same time or none does */
+    int64_t same_rack;    /* the gang should run in one rack */
+    int64_t duplicates;   /* two attempts may run at once; the first one to end counts */
+    int64_t lasting;      /* its tasks run until the job is cancelled */
+    int64_t per_executor; /* limit of its tasks on one executor; 0: none */
+    char *label;          /* label that the executor must have; NULL: none */
+    char *rack;           /* preferred rack, where its data are; NULL: any */
 };
 
 /* A job as submitted. */
@@ -30,9 +30,9 @@
     char *text; /* opaque, passed to each task */
     struct step_spec *steps;
     int64_t n_steps;
-    int64_t repeats, start_ms, interval_ms; /* repeats 0: once, now; else repetition k is due at
+    int64_t repeats, start_ms, interval_ms; /* repeats 0: the job runs once, at once; else repetition k is due at
                                              * start_ms + k * interval_ms, time of day */
-    char *outlet; /* outlet it belongs to, see rules/rules.h; NULL: none, or that of its queue */
+    char *outlet; /* outlet that it belongs to, see rules/rules.h; NULL: the outlet of its queue, if any */
 };
 
 /* State of a job. The numbers are stored in snapshots and go over the wire. */
@@ -40,21 +40,21 @@
 
 /* A queue. Requests reach it by host and path prefix. */
 struct queue_config {
-    char *name, *host, *prefix;     /* host: in any case */
+    char *name, *host, *prefix;     /* the case of host does not matter */
     char *service;                  /* name of the service that runs its jobs */
     int64_t priority;               /* 0 is the most urgent */
-    int64_t attempts_max;           /* a task fails for good after so many failed attempts */
+    int64_t attempts_max;           /* a task whose attempts have failed this often fails for good */
     int64_t stretch_pct, target_ms; /* a job is in time if it ends within target_ms plus stretch_pct % of its
                                      * longest chain of steps */
     int64_t timeout_ms;             /* how long callers wait for a response */
 };
-/* A service: the kind of executors that serve a queue. */
+/* A service: the kind of executors that run the jobs of a queue. */
 struct service_config {
     char *name;
     char *health_path; /* HTTP path on its executors, NULL: none */
     int64_t guards;    /* 1: its executors refuse starts that do not fit */
 };
-/* One version of the whole configuration. raw: the bytes that the operator sent, returned on reads. */
+/* One version of the whole configuration. raw: the bytes that the operator sent, which reads return. */
 struct config {
     int64_t version;
     struct queue_config *queues;
@@ -63,25 +63,25 @@
     int64_t n_services;
     struct bytes raw;
 };
-/* A new configuration; base: the version that it was made from, and that it replaces. A patch of the configuration is
- * one, too: it has only a version and raw, its own text. */
+/* A change of the configuration. base: the version that it was made from and replaces. The config of a patch has only a
+ * version, and the text of the patch as raw. */
 struct config_change {
     int64_t base;
     struct config config;
 };
 
-/* Schemas of struct job_spec and struct step_spec. submission_without_outlet_schema is the same as submission_schema
- * without the outlet: hashes and comparisons of jobs without one are as before outlets were there. */
+/* Schemas of struct job_spec and struct step_spec. submission_without_outlet_schema leaves out the outlet, so that
+ * hashes and comparisons of jobs without an outlet are the same as before outlets were introduced. */
 extern const struct schema submission_step_schema, submission_schema, submission_without_outlet_schema;
 extern const struct schema queue_config_schema, service_config_schema, config_schema;
 
-/* Validate a job or a configuration independently of the codec it came in. Return 0, or an error with the member at
- * fault in validation_error (may be NULL). */
+/* Validate a job or a configuration, independently of the codec that decoded it. Return 0, or an error, with the
+ * invalid member in validation_error (may be NULL). */
 enum sagehitch_error job_spec_check(const struct job_spec *spec, struct validation_error *validation_error);
 enum sagehitch_error config_check(const struct config *config, struct validation_error *validation_error);
-/* Tasks of one repetition; number of repetitions. */
+/* The number of tasks in one repetition; the number of repetitions. */
 int64_t job_spec_tasks(const struct job_spec *spec);
 int64_t job_spec_times(const struct job_spec *spec);
-/* Index of the queue for a host (in any case) whose prefix is the longest that path begins with; -1: none. */
+/* The index of the queue with this host (case is ignored) and the longest prefix of path; -1: none. */
 int64_t config_route(const struct config *config, const char *host, const char *path);
 #endif
--- a/src/dispatch/messages.h
+++ b/src/dispatch/messages.h
@@ -1,10 +1,10 @@
-/* Messages between the leading controller and the agents beside executors. Both directions carry state, not
- * changes: whatever was lost on the way is in the next message again, and taking one twice changes nothing.
+/* Messages between the leading controller and the agents, which run beside executors. Both directions carry state, not
+ * changes: the next message repeats what was lost, and processing a message twice has no further effect.
  *
- * Lease: an agent may hold its executor's tasks until lease_ms after it sent (stamp_ms, on its own clock) the newest
- * report that a leader answered. Under a new epoch it first raises the executor's fencing epoch, and it never takes
- * orders of a lower epoch. So once a leader has not answered an agent for lease_ms and a margin, all runs there have
- * ended. */
+ * Lease: the executor of an agent may run tasks until lease_ms after the agent sent the newest report that a leader
+ * answered (stamp_ms, on the agent's clock). Under a new epoch, the agent first raises the executor's fencing epoch. It
+ * never follows orders of a lower epoch. So once no leader has answered an agent for lease_ms and a margin, all runs on
+ * its executor have ended. */
 #ifndef SAGEHITCH_DISPATCH_MESSAGES_H
 #define SAGEHITCH_DISPATCH_MESSAGES_H
 #include "base/schema.h"
@@ -13,17 +13,24 @@
 enum run_end {
     END_DONE = 1,
     END_FAILED,
-    END_STOPPED, /* by an order */
-    END_LAPSED,  /* its lease ran out */
+    END_STOPPED, /* stopped by an order */
+    END_LAPSED,  /* its lease expired */
     END_BROKEN,
-    END_ALONE, /* a gang member whose gang did not come together in time */
-    END_ABSENT /* it never ran there and, proven by a stop, never will */
+    END_ALONE, /* a gang member that waited gang_timeout_ms for the other members */
+    END_ABSENT /* it never ran on the executor, and after a stop it never will */
+};
+/* Why an executor refused a start. */
+enum start_refusal {
+    REFUSED_NOT,
+    REFUSED_EPOCH, /* it knows a higher epoch */
+    REFUSED_OLD,   /* it knows a newer attempt */
+    REFUSED_LATE,  /* the call arrived too late */
+    REFUSED_ROOM,  /* it lacks the capacity */
+    REFUSED_BAD,   /* the request is invalid */
+    REFUSED_SICK   /* it is overloaded or unavailable */
 };
-/* Why an executor refused a call. EPOCH: it knows a higher epoch; OLD: the attempt is outdated there; LATE: the call
- * came too late; BAD: a bad request; SICK: overloaded or unavailable. */
-enum start_refusal { REFUSED_NOT, REFUSED_EPOCH, REFUSED_OLD, REFUSED_LATE, REFUSED_ROOM, REFUSED_BAD, REFUSED_SICK };
 
-/* A task of a job in one number: its repetition (time), step and index within the step. */
+/* A task of a job as one number: its repetition, its step and its index within the step. */
 enum { TASK_INDEX_BITS = 24, TASK_STEP_BITS = 8 };
 static inline int64_t task_of(int64_t time, int64_t step, int64_t index)
 {
@@ -33,17 +40,17 @@
 static inline int64_t task_step(int64_t task) { return (task >> TASK_INDEX_BITS) & ((1 << TASK_STEP_BITS) - 1); }
 static inline int64_t task_index(int64_t task) { return task & ((1 << TASK_INDEX_BITS) - 1); }
 
-/* Names a run: one attempt of one task. */
+/* Identifies a run: one attempt of one task. */
 struct run_ref {
     int64_t job, task, attempt;
 };
-/* A run that executes. percent: its progress; saved: its newest checkpoint or NULL. */
+/* A run that is executing. percent: its progress; saved: its newest checkpoint or NULL. */
 struct run_active {
     int64_t job, task, attempt, percent;
     char *saved;
 };
-/* A run that ended. seq: the executor's number of the end, rising within an incarnation; 0 for END_ABSENT, which
- * comes from the agent itself; how: enum run_end. */
+/* A run that ended. seq: sequence number that the executor gave the end, increasing within an incarnation; 0 if the end
+ * was found by the agent itself, because the run never ran; how: enum run_end; saved: its newest checkpoint or NULL. */
 struct run_ended {
     int64_t seq, job, task, attempt, how;
     char *saved;
@@ -53,61 +60,61 @@
     int64_t job, task, attempt, reason;
 };
 
-/* An executor as its agent knows it. incarnation names one start of its process. */
+/* An executor as its agent knows it. incarnation: the name of one start of its process. */
 struct executor_state {
     char *incarnation, *service, *zone, *rack;
     char **labels;
     int64_t n_labels;
-    int64_t cpu_milli, memory_mb, gpus; /* what it has in all */
-    int64_t draining, departure_ms;     /* departure_ms: least time left; 0: unknown */
+    int64_t cpu_milli, memory_mb, gpus; /* its total capacity */
+    int64_t draining, departure_ms;     /* departure_ms: at least so long until it leaves; 0: unknown */
     int64_t warmup_ms;
-    int64_t silent_ms; /* since it last answered a call; 0: it answers */
-    int64_t over_ms;   /* all runs on it lapse within so many ms unless their lease is renewed */
+    int64_t silent_ms; /* time since it last answered a call; 0: it answers */
+    int64_t over_ms;   /* time until all runs on it have lapsed, unless their lease is renewed */
 };
 
-/* Agent to leader, every REPORT_MS and whenever there is something new. present 0: no incarnation is known.
- * epoch: the highest that the agent has taken orders under. ready: the executor's fencing epoch is raised to it, and
- * active and ended are complete lists taken under it. lost_incarnations: incarnations proven to be over (a new one
- * answered in their place, or all their runs had lapsed), repeated until acknowledged. */
+/* From the agent to the leader, every REPORT_MS and after each change. present 0: no incarnation is known.
+ * epoch: the highest epoch of orders that the agent has followed. ready: the executor's fencing epoch was raised to it,
+ * and active and ended are complete lists obtained under it. lost_incarnations: incarnations that have certainly ended
+ * (a new one answered in their place, or all their runs had lapsed), repeated until acknowledged. */
 struct agent_report {
     int64_t stamp_ms, boot, epoch, present, ready;
-    int64_t orders_taken; /* number of the newest orders taken under this epoch */
+    int64_t orders_taken; /* number of the newest orders followed under this epoch */
     struct executor_state executor;
     char **lost_incarnations;
     int64_t n_lost_incarnations;
-    struct run_active *active; /* all that the last poll showed */
+    struct run_active *active; /* all runs that the last poll showed */
     int64_t n_active;
-    struct run_ref *pending; /* orders to start that are not answered yet */
+    struct run_ref *pending; /* starts that the executor has not answered yet */
     int64_t n_pending;
-    struct run_ended *ended; /* all ends not yet acknowledged by seen */
+    struct run_ended *ended; /* all ends that are not acknowledged yet, see struct agent_orders */
     int64_t n_ended;
-    struct run_refused *refused; /* repeated until acknowledged, or superseded by a stop or newer attempt */
+    struct run_refused *refused; /* repeated until acknowledged, or superseded by a stop or a newer attempt */
     int64_t n_refused;
 };
 
-/* An order to start a run. text: the job's; saved: the checkpoint to resume from, or NULL. */
+/* An order to start a run. text: that of the job; saved: the checkpoint to resume from, or NULL. */
 struct run_start {
     int64_t job, task, attempt;
     char *text, *saved;
 };
 
-/* Leader to agent, in answer to each report and whenever there is something new.
- * stamp_ms: of the report that this answers, which renews the lease; 0: renews nothing.
- * incarnation: the one that starts, stops and seen are for. */
+/* From the leader to the agent, in answer to each report and after each change.
+ * stamp_ms: stamp of the report that this answers, which renews the lease; 0: the lease is not renewed.
+ * incarnation: the incarnation that starts, stops and seen refer to. */
 struct agent_orders {
     int64_t epoch, stamp_ms, lease_ms, leader;
-    int64_t number; /* rises within an epoch; orders with a lower number than the newest taken are dropped */
+    int64_t number; /* increases within an epoch; the agent drops orders with a lower number than it has followed */
     char *incarnation;
-    int64_t seen;       /* ends up to this seq are committed */
-    int64_t pace_ms;    /* delay of the next poll after one with ends, so that several come in one; 0: the default */
-    int64_t drain_seen; /* the leader knows that it drains: no more starts follow */
+    int64_t seen;       /* acknowledges ends up to this seq: they are committed */
+    int64_t pace_ms;    /* delay of the next poll after a poll with ends, so that one poll finds several; 0: default */
+    int64_t drain_seen; /* acknowledges that the executor drains: no further starts follow */
     struct run_start *starts;
     int64_t n_starts;
     struct run_ref *stops;
     int64_t n_stops;
-    struct run_ref *ends_seen; /* acknowledges END_ABSENT ends and refusals */
+    struct run_ref *ends_seen; /* acknowledges ends without seq, and refusals */
     int64_t n_ends_seen;
-    char **incarnations_seen;
+    char **incarnations_seen; /* acknowledges lost_incarnations */
     int64_t n_incarnations_seen;
 };
 
--- a/src/dispatch/record_op.c
+++ b/src/dispatch/record_op.c
@@ -26,7 +26,7 @@
 static const struct field batch_fields[] = {LIST(record_batch, ops, n, record_op_schema)};
 SCHEMA(record_batch_schema, record_batch, batch_fields);
 
-/* Ends the process unless the op is of this kind. */
+/* Aborts the process unless the op is of this kind. */
 static void check_kind(const struct record_op *op, enum record_op_kind kind)
 {
     if (op->kind != kind)
--- a/src/dispatch/record_op.h
+++ b/src/dispatch/record_op.h
@@ -1,8 +1,8 @@
 /* Ops: the changes of the record, as they are committed to the log.
  *
- * An op is a tagged union: its kind says which member of body is there. A constructor, one for each kind, sets the kind
- * and returns the members to fill in; accessors read them, and end the process where the kind is another one. body
- * itself is for the constructors, the accessors and the schema alone. */
+ * An op is a tagged union: kind selects the member of body. Each kind has a constructor, which sets the kind and
+ * returns the member to fill in, and an accessor, which aborts the process if the op is of another kind. Only
+ * constructors, accessors and the schema use body directly. */
 #ifndef SAGEHITCH_DISPATCH_RECORD_OP_H
 #define SAGEHITCH_DISPATCH_RECORD_OP_H
 #include "base/schema.h"
@@ -58,7 +58,7 @@
 };
 extern const struct schema record_op_schema, record_batch_schema;
 
-/* Constructors. op is zeroed but for at_ms; it owns what is put into the members returned. */
+/* Constructors. op must be zeroed except for at_ms; it owns what the caller puts into the returned member. */
 struct config_change *record_op_make_config(struct record_op *op);
 struct config_change *record_op_make_config_patch(struct record_op *op);
 struct job_op *record_op_make_job(struct record_op *op);
@@ -66,17 +66,17 @@
 struct place_op *record_op_make_place(struct record_op *op);
 struct end_op *record_op_make_end(struct record_op *op);
 struct forget_op *record_op_make_forget(struct record_op *op);
-struct rules_change *record_op_make_rules(struct record_op *op); /* zeroed */
+struct rules_change *record_op_make_rules(struct record_op *op); /* returns a zeroed change */
 
-/* Accessors, borrowed from the op. */
-const struct config_change *record_op_config(const struct record_op *op); /* of both kinds */
+/* Accessors; the results are borrowed from the op. */
+const struct config_change *record_op_config(const struct record_op *op); /* OP_CONFIG and OP_CONFIG_PATCH */
 const struct job_op *record_op_job(const struct record_op *op);
 int64_t record_op_cancelled(const struct record_op *op);
 const struct place_op *record_op_place(const struct record_op *op);
 const struct end_op *record_op_end(const struct record_op *op);
 const struct forget_op *record_op_forget(const struct record_op *op);
 const struct rules_change *record_op_rules(const struct record_op *op); /* NULL: the log entry had none */
-/* The same members, to append to an op that is not proposed yet. */
+/* The same members, writable, to append to an op that is not proposed yet. */
 struct place_op *record_op_append_place(struct record_op *op);
 struct end_op *record_op_append_end(struct record_op *op);
 #endif
--- a/tests/unit/job_spec_test.cc
+++ b/tests/unit/job_spec_test.cc
@@ -1,4 +1,4 @@
-// Checks of jobs and configurations as they are handed in, and the routes to queues.
+// Validation of submitted jobs and configurations, and the routing of requests to queues.
 #include <gtest/gtest.h>
 
 #include "record_build.h"
@@ -20,7 +20,7 @@
     return rc;
 }
 
-TEST(JobSpec, IsChecked)
+TEST(JobSpec, IsValidated)
 {
     EXPECT_EQ(checked(two), 0);
     EXPECT_EQ(checked({{}, 0}), ERROR_BAD_FIELD);
@@ -63,7 +63,7 @@
     *to = must_dup(text);
 }
 
-TEST(Config, IsChecked)
+TEST(Config, IsValidated)
 {
     EXPECT_EQ(checked([](config *) {}), 0);
     EXPECT_EQ(checked([](config *c) { c->version = 0; }), ERROR_BAD_FIELD);
--- a/tests/unit/record_op_test.cc
+++ b/tests/unit/record_op_test.cc
@@ -1,4 +1,4 @@
-// Ops of the record: only what the kind has can be read.
+// Ops of the record: accessors read only the member of the op's kind.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -17,7 +17,7 @@
     ~Op() { schema_free(&record_op_schema, &op); }
 };
 
-// One of each kind.
+// Makes an op of each kind.
 const std::map<int64_t, std::function<void(record_op *)>> makers = {
     {OP_CONFIG, [](record_op *op) { record_op_make_config(op)->base = 4; }},
     {OP_CONFIG_PATCH, [](record_op *op) { record_op_make_config_patch(op)->base = 4; }},
@@ -28,8 +28,8 @@
     {OP_FORGET, [](record_op *op) { record_op_make_forget(op); }},
     {OP_RULES, [](record_op *op) { record_op_make_rules(op)->base = 3; }}};
 
-// The accessor works on ops of this kind, and ends the process on all others.
-void readable(const std::set<int64_t> &kinds, const std::function<void(record_op *)> &read)
+// Checks that the accessor works on ops of these kinds and aborts the process on all others.
+void expect_readable(const std::set<int64_t> &kinds, const std::function<void(record_op *)> &read)
 {
     Op none;
     EXPECT_DEATH(read(&none.op), "");
@@ -46,20 +46,20 @@
 
 } // namespace
 
-TEST(RecordOpDeathTest, MembersOfOtherKinds)
+TEST(RecordOpDeathTest, AccessorsRejectOtherKinds)
 {
-    readable({OP_CONFIG, OP_CONFIG_PATCH}, [](record_op *op) { EXPECT_EQ(record_op_config(op)->base, 4); });
-    readable({OP_JOB}, [](record_op *op) { EXPECT_STREQ(record_op_job(op)->queue, "a"); });
-    readable({OP_CANCEL}, [](record_op *op) { EXPECT_EQ(record_op_cancelled(op), 7); });
-    readable({OP_PLACE}, [](record_op *op) { EXPECT_EQ(record_op_place(op)->agent, 77); });
-    readable({OP_PLACE}, [](record_op *op) { EXPECT_EQ(record_op_append_place(op)->agent, 77); });
-    readable({OP_END}, [](record_op *op) { EXPECT_EQ(record_op_end(op)->n_ended, 0); });
-    readable({OP_END}, [](record_op *op) { EXPECT_EQ(record_op_append_end(op)->n_ended, 0); });
-    readable({OP_FORGET}, [](record_op *op) { EXPECT_EQ(record_op_forget(op)->n_jobs, 0); });
-    readable({OP_RULES}, [](record_op *op) { EXPECT_EQ(record_op_rules(op)->base, 3); });
+    expect_readable({OP_CONFIG, OP_CONFIG_PATCH}, [](record_op *op) { EXPECT_EQ(record_op_config(op)->base, 4); });
+    expect_readable({OP_JOB}, [](record_op *op) { EXPECT_STREQ(record_op_job(op)->queue, "a"); });
+    expect_readable({OP_CANCEL}, [](record_op *op) { EXPECT_EQ(record_op_cancelled(op), 7); });
+    expect_readable({OP_PLACE}, [](record_op *op) { EXPECT_EQ(record_op_place(op)->agent, 77); });
+    expect_readable({OP_PLACE}, [](record_op *op) { EXPECT_EQ(record_op_append_place(op)->agent, 77); });
+    expect_readable({OP_END}, [](record_op *op) { EXPECT_EQ(record_op_end(op)->n_ended, 0); });
+    expect_readable({OP_END}, [](record_op *op) { EXPECT_EQ(record_op_append_end(op)->n_ended, 0); });
+    expect_readable({OP_FORGET}, [](record_op *op) { EXPECT_EQ(record_op_forget(op)->n_jobs, 0); });
+    expect_readable({OP_RULES}, [](record_op *op) { EXPECT_EQ(record_op_rules(op)->base, 3); });
 }
 
-TEST(RecordOpDeathTest, AnOpIsMadeOnce)
+TEST(RecordOpDeathTest, KindIsSetOnce)
 {
     for (const auto &[kind, make] : makers) {
         Op made;
