--- a/src/dispatch/leader.c
+++ b/src/dispatch/leader.c
@@ -5,13 +5,13 @@
 #include "base/error.h"
 #include "dispatch/leader_state.h"
 
-/* --- the open batch: ops of one iteration of the event loop ------------------- */
+/* --- the open batch: the ops of one iteration of the event loop --------------- */
 
 struct record_op *dispatch_op(struct dispatch *dispatch)
 {
-    if (!dispatch->open)
-        dispatch->open = must_alloc(sizeof *dispatch->open);
-    struct record_op *op = list_more(dispatch->open->ops.ops, dispatch->open->ops.n);
+    if (!dispatch->open_batch)
+        dispatch->open_batch = must_alloc(sizeof *dispatch->open_batch);
+    struct record_op *op = list_more(dispatch->open_batch->ops.ops, dispatch->open_batch->ops.n);
     op->at_ms = dispatch_wall_ms(dispatch);
     return op;
 }
@@ -35,11 +35,11 @@
 
 /* --- changes of the record ---------------------------------------------------- */
 
-static void on_changed(void *arg, struct job *job, int64_t no)
+static void on_changed(void *arg, struct job *job, int64_t row_index)
 {
     struct dispatch *dispatch = arg;
-    dispatch->plan_due = 1;
-    if (no < 0) {
+    dispatch->plan_needed = 1;
+    if (row_index < 0) {
         if (job_over(job))
             steps_forget(dispatch, job);
         if (!job_over(job) || !job->rows)
@@ -51,15 +51,15 @@
         }
         return;
     }
-    const struct row *row = &job->rows[no];
-    const struct run *same = run_of_row(dispatch, job, no);
-    if (same && same->attempt == row->attempt)
-        return; /* placed as before, only its checkpoint is new */
-    run_drop(dispatch, job, no);
+    const struct row *row = &job->rows[row_index];
+    const struct run *previous = run_of_row(dispatch, job, row_index);
+    if (previous && previous->attempt == row->attempt)
+        return; /* the placement is unchanged, only the checkpoint is new */
+    run_drop(dispatch, job, row_index);
     if (row->state == ROW_PLACED)
-        run_add(dispatch, job, no);
-    else if (job->rows[no].state == ROW_WAITING)
-        run_gang_stop(dispatch, job, no);
+        run_add(dispatch, job, row_index);
+    else if (job->rows[row_index].state == ROW_WAITING)
+        run_gang_stop(dispatch, job, row_index);
 }
 
 /* --- creation and leadership -------------------------------------------------- */
@@ -70,8 +70,8 @@
     struct dispatch *dispatch = must_alloc(sizeof *dispatch);
     *dispatch =
         (struct dispatch){.world = world, .record = record, .settings = *settings, .calls = *calls, .typical_pct = 100};
-    dispatch->wall_since_ms = world_ms(world);
-    dispatch->wall_ahead_ms = world->calls->wall_ms(world) - dispatch->wall_since_ms;
+    dispatch->wall_offset_since_ms = world_ms(world);
+    dispatch->wall_offset_ms = world->calls->wall_ms(world) - dispatch->wall_offset_since_ms;
     return dispatch;
 }
 
@@ -84,9 +84,9 @@
 {
     dispatch_follow(dispatch);
     slab_end(&dispatch->batches);
-    slab_end(&dispatch->readers);
+    slab_end(&dispatch->pending_reads);
     free(dispatch->candidates);
-    free(dispatch->keep_free);
+    free(dispatch->headroom_cpu_milli);
     plan_free(&dispatch->plan);
     free(dispatch);
 }
@@ -104,14 +104,14 @@
         for (int64_t i = 0; job->rows && i < job->times * job->tasks; i++)
             if (job->rows[i].state == ROW_PLACED)
                 run_add(dispatch, job, i);
-    /* a gang that lost a member under a former leader: the others are stopped */
+    /* stop the remaining members of a gang that lost a member under a former leader */
     for (struct job *job = dispatch->record->oldest; job; job = job->next)
         for (int64_t i = 0; job->rows && i < job->times * job->tasks; i++)
             if (job->rows[i].state == ROW_WAITING)
                 run_gang_stop(dispatch, job, i);
     for (int64_t k = 0; k < dispatch->n_incarnation_states; k++)
-        dispatch->incarnation_states[k].grant_ms = dispatch->lead_since_ms + TAKEOVER_MS;
-    dispatch->plan_due = 1;
+        dispatch->incarnation_states[k].grant_ms = dispatch->lead_since_ms + FORMER_LEADER_GRANT_MS;
+    dispatch->plan_needed = 1;
     orders_announce(dispatch);
 }
 
@@ -128,10 +128,10 @@
         return;
     dispatch->leading = 0;
     dispatch->record->changed = NULL;
-    if (dispatch->open)
-        answer_waiters(dispatch, dispatch->open, ERROR_NOT_LEADER);
-    batch_free(dispatch->open);
-    dispatch->open = NULL;
+    if (dispatch->open_batch)
+        answer_waiters(dispatch, dispatch->open_batch, ERROR_NOT_LEADER);
+    batch_free(dispatch->open_batch);
+    dispatch->open_batch = NULL;
     for (int64_t i = 0; i < dispatch->batches.cap; i++) {
         int64_t tag = slab_number(&dispatch->batches, i);
         struct batch **batch = slab_at(&dispatch->batches, tag);
@@ -141,14 +141,14 @@
         batch_free(*batch);
         slab_free(&dispatch->batches, tag);
     }
-    for (int64_t i = 0; i < dispatch->readers.cap; i++) {
-        int64_t tag = slab_number(&dispatch->readers, i);
-        struct reader *reader = slab_at(&dispatch->readers, tag);
-        if (!reader)
+    for (int64_t i = 0; i < dispatch->pending_reads.cap; i++) {
+        int64_t tag = slab_number(&dispatch->pending_reads, i);
+        struct pending_read *pending_read = slab_at(&dispatch->pending_reads, tag);
+        if (!pending_read)
             continue;
-        dispatch_answer(dispatch, reader->ticket, reader->request.kind, ERROR_NOT_LEADER, NULL);
-        schema_free(&api_request_schema, &reader->request);
-        slab_free(&dispatch->readers, tag);
+        dispatch_answer(dispatch, pending_read->ticket, pending_read->request.kind, ERROR_NOT_LEADER, NULL);
+        schema_free(&api_request_schema, &pending_read->request);
+        slab_free(&dispatch->pending_reads, tag);
     }
     for (int64_t k = 0; k < dispatch->n_incarnation_states; k++)
         free(dispatch->incarnation_states[k].runs);
@@ -160,9 +160,9 @@
     free(dispatch->executor_views);
     dispatch->executor_views = NULL;
     dispatch->n_executor_views = 0;
-    free(dispatch->uses);
-    dispatch->uses = NULL;
-    dispatch->n_uses = 0;
+    free(dispatch->queue_demands);
+    dispatch->queue_demands = NULL;
+    dispatch->n_queue_demands = 0;
     steps_forget_all(dispatch);
     J1FA(freed, dispatch->busy);
     JLFA(freed, dispatch->run_incarnations);
@@ -172,10 +172,10 @@
 
 void dispatch_on_timer(struct dispatch *dispatch)
 {
-    watch_wall(dispatch);
+    update_wall_offset(dispatch);
     if (!dispatch->leading)
         return;
-    dispatch->timer_ms = world_ms(dispatch->world);
+    dispatch->last_tick_ms = world_ms(dispatch->world);
     watch_on_timer(dispatch);
 }
 
@@ -185,32 +185,32 @@
         return;
     int64_t now_ms = world_ms(dispatch->world);
     requests_flush(dispatch);
-    if (dispatch->plan_due || now_ms >= dispatch->plan_at_ms)
+    if (dispatch->plan_needed || now_ms >= dispatch->next_plan_ms)
         place_round(dispatch);
     for (int64_t i = 0; i < dispatch->n_executor_views; i++)
         if (dispatch->executor_views[i]->dirty)
             orders_send(dispatch, dispatch->executor_views[i], 0);
-    if (!dispatch->open || !dispatch->open->ops.n)
+    if (!dispatch->open_batch || !dispatch->open_batch->ops.n)
         return;
     struct bytes packed = {0};
-    struct batch *batch = dispatch->open;
+    struct batch *batch = dispatch->open_batch;
     schema_pack(&record_batch_schema, &batch->ops, &packed);
     schema_free(&record_batch_schema, &batch->ops);
     memset(&batch->ops, 0, sizeof batch->ops);
     int64_t tag = slab_take(&dispatch->batches, sizeof batch);
     *(struct batch **)slab_at(&dispatch->batches, tag) = batch;
-    dispatch->open = NULL;
+    dispatch->open_batch = NULL;
     dispatch->calls.propose(dispatch->calls.arg, &packed, tag);
     bytes_free(&packed);
 }
 
 void dispatch_committed(struct dispatch *dispatch, int64_t tag, int error, const struct bytes *result)
 {
-    struct batch **cell = slab_at(&dispatch->batches, tag);
+    struct batch **entry = slab_at(&dispatch->batches, tag);
     struct record_result results = {0};
-    if (!cell)
+    if (!entry)
         return;
-    struct batch *batch = *cell;
+    struct batch *batch = *entry;
     slab_free(&dispatch->batches, tag);
     if (!error && (!result || schema_unpack(&record_result_schema, &results, result->at, result->len)))
         error = ERROR_GAVE_UP;
@@ -223,7 +223,7 @@
         const struct reservation *reservation = &batch->reservations[i];
         struct executor_view *view = executor_view_of(dispatch, reservation->agent);
         int rc;
-        J1U(rc, dispatch->busy, row_key(reservation->job, reservation->no));
+        J1U(rc, dispatch->busy, row_key(reservation->job, reservation->row_index));
         (void)rc;
         if (!view->executor.incarnation || strcmp(view->executor.incarnation, reservation->incarnation))
             continue;
@@ -233,15 +233,15 @@
     }
     for (int64_t i = 0; i < batch->n_ends; i++) {
         const struct job *job = record_job(dispatch->record, batch->ends[i].job);
-        int64_t no = job ? job_row(job, batch->ends[i].task) : -1;
-        struct run *run = no >= 0 ? run_of_row(dispatch, job, no) : NULL;
+        int64_t row_index = job ? job_row(job, batch->ends[i].task) : -1;
+        struct run *run = row_index >= 0 ? run_of_row(dispatch, job, row_index) : NULL;
         if (!run || run->attempt != batch->ends[i].attempt)
             continue;
         run->ending = 0;
         step_end_settled(dispatch, run);
-        run_room(dispatch, run, 1);
+        run_count_capacity(dispatch, run, 1);
     }
-    dispatch->plan_due = 1;
+    dispatch->plan_needed = 1;
     schema_free(&record_result_schema, &results);
     batch_free(batch);
 }
--- a/src/dispatch/leader.h
+++ b/src/dispatch/leader.h
@@ -1,7 +1,6 @@
-/* The leader's side of dispatch: answers requests from the record, places waiting
- * tasks, orders starts and stops at agents, and records how runs end. All state in
- * here is volatile and is rebuilt by the next leader; whatever must survive is first
- * committed to the log and applied to the record, and only then acted upon. */
+/* Dispatch on the leading controller: answers requests from the record, places waiting tasks, sends agents orders to
+ * start and stop runs, and records how runs end. Its state is volatile and is rebuilt by the next leader. A change that
+ * must survive a change of leader is committed to the log and applied to the record before dispatch acts on it. */
 #ifndef SAGEHITCH_DISPATCH_LEADER_H
 #define SAGEHITCH_DISPATCH_LEADER_H
 #include "base/slab.h"
@@ -13,25 +12,26 @@
 /* Settings of a deployment, in milliseconds unless the name says otherwise. */
 struct dispatch_settings {
     int64_t lease_ms;        /* length of the lease under which an agent's executor runs tasks */
-    int64_t gang_timeout_ms; /* an executor ends a gang member that waited so long for the others */
-    int64_t early_ms;        /* how long before its due time a repetition may begin */
+    int64_t gang_timeout_ms; /* an executor ends a gang member that has waited this long for the other members */
+    int64_t early_ms;        /* how long before its due time a repetition may start */
     int64_t shown_ms;        /* how long a job's state can be read after the job ended */
     int64_t restore_ms;      /* how long a run that resumes from a checkpoint may report no progress */
-    int64_t far_pct;         /* duration of work away from its data, in percent of that beside it */
+    int64_t far_pct;         /* duration of a task outside the rack of its data, in percent of that inside it */
 };
 
 /* What dispatch needs from the controller around it. Messages are borrowed for the call only. */
 struct dispatch_calls {
-    /* Appends a packed record_batch to the log. dispatch_committed(tag) follows exactly once: after the batch was
-     * committed and applied, or with an error. */
+    /* Appends a packed record_batch to the log. The controller then calls dispatch_committed(tag) exactly once: after
+     * the batch was committed and applied, or with an error. */
     void (*propose)(void *arg, const struct bytes *batch, int64_t tag);
-    /* Answers the request of this ticket. */
+    /* Sends the response to the request with this ticket. */
     void (*answer)(void *arg, int64_t ticket, const struct api_response *response);
     /* Sends orders to the agent at this address. */
     void (*orders)(void *arg, int64_t agent, const struct agent_orders *orders);
-    /* Whether this process holds the leader's lease now; leases are granted to agents only under it. */
+    /* Whether this process holds the leader's lease now. Leases are granted to agents only while it does. */
     int (*leads)(void *arg);
-    /* Starts a read barrier (leadership confirmed by a majority); dispatch_barrier(tag) follows. */
+    /* Starts a read barrier, which confirms leadership with a majority; the controller then calls
+     * dispatch_barrier(tag). */
     void (*barrier)(void *arg, int64_t tag);
     void *arg;
 };
@@ -42,26 +42,27 @@
 struct dispatch *dispatch_new(struct world *world, struct record *record, const struct dispatch_settings *settings,
                               const struct dispatch_calls *calls);
 void dispatch_free(struct dispatch *dispatch);
-/* Replaces the settings; they hold from the next decision on. */
+/* Replaces the settings; later decisions use the new ones. */
 void dispatch_settings_set(struct dispatch *dispatch, const struct dispatch_settings *settings);
-/* Takes up leadership under epoch. The record must hold every entry committed under lower epochs, and no leader of
- * a lower epoch can commit any more. */
+/* Starts to lead under epoch. Every entry committed under a lower epoch must be applied to the record, and no leader
+ * of a lower epoch may be able to commit any more. */
 void dispatch_lead(struct dispatch *dispatch, int64_t epoch);
-/* Gives up leadership: drops all volatile state; waiting requests are answered ERROR_NOT_LEADER. */
+/* Stops leading: frees all volatile state and answers waiting requests with ERROR_NOT_LEADER. */
 void dispatch_follow(struct dispatch *dispatch);
-/* Whether dispatch_lead() was called and dispatch_follow() was not since. */
+/* Whether dispatch leads: dispatch_lead() was called, and dispatch_follow() was not called since. */
 int dispatch_leads(const struct dispatch *dispatch);
-/* To be called on each tick of the timer, also of a follower: leases, stalled runs, the time of day. */
+/* Checks leases, stalled runs and the time of day. Must be called on each timer tick, on followers too. */
 void dispatch_on_timer(struct dispatch *dispatch);
-/* To be called once per iteration of the event loop, after its input: plans if due, sends orders and proposes the
- * open batch. */
+/* Runs a planning round if one is needed, sends orders and proposes the open batch. Must be called once per iteration
+ * of the event loop, after its input was processed. */
 void dispatch_flush(struct dispatch *dispatch);
-/* Answered exactly once through calls.answer, during the call or later; request is only borrowed. */
+/* Processes a request (borrowed). It is answered exactly once through calls.answer, during the call or later. */
 void dispatch_request(struct dispatch *dispatch, int64_t ticket, const struct api_request *request);
-/* Takes in an agent's report (borrowed) and answers it with orders. */
+/* Processes an agent's report (borrowed) and answers it with orders. */
 void dispatch_report(struct dispatch *dispatch, int64_t agent, const struct agent_report *report);
-/* The outcome of calls.propose(). result: a packed record_result with the outcome of each op; NULL with an error. */
+/* Reports the outcome of calls.propose(). result: a packed record_result with the outcome of each op; NULL if error
+ * is set. */
 void dispatch_committed(struct dispatch *dispatch, int64_t tag, int error, const struct bytes *result);
-/* The outcome of calls.barrier(): 0, or an error. */
+/* Reports the outcome of calls.barrier(). error: 0, or why leadership was not confirmed. */
 void dispatch_barrier(struct dispatch *dispatch, int64_t tag, int error);
 #endif
--- a/src/dispatch/leader_orders.c
+++ b/src/dispatch/leader_orders.c
@@ -1,16 +1,16 @@
-/* Orders to agents, built anew each time from the record and the leader's views. */
+/* Orders to agents, built each time from the record and the leader's views. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "base/error.h"
 #include "dispatch/leader_state.h"
 
-static void add_run(struct dispatch *dispatch, struct agent_orders *orders, struct run *run, int64_t now_ms)
+static void order_run(struct dispatch *dispatch, struct agent_orders *orders, struct run *run, int64_t now_ms)
 {
     if (run->ending)
         return;
     if (run->stopping) {
-        /* its start may be in transit; a stop settles it whatever the agent knows */
+        /* sent even if the agent has not reported the run: its start may still be in transit */
         if (!run->stop_sent_ms || now_ms - run->stop_sent_ms >= RESEND_MS) {
             run->stop_sent_ms = now_ms;
             *list_more(orders->stops, orders->n_stops) =
@@ -18,16 +18,16 @@
         }
         return;
     }
-    if (run->known || run->ending || (run->sent_ms && now_ms - run->sent_ms < RESEND_MS))
+    if (run->acknowledged || run->ending || (run->sent_ms && now_ms - run->sent_ms < RESEND_MS))
         return;
     run->sent_ms = now_ms;
-    run->sent_no = orders->number;
+    run->start_orders_number = orders->number;
     (void)dispatch;
     *list_more(orders->starts, orders->n_starts) = (struct run_start){.job = run->job->spec.id,
                                                                       .task = run->task,
                                                                       .attempt = run->attempt,
                                                                       .text = run->job->spec.text,
-                                                                      .saved = run->job->rows[run->no].saved};
+                                                                      .saved = run->job->rows[run->row_index].saved};
 }
 
 void orders_send(struct dispatch *dispatch, struct executor_view *view, int64_t stamp_ms)
@@ -35,12 +35,12 @@
     int64_t now_ms = world_ms(dispatch->world);
     int leads = dispatch->calls.leads(dispatch->calls.arg);
     struct agent_orders orders = {.epoch = dispatch->epoch,
-                                  .number = ++dispatch->orders_no,
+                                  .number = ++dispatch->last_orders_number,
                                   .lease_ms = dispatch->settings.lease_ms,
                                   .leader = (int64_t)dispatch->world->self,
                                   .incarnation = view->present ? view->executor.incarnation : NULL,
                                   .drain_seen = view->executor.draining,
-                                  .pace_ms = dispatch->plan.blocked ? PACE_BUSY_MS : PACE_CALM_MS,
+                                  .pace_ms = dispatch->plan.blocked ? POLL_DELAY_BLOCKED_MS : POLL_DELAY_IDLE_MS,
                                   .stops = view->orphan_runs,
                                   .n_stops = view->n_orphan_runs,
                                   .ends_seen = view->absent_runs,
@@ -53,17 +53,17 @@
         incarnation = -1;
     view->dirty = 0;
     if (incarnation >= 0 || view->present)
-        orders.seen = executor_view_seen(dispatch, view, incarnation);
+        orders.seen = executor_view_committed_seq(dispatch, view, incarnation);
     view->orphan_runs = NULL;
     view->n_orphan_runs = 0;
-    if (stamp_ms && leads && (!view->present || view->executor.silent_ms < GRANT_SILENT_MS)) {
+    if (stamp_ms && leads && (!view->present || view->executor.silent_ms < RENEWAL_SILENT_MAX_MS)) {
         orders.stamp_ms = stamp_ms;
         if (incarnation >= 0 && dispatch->incarnation_states[incarnation].grant_ms < now_ms)
             dispatch->incarnation_states[incarnation].grant_ms = now_ms;
     }
     if (leads && view->ready)
         for (int64_t i = 0; incarnation >= 0 && i < dispatch->incarnation_states[incarnation].n; i++)
-            add_run(dispatch, &orders, &dispatch->incarnation_states[incarnation].runs[i], now_ms);
+            order_run(dispatch, &orders, &dispatch->incarnation_states[incarnation].runs[i], now_ms);
     dispatch->calls.orders(dispatch->calls.arg, view->agent, &orders);
     for (int64_t i = 0; i < orders.n_starts; i++)
         orders.starts[i].text = orders.starts[i].saved = NULL; /* borrowed from the record */
@@ -71,7 +71,7 @@
     free(orders.stops);
 }
 
-/* Agents that may hold runs learn of the new leader at once. */
+/* Agents that may have runs are told of the new leader at once. */
 void orders_announce(struct dispatch *dispatch)
 {
     for (int64_t k = 0; k < dispatch->record->n_incarnations; k++) {
@@ -80,7 +80,7 @@
         for (int64_t i = 0; i < k && !announced; i++)
             announced = dispatch->record->incarnations[i].agent == agent;
         struct agent_orders orders = {.epoch = dispatch->epoch,
-                                      .number = ++dispatch->orders_no,
+                                      .number = ++dispatch->last_orders_number,
                                       .lease_ms = dispatch->settings.lease_ms,
                                       .leader = (int64_t)dispatch->world->self};
         if (!announced)
--- a/src/dispatch/leader_requests.c
+++ b/src/dispatch/leader_requests.c
@@ -1,4 +1,5 @@
-/* Requests of callers and operators, answered from the record, or by the result of an op once it is committed. */
+/* Requests of callers and operators: reads are answered from the record, changes with the result of their op once it is
+ * committed. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -10,12 +11,13 @@
 
 static void waiter_add(struct dispatch *dispatch, int64_t ticket, int64_t kind)
 {
-    *list_more(dispatch->open->waiters, dispatch->open->n_waiters) =
-        (struct waiter){.ticket = ticket, .kind = kind, .op = dispatch->open->ops.n - 1};
+    *list_more(dispatch->open_batch->waiters, dispatch->open_batch->n_waiters) =
+        (struct waiter){.ticket = ticket, .kind = kind, .op = dispatch->open_batch->ops.n - 1};
 }
 
-/* The queue of a request by the newest configuration; NULL: there is none, and the request was answered. */
-static const struct queue_config *queue_requested(struct dispatch *dispatch, int64_t ticket,
+/* The queue for the request's host and path in the newest configuration; NULL: there is none, and the request was
+ * answered with an error. */
+static const struct queue_config *requested_queue(struct dispatch *dispatch, int64_t ticket,
                                                   const struct api_request *request)
 {
     const struct config *config = &dispatch->record->config;
@@ -27,7 +29,8 @@
     return NULL;
 }
 
-/* The job's own queue, if the newest configuration no longer has it and the request's host and path match it. */
+/* The queue of the job, if the newest configuration no longer has it and the request's host and path match it; else
+ * NULL. */
 static const struct queue_config *removed_queue(const struct dispatch *dispatch, const struct job *job,
                                                 const struct api_request *request)
 {
@@ -39,19 +42,21 @@
                : NULL;
 }
 
-/* The queue of a request about a job; NULL: the request was answered. taken: the same request was accepted before. A
- * job of a removed queue can still be reached by its path if that belongs to another queue now. If the path belongs to
- * no queue, a request is not carried out; one that was accepted before gets ERROR_GAVE_UP in place of a refusal. */
-static const struct queue_config *queue_of_job(struct dispatch *dispatch, int64_t ticket,
-                                               const struct api_request *request, const struct job *job, int taken)
+/* The queue of a request about a job; NULL: the request was answered with an error. already_accepted: the same request
+ * was accepted before. A job of a removed queue can still be reached by its path if that path belongs to another queue
+ * now. If the path belongs to no queue, the request is not carried out; a request that was accepted before is then
+ * answered with ERROR_GAVE_UP, since a refusal would say that it had not been accepted. */
+static const struct queue_config *requested_job_queue(struct dispatch *dispatch, int64_t ticket,
+                                                      const struct api_request *request, const struct job *job,
+                                                      int already_accepted)
 {
     const struct config *config = &dispatch->record->config;
     const struct queue_config *removed = removed_queue(dispatch, job, request);
     if (removed && config->version && config_route(config, request->host, request->path) >= 0)
         return removed;
-    if (!removed || !taken)
-        return queue_requested(dispatch, ticket, request);
-    dispatch_answer(dispatch, ticket, request->kind, ERROR_GAVE_UP, "taken before its queue was removed");
+    if (!removed || !already_accepted)
+        return requested_queue(dispatch, ticket, request);
+    dispatch_answer(dispatch, ticket, request->kind, ERROR_GAVE_UP, "accepted before its queue was removed");
     return NULL;
 }
 
@@ -60,12 +65,12 @@
     const struct job_spec *spec = api_request_job(request);
     const struct job *job = record_job(dispatch->record, spec->id);
     const struct queue_config *removed = removed_queue(dispatch, job, request);
-    int taken = removed && job_same(job, spec, removed->name);
-    const struct queue_config *queue = queue_of_job(dispatch, ticket, request, job, taken);
+    int already_accepted = removed && job_same(job, spec, removed->name);
+    const struct queue_config *queue = requested_job_queue(dispatch, ticket, request, job, already_accepted);
     if (!queue)
         return;
     if (dispatch->record->n_live >= LIVE_JOBS_MAX && !job) {
-        dispatch_answer(dispatch, ticket, request->kind, ERROR_OVERLOAD, "too many jobs wait; come back later");
+        dispatch_answer(dispatch, ticket, request->kind, ERROR_OVERLOAD, "too many live jobs; retry later");
         return;
     }
     struct job_op *op = record_op_make_job(dispatch_op(dispatch));
@@ -74,11 +79,11 @@
     waiter_add(dispatch, ticket, request->kind);
 }
 
-static struct job *job_requested(struct dispatch *dispatch, int64_t ticket, const struct api_request *request)
+static struct job *requested_job(struct dispatch *dispatch, int64_t ticket, const struct api_request *request)
 {
     struct job *job = record_job(dispatch->record, api_request_job_id(request));
-    int taken = job && request->kind == REQUEST_CANCEL && job->state == JOB_CANCELLED;
-    const struct queue_config *queue = queue_of_job(dispatch, ticket, request, job, taken);
+    int already_accepted = job && request->kind == REQUEST_CANCEL && job->state == JOB_CANCELLED;
+    const struct queue_config *queue = requested_job_queue(dispatch, ticket, request, job, already_accepted);
     if (!queue)
         return NULL;
     if (job && !strcmp(dispatch->record->queues[job->queue].config.name, queue->name))
@@ -89,16 +94,17 @@
 
 static void request_cancel(struct dispatch *dispatch, int64_t ticket, const struct api_request *request)
 {
-    struct job *job = job_requested(dispatch, ticket, request);
+    struct job *job = requested_job(dispatch, ticket, request);
     if (!job)
         return;
     record_op_make_cancel(dispatch_op(dispatch), job->spec.id);
     waiter_add(dispatch, ticket, request->kind);
 }
 
-/* Answers a patch that does not fit the version it builds on: it never can, whatever else is being committed. One on
- * another version is left to the record, which knows whether it was taken before. */
-static int patch_refused(struct dispatch *dispatch, int64_t ticket, const struct config_change *patch)
+/* Answers a patch of the current version that cannot be applied to it with an error, and returns 1: ops that are being
+ * committed cannot make it valid. Returns 0 for a patch of another version; the record knows whether that was accepted
+ * before. */
+static int refuse_invalid_patch(struct dispatch *dispatch, int64_t ticket, const struct config_change *patch)
 {
     struct config patched = {0};
     struct validation_error validation_error = {0};
@@ -117,7 +123,7 @@
 static void request_config(struct dispatch *dispatch, int64_t ticket, const struct api_request *request)
 {
     const struct config_change *change = api_request_config(request);
-    if (request->kind == REQUEST_CONFIG_PATCH && patch_refused(dispatch, ticket, change))
+    if (request->kind == REQUEST_CONFIG_PATCH && refuse_invalid_patch(dispatch, ticket, change))
         return;
     struct config_change *op = request->kind == REQUEST_CONFIG_PATCH
                                    ? record_op_make_config_patch(dispatch_op(dispatch))
@@ -133,7 +139,7 @@
     waiter_add(dispatch, ticket, request->kind);
 }
 
-/* Answers reads of head office's rules, an outlet's, or a job's. */
+/* Answers reads of the rules of the head office, of an outlet, or of a job. */
 static void answer_rules(struct dispatch *dispatch, int64_t ticket, const struct api_request *request)
 {
     struct bytes text = {0};
@@ -144,19 +150,19 @@
 
 static void answer_count(struct dispatch *dispatch, int64_t ticket, const struct api_request *request)
 {
-    const struct queue_config *queue = queue_requested(dispatch, ticket, request);
+    const struct queue_config *queue = requested_queue(dispatch, ticket, request);
     if (!queue)
         return;
-    int64_t no = record_queue(dispatch->record, queue->name), count = 0;
+    int64_t queue_index = record_queue(dispatch->record, queue->name), count = 0;
     for (const struct job *job = dispatch->record->oldest; job; job = job->next)
-        count += job->queue == no && job->state == JOB_PENDING;
+        count += job->queue == queue_index && job->state == JOB_PENDING;
     struct api_response response = api_response_make_count(count);
     dispatch->calls.answer(dispatch->calls.arg, ticket, &response);
 }
 
 static const char *const row_names[] = {"waiting", "placed", "done", "failed"};
 
-/* Answers with a job's state as text, for operators. */
+/* Answers with a job's state as text for operators. */
 static void answer_why(struct dispatch *dispatch, int64_t ticket, const struct api_request *request)
 {
     struct job *job = record_job(dispatch->record, api_request_job_id(request));
@@ -178,7 +184,7 @@
                      (long long)step, (long long)index, row_names[row->state], row->attempt, row->failures,
                      row->state == ROW_PLACED ? " on " : "",
                      row->state == ROW_PLACED ? dispatch->record->incarnations[row->incarnation].name : "",
-                     row->state == ROW_WAITING && !job_step_begins(job, time, step) ? " (steps before it)" : "");
+                     row->state == ROW_WAITING && !job_step_is_ready(job, time, step) ? " (steps before it)" : "");
         if (run)
             bytes_printf(&text, "  percent %lld seen %lld ms ago%s%s\n", (long long)run->percent,
                          (long long)(run->seen_ms ? world_ms(dispatch->world) - run->seen_ms : -1),
@@ -189,7 +195,7 @@
     bytes_free(&text);
 }
 
-/* Answers with the configuration as it was sent. */
+/* Answers with the configuration, byte for byte as the operator sent it. */
 static void answer_config(struct dispatch *dispatch, int64_t ticket)
 {
     const struct config *config = &dispatch->record->config;
@@ -203,7 +209,7 @@
 
 static void answer_state(struct dispatch *dispatch, int64_t ticket, const struct api_request *request)
 {
-    const struct job *job = job_requested(dispatch, ticket, request);
+    const struct job *job = requested_job(dispatch, ticket, request);
     if (!job)
         return;
     struct api_response response = api_response_make_state(job->state);
@@ -222,30 +228,30 @@
     }
 }
 
-/* The end of a run that preceded the request may not be in the record yet: its executor must be polled and the end
- * committed. So a read of the state of a job whose remaining tasks all run waits for up to STATE_WAIT_MS, or until the
- * job is over. */
-static int may_end_now(const struct dispatch *dispatch, const struct api_request *request)
+/* Whether a read of a job's state should wait: all remaining tasks of the job are placed. A run that ended before the
+ * request may not be in the record yet, because its executor must be polled and its end committed. Such a read waits
+ * for STATE_WAIT_MS, or until the job is over. */
+static int may_end_soon(const struct dispatch *dispatch, const struct api_request *request)
 {
     const struct job *job =
         request->kind == REQUEST_STATE ? record_job(dispatch->record, api_request_job_id(request)) : NULL;
     return job && !job_over(job) && job->n_placed && job->n_done + job->n_placed == job->tasks * job->times;
 }
 
-static struct reader *reader_new(struct dispatch *dispatch, int64_t ticket, const struct api_request *request,
-                                 int64_t *tag)
+static struct pending_read *pending_read_new(struct dispatch *dispatch, int64_t ticket,
+                                             const struct api_request *request, int64_t *tag)
 {
-    *tag = slab_take(&dispatch->readers, sizeof(struct reader));
-    struct reader *reader = slab_at(&dispatch->readers, *tag);
-    reader->ticket = ticket;
-    schema_copy(&api_request_schema, &reader->request, request);
-    return reader;
+    *tag = slab_take(&dispatch->pending_reads, sizeof(struct pending_read));
+    struct pending_read *pending_read = slab_at(&dispatch->pending_reads, *tag);
+    pending_read->ticket = ticket;
+    schema_copy(&api_request_schema, &pending_read->request, request);
+    return pending_read;
 }
 
-static void reader_answer(struct dispatch *dispatch, int64_t tag, int error)
+static void pending_read_answer(struct dispatch *dispatch, int64_t tag, int error)
 {
-    struct reader copy = *(struct reader *)slab_at(&dispatch->readers, tag);
-    slab_free(&dispatch->readers, tag);
+    struct pending_read copy = *(struct pending_read *)slab_at(&dispatch->pending_reads, tag);
+    slab_free(&dispatch->pending_reads, tag);
     if (error)
         dispatch_answer(dispatch, copy.ticket, copy.request.kind, ERROR_NOT_LEADER, NULL);
     else
@@ -256,15 +262,16 @@
 void requests_flush(struct dispatch *dispatch)
 {
     int64_t now_ms = world_ms(dispatch->world);
-    for (int64_t i = 0; dispatch->readers.used && i < dispatch->readers.cap; i++) {
-        int64_t tag = slab_number(&dispatch->readers, i);
-        const struct reader *reader = slab_at(&dispatch->readers, tag);
-        if (!reader || !reader->until_ms || (now_ms < reader->until_ms && may_end_now(dispatch, &reader->request)))
+    for (int64_t i = 0; dispatch->pending_reads.used && i < dispatch->pending_reads.cap; i++) {
+        int64_t tag = slab_number(&dispatch->pending_reads, i);
+        const struct pending_read *pending_read = slab_at(&dispatch->pending_reads, tag);
+        if (!pending_read || !pending_read->until_ms ||
+            (now_ms < pending_read->until_ms && may_end_soon(dispatch, &pending_read->request)))
             continue;
         if (dispatch->calls.leads(dispatch->calls.arg))
-            reader_answer(dispatch, tag, ERROR_NONE);
-        else if (now_ms >= reader->until_ms)
-            reader_answer(dispatch, tag, ERROR_NOT_LEADER);
+            pending_read_answer(dispatch, tag, ERROR_NONE);
+        else if (now_ms >= pending_read->until_ms)
+            pending_read_answer(dispatch, tag, ERROR_NOT_LEADER);
     }
 }
 
@@ -289,12 +296,12 @@
     default: dispatch_answer(dispatch, ticket, request->kind, ERROR_NO_SUCH, NULL); return;
     }
     int64_t tag;
-    /* under the leader's own lease no other process can have committed anything */
+    /* while this leader holds its lease, no other process can have committed anything */
     if (!dispatch->calls.leads(dispatch->calls.arg)) {
-        reader_new(dispatch, ticket, request, &tag);
+        pending_read_new(dispatch, ticket, request, &tag);
         dispatch->calls.barrier(dispatch->calls.arg, tag);
-    } else if (may_end_now(dispatch, request)) {
-        reader_new(dispatch, ticket, request, &tag)->until_ms = world_ms(dispatch->world) + STATE_WAIT_MS;
+    } else if (may_end_soon(dispatch, request)) {
+        pending_read_new(dispatch, ticket, request, &tag)->until_ms = world_ms(dispatch->world) + STATE_WAIT_MS;
     } else {
         requests_answer_read(dispatch, ticket, request);
     }
@@ -302,6 +309,6 @@
 
 void dispatch_barrier(struct dispatch *dispatch, int64_t tag, int error)
 {
-    if (slab_at(&dispatch->readers, tag))
-        reader_answer(dispatch, tag, error);
+    if (slab_at(&dispatch->pending_reads, tag))
+        pending_read_answer(dispatch, tag, error);
 }
--- a/src/dispatch/leader_runs.c
+++ b/src/dispatch/leader_runs.c
@@ -1,4 +1,4 @@
-/* Runs: the leader's view of PLACED rows, and the room they take. */
+/* Runs: the leader's view of PLACED rows, and the capacity they use. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -24,14 +24,14 @@
     return NULL;
 }
 
-struct run *run_of_row(struct dispatch *dispatch, const struct job *job, int64_t no)
+struct run *run_of_row(struct dispatch *dispatch, const struct job *job, int64_t row_index)
 {
-    const struct row *row = job->rows ? &job->rows[no] : NULL;
+    const struct row *row = job->rows ? &job->rows[row_index] : NULL;
     if (!row || row->state != ROW_PLACED || row->incarnation >= dispatch->n_incarnation_states)
         return NULL;
     struct incarnation_state *state = &dispatch->incarnation_states[row->incarnation];
     for (int64_t i = 0; i < state->n; i++)
-        if (state->runs[i].job == job && state->runs[i].no == no)
+        if (state->runs[i].job == job && state->runs[i].row_index == row_index)
             return &state->runs[i];
     return NULL;
 }
@@ -42,37 +42,37 @@
     return incarnation >= 0 && dispatch->record->incarnations[incarnation].placed ? incarnation : -1;
 }
 
-static const struct step_spec *step_of(const struct job *job, int64_t no, int64_t *time, int64_t *step)
+static const struct step_spec *step_of(const struct job *job, int64_t row_index, int64_t *time, int64_t *step)
 {
     int64_t index;
-    job_place(job, no, time, step, &index);
+    job_place(job, row_index, time, step, &index);
     return &job->spec.steps[*step];
 }
 
-struct queue_use *queue_use(struct dispatch *dispatch, int64_t queue)
+struct queue_demand *queue_demand(struct dispatch *dispatch, int64_t queue)
 {
-    while (dispatch->n_uses <= queue)
-        (void)list_more(dispatch->uses, dispatch->n_uses);
-    return &dispatch->uses[queue];
+    while (dispatch->n_queue_demands <= queue)
+        (void)list_more(dispatch->queue_demands, dispatch->n_queue_demands);
+    return &dispatch->queue_demands[queue];
 }
 
-void run_room(struct dispatch *dispatch, struct run *run, int64_t sign)
+void run_count_capacity(struct dispatch *dispatch, struct run *run, int64_t sign)
 {
     int64_t time, step;
-    const struct step_spec *spec = step_of(run->job, run->no, &time, &step);
+    const struct step_spec *spec = step_of(run->job, run->row_index, &time, &step);
     struct incarnation_state *state = &dispatch->incarnation_states[run->incarnation];
-    if (run->holds == (sign > 0))
+    if (run->capacity_counted == (sign > 0))
         return;
-    run->holds = sign > 0;
+    run->capacity_counted = sign > 0;
     state->cpu_milli += sign * spec->cpu_milli;
     state->memory_mb += sign * spec->memory_mb;
     state->gpus += sign * spec->gpus;
-    queue_use(dispatch, run->job->queue)->cpu_milli += sign * spec->cpu_milli;
+    queue_demand(dispatch, run->job->queue)->cpu_milli += sign * spec->cpu_milli;
 }
 
-void run_add(struct dispatch *dispatch, struct job *job, int64_t no)
+void run_add(struct dispatch *dispatch, struct job *job, int64_t row_index)
 {
-    struct row *row = &job->rows[no];
+    struct row *row = &job->rows[row_index];
     struct incarnation_state *state = incarnation_state_at(dispatch, row->incarnation);
     int64_t now_ms = world_ms(dispatch->world);
     if (!state->n) {
@@ -82,42 +82,42 @@
     }
     struct run *run = list_more(state->runs, state->n);
     *run = (struct run){.job = job,
-                        .no = no,
-                        .task = job_task(job, no),
+                        .row_index = row_index,
+                        .task = job_task(job, row_index),
                         .attempt = row->attempt,
                         .placed_ms = now_ms,
                         .percent_ms = now_ms,
                         .percent = -1,
                         .stopping = job_over(job),
                         .incarnation = row->incarnation};
-    run_room(dispatch, run, 1);
+    run_count_capacity(dispatch, run, 1);
     PPvoid_t at;
-    JLI(at, dispatch->run_incarnations, row_key(job, no));
+    JLI(at, dispatch->run_incarnations, row_key(job, row_index));
     *at = (Pvoid_t)(Word_t)row->incarnation;
     struct executor_view *view = executor_view_of_incarnation(dispatch, row->incarnation);
     if (view)
         view->dirty = 1;
 }
 
-void run_drop(struct dispatch *dispatch, struct job *job, int64_t no)
+void run_drop(struct dispatch *dispatch, struct job *job, int64_t row_index)
 {
     PPvoid_t at;
     int rc;
-    JLG(at, dispatch->run_incarnations, row_key(job, no));
+    JLG(at, dispatch->run_incarnations, row_key(job, row_index));
     if (!at)
         return;
     struct incarnation_state *state = &dispatch->incarnation_states[(int64_t)(Word_t)*at];
-    JLD(rc, dispatch->run_incarnations, row_key(job, no));
+    JLD(rc, dispatch->run_incarnations, row_key(job, row_index));
     (void)rc;
     for (int64_t i = 0; i < state->n; i++) {
-        if (state->runs[i].job != job || state->runs[i].no != no)
+        if (state->runs[i].job != job || state->runs[i].row_index != row_index)
             continue;
-        run_room(dispatch, &state->runs[i], -1);
+        run_count_capacity(dispatch, &state->runs[i], -1);
         step_end_settled(dispatch, &state->runs[i]);
         struct executor_view *view =
             state->runs[i].end_seq ? executor_view_of_incarnation(dispatch, state->runs[i].incarnation) : NULL;
         if (view)
-            view->dirty = 1; /* acknowledging the committed end at once saves polls */
+            view->dirty = 1; /* acknowledging the committed end at once saves further polls */
         state->runs[i] = state->runs[--state->n];
         return;
     }
@@ -129,15 +129,15 @@
         return;
     run->stopping = 1;
     run->stop_sent_ms = 0;
-    struct executor_view *view = executor_view_of_incarnation(dispatch, run->job->rows[run->no].incarnation);
+    struct executor_view *view = executor_view_of_incarnation(dispatch, run->job->rows[run->row_index].incarnation);
     if (view)
         view->dirty = 1;
 }
 
-void run_gang_stop(struct dispatch *dispatch, struct job *job, int64_t no)
+void run_gang_stop(struct dispatch *dispatch, struct job *job, int64_t row_index)
 {
     int64_t time, step;
-    const struct step_spec *spec = step_of(job, no, &time, &step);
+    const struct step_spec *spec = step_of(job, row_index, &time, &step);
     if (!spec->gang)
         return;
     int64_t first = time * job->tasks + job->first[step];
@@ -148,10 +148,10 @@
     }
 }
 
-/* The open batch's last op where it is one of ends, else a new one. */
+/* The last op of the open batch if it is an OP_END, else a new OP_END. */
 static struct end_op *end_op_open(struct dispatch *dispatch)
 {
-    const struct record_batch *ops = dispatch->open ? &dispatch->open->ops : NULL;
+    const struct record_batch *ops = dispatch->open_batch ? &dispatch->open_batch->ops : NULL;
     if (ops && ops->n && ops->ops[ops->n - 1].kind == OP_END)
         return record_op_append_end(&ops->ops[ops->n - 1]);
     return record_op_make_end(dispatch_op(dispatch));
@@ -162,24 +162,24 @@
     if (run->ending)
         return;
     run->ending = 1;
-    dispatch->plan_due = 1;
+    dispatch->plan_needed = 1;
     if (how == END_DONE)
         step_end_pending(dispatch, run);
-    run_room(dispatch, run, -1); /* what is placed there is committed behind this end */
+    run_count_capacity(dispatch, run, -1); /* placements that use it are committed after this end */
     struct end_op *op = end_op_open(dispatch);
     *list_more(op->ended, op->n_ended) = (struct run_ended){.job = run->job->spec.id,
                                                             .task = run->task,
                                                             .attempt = run->attempt,
                                                             .how = how,
                                                             .saved = must_dup(saved && *saved ? saved : NULL)};
-    *list_more(dispatch->open->ends, dispatch->open->n_ends) =
+    *list_more(dispatch->open_batch->ends, dispatch->open_batch->n_ends) =
         (struct run_ref){.job = run->job->spec.id, .task = run->task, .attempt = run->attempt};
 }
 
-void incarnation_lapsed(struct dispatch *dispatch, int64_t incarnation, int64_t orders_taken)
+void incarnation_lapse_runs(struct dispatch *dispatch, int64_t incarnation, int64_t orders_taken)
 {
     struct incarnation_state *state = &dispatch->incarnation_states[incarnation];
     for (int64_t i = 0; i < state->n; i++)
-        if (!state->runs[i].ending && state->runs[i].sent_no <= orders_taken)
+        if (!state->runs[i].ending && state->runs[i].start_orders_number <= orders_taken)
             run_end(dispatch, &state->runs[i], END_LAPSED, NULL);
 }
--- a/src/dispatch/leader_steps.c
+++ b/src/dispatch/leader_steps.c
@@ -1,25 +1,25 @@
-/* Steps in progress: how long their runs take, and which of their ends are being committed. */
+/* Steps in progress: how long their runs take, and how many of their ends are being committed. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "dispatch/leader_state.h"
 
 enum {
-    SIBLINGS_MIN = 2, /* so many runs of the step must have ended before one is compared with them */
-    PACE_SHARE = 6,   /* a run moves its executor's mean by one part in so many, */
-    TYPICAL_SHARE = 32,
+    COMPARED_RUNS_MIN = 2, /* a run is compared with others of its step once this many of them have ended */
+    DURATION_SHARE = 6,    /* a run moves the mean of its executor by 1 / DURATION_SHARE of the difference */
+    TYPICAL_SHARE = 32,    /* and the mean over all executors by 1 / TYPICAL_SHARE */
     TYPICAL_PCT_MIN = 10,
-    SLOW_PCT_MIN = 30,
-    SLOW_PCT_MAX = 1500,
+    DURATION_PCT_MIN = 30,
+    DURATION_PCT_MAX = 1500,
     ROWS_OF_JOB = 1 << 15 /* as in row_key() */
 };
 
-/* The step of a run, and its first row in the run's repetition. */
+/* The step of a run; fills first with the index of the step's first row in the run's repetition. */
 static const struct step_spec *step_of_run(const struct run *run, int64_t *first)
 {
     int64_t time, step, index;
-    job_place(run->job, run->no, &time, &step, &index);
-    *first = run->no - index;
+    job_place(run->job, run->row_index, &time, &step, &index);
+    *first = run->row_index - index;
     return &run->job->spec.steps[step];
 }
 
@@ -39,41 +39,41 @@
     return *at;
 }
 
-/* Duration of a run as if near its data. */
-static int64_t run_took_ms(const struct dispatch *dispatch, const struct executor_view *view,
-                           const struct step_spec *spec, const struct run *run)
+/* Duration of a run, converted to what it would have been in the rack of its data. */
+static int64_t run_duration_ms(const struct dispatch *dispatch, const struct executor_view *view,
+                               const struct step_spec *spec, const struct run *run)
 {
-    int64_t took_ms = world_ms(dispatch->world) - run->placed_ms;
+    int64_t duration_ms = world_ms(dispatch->world) - run->placed_ms;
     int away = spec->rack && (!view->executor.rack || strcmp(spec->rack, view->executor.rack) != 0);
-    return away && dispatch->settings.far_pct > 100 ? took_ms * 100 / dispatch->settings.far_pct : took_ms;
+    return away && dispatch->settings.far_pct > 100 ? duration_ms * 100 / dispatch->settings.far_pct : duration_ms;
 }
 
-void step_pace_learn(struct dispatch *dispatch, struct executor_view *view, const struct run *run)
+void step_learn_duration(struct dispatch *dispatch, struct executor_view *view, const struct run *run)
 {
     int64_t first;
     const struct step_spec *spec = step_of_run(run, &first);
-    int64_t took_ms = run_took_ms(dispatch, view, spec, run);
-    if (took_ms <= 0 || spec->lasting || run->job->rows[run->no].saved || job_over(run->job))
+    int64_t duration_ms = run_duration_ms(dispatch, view, spec, run);
+    if (duration_ms <= 0 || spec->lasting || run->job->rows[run->row_index].saved || job_over(run->job))
         return;
     struct step_progress *progress = progress_of(dispatch, run->job, first);
     int64_t n = progress->n_ended++, mean_ms = n ? progress->ended_ms / n : 0;
-    progress->ended_ms += took_ms;
-    if (n < SIBLINGS_MIN || !mean_ms)
+    progress->ended_ms += duration_ms;
+    if (n < COMPARED_RUNS_MIN || !mean_ms)
         return;
-    int64_t pct = took_ms * 100 / mean_ms;
-    if (pct > SLOW_PCT_MAX)
-        pct = SLOW_PCT_MAX;
+    int64_t pct = duration_ms * 100 / mean_ms;
+    if (pct > DURATION_PCT_MAX)
+        pct = DURATION_PCT_MAX;
     int64_t typical_pct = dispatch->typical_pct > TYPICAL_PCT_MIN ? dispatch->typical_pct : TYPICAL_PCT_MIN;
     dispatch->typical_pct += (pct - dispatch->typical_pct) / TYPICAL_SHARE;
-    view->slow_pct += (pct * 100 / typical_pct - view->slow_pct) / PACE_SHARE;
-    if (view->slow_pct < SLOW_PCT_MIN)
-        view->slow_pct = SLOW_PCT_MIN;
+    view->slow_pct += (pct * 100 / typical_pct - view->slow_pct) / DURATION_SHARE;
+    if (view->slow_pct < DURATION_PCT_MIN)
+        view->slow_pct = DURATION_PCT_MIN;
 }
 
 void step_end_pending(struct dispatch *dispatch, struct run *run)
 {
     int64_t first;
-    /* the members of a gang end together, by one of them, so they cannot be counted */
+    /* not counted for gangs: the end of one member as DONE ends all of them */
     if (step_of_run(run, &first)->gang || job_over(run->job))
         return;
     run->end_pending = 1;
@@ -98,7 +98,7 @@
     return progress ? progress->n_ends_pending : 0;
 }
 
-/* Frees all from this key on, up to but not including end. */
+/* Frees the progress of all steps with keys from `key` up to but not including `end`. */
 static void steps_free(struct dispatch *dispatch, Word_t key, Word_t end)
 {
     for (PPvoid_t at = JudyLFirst(dispatch->steps, &key, PJE0); at && key < end;
--- a/src/dispatch/plan.c
+++ b/src/dispatch/plan.c
@@ -1,30 +1,30 @@
-/* One round of placement: the steps that are ready, the most urgent first, each as far as there is room. */
+/* A planning round: places the steps that are ready, the most urgent first, each as far as capacity allows. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "dispatch/plan_round.h"
 
 enum {
-    RESERVE_MS = 1500,          /* an entry blocked for longer holds room, */
-    RESERVE_HOPELESS_MS = 6000, /* a HOPELESS one after so long */
-    ONE_RACK_MS = 2000,         /* how long a gang waits for one rack */
-    IDLE_MS = 1800              /* a job without runs waits no longer for room held for others */
+    RESERVE_AFTER_MS = 1500,          /* capacity is reserved for an entry that has been blocked for longer */
+    RESERVE_HOPELESS_AFTER_MS = 6000, /* the same for a HOPELESS entry */
+    RACK_WAIT_MS = 2000,              /* how long a same_rack gang waits for one rack */
+    IDLE_JOB_WAIT_MS = 1800           /* after waiting longer, a job without runs may use reserved capacity */
 };
 
-static void placement_add(struct plan *plan, const struct plan_entry *entry, int64_t no, int64_t attempt,
+static void placement_add(struct plan *plan, const struct plan_entry *entry, int64_t row_index, int64_t attempt,
                           int64_t candidate)
 {
-    plan_take(plan->round, candidate, entry_step(entry));
+    plan_take_capacity(plan->round, candidate, entry_step(entry));
     plan->places = plan_array_reserve(plan->places, &plan->round->cap_places, plan->n + 1, sizeof *plan->places);
     plan->places[plan->n++] = (struct placement){.job = entry->job,
                                                  .time = entry->time,
                                                  .step = entry->step,
-                                                 .no = no,
+                                                 .row_index = row_index,
                                                  .attempt = attempt,
                                                  .candidate = candidate};
 }
 
-/* Places all members or none; they are alike, so room for as many in total is enough. */
+/* Places all members of a gang or none. All request the same, so capacity for task_count tasks in total is enough. */
 static int64_t place_gang(struct plan *plan, const struct plan_entry *entry)
 {
     struct plan_round *round = plan->round;
@@ -33,10 +33,10 @@
     int64_t attempt = 0;
     if (step->same_rack) {
         rack = plan_rack(round, step, 0);
-        if (!rack && plan_rack(round, step, 1) && plan_waited_ms(round, entry) < ONE_RACK_MS)
+        if (!rack && plan_rack(round, step, 1) && plan_waited_ms(round, entry) < RACK_WAIT_MS)
             return 0;
     }
-    if (plan_holds(round, step, rack, 0) < step->task_count)
+    if (plan_capacity(round, step, rack, 0) < step->task_count)
         return 0;
     for (int64_t i = 0; i < round->n_rows; i++)
         if (entry->job->rows[round->rows[i]].attempt > attempt)
@@ -46,11 +46,11 @@
     return round->n_rows;
 }
 
-static int64_t place_tasks(struct plan *plan, const struct plan_entry *entry, int64_t most)
+static int64_t place_tasks(struct plan *plan, const struct plan_entry *entry, int64_t limit)
 {
     struct plan_round *round = plan->round;
     int64_t n = 0;
-    for (; n < round->n_rows && n < most; n++) {
+    for (; n < round->n_rows && n < limit; n++) {
         int64_t candidate = plan_choose(round, entry_step(entry), NULL);
         if (candidate < 0)
             break;
@@ -59,12 +59,12 @@
     return n;
 }
 
-/* Remembers a step that found no room, so that others as large need not be tried. */
+/* Remembers a step that did not fit, so that steps which request at least as much need not be tried. */
 static void failed_add(struct plan_round *round, const struct plan_entry *entry)
 {
     const struct step_spec *step = entry_step(entry);
     struct plan_service *service = &round->services[entry->service];
-    if (!step->gang && round->only_room && round->respect_holds && service->n_failed < FAILED_MAX)
+    if (!step->gang && round->only_capacity && round->respect_reservations && service->n_failed < FAILED_MAX)
         service->failed[service->n_failed++] = step;
 }
 
@@ -80,68 +80,69 @@
     }
     if (entry->service < 0 || round->services[entry->service].reserved)
         return;
-    if (plan_waited_ms(round, entry) < (entry->lateness == HOPELESS ? RESERVE_HOPELESS_MS : RESERVE_MS))
+    if (plan_waited_ms(round, entry) < (entry->lateness == HOPELESS ? RESERVE_HOPELESS_AFTER_MS : RESERVE_AFTER_MS))
         return;
-    plan_judge(round, entry);
-    plan_reserve(round, entry);
+    plan_rate_candidates(round, entry);
+    plan_reserve_capacity(round, entry);
 }
 
-/* How many tasks may be placed so that keep_free stays free for more urgent queues. It does not apply while half of the
- * service is free, or to work that would be late otherwise. */
-static int64_t placeable_max(const struct plan_round *round, const struct plan_entry *entry, int64_t most)
+/* How many tasks may be placed, at most limit, so that headroom_cpu_milli stays free for more urgent queues. The
+ * headroom is not kept while more than half of the service is free, nor against work that would otherwise be late. */
+static int64_t headroom_limit(const struct plan_round *round, const struct plan_entry *entry, int64_t limit)
 {
     const struct plan_service *service = &round->services[entry->service];
     const struct step_spec *step = entry_step(entry);
-    int64_t keep = round->in->keep_free ? round->in->keep_free[entry->job->queue] : 0;
+    int64_t keep = round->in->headroom_cpu_milli ? round->in->headroom_cpu_milli[entry->job->queue] : 0;
     if (keep <= 0 || entry->spare_ms <= 0 || service->free_cpu * 2 > service->total_cpu || !step->cpu_milli)
-        return most;
+        return limit;
     int64_t n = (service->free_cpu - keep) / step->cpu_milli;
     if (n < 0 || (step->gang && n < step->task_count))
         return 0;
-    return n < most ? n : most;
+    return n < limit ? n : limit;
 }
 
-/* Places as much of one entry as there is room for. Returns 0 where the round is full. */
+/* Places as many tasks of the entry as capacity and limits allow. Returns 0 if the round is full. */
 static int place_entry(struct plan *plan, const struct plan_entry *entry)
 {
     struct plan_round *round = plan->round;
     const struct step_spec *step = entry_step(entry);
     int64_t waiting = entry->job->waiting[entry->time * entry->job->spec.n_steps + entry->step];
-    int64_t most = round->in->most - plan->n, n = 0;
-    if (most <= 0)
+    int64_t limit = round->in->most - plan->n, n = 0;
+    if (limit <= 0)
         return 0;
-    most = turns_room(round, entry, most);
-    if (!most)
+    limit = turns_room(round, entry, limit);
+    if (!limit)
         return 1;
-    /* where it cannot fit, one row is enough to find that it is blocked */
-    int full = entry->service < 0 || plan_surely_full(round, entry);
-    if (!plan_gather(round, entry, full ? 1 : most))
+    /* if it cannot fit, one row is enough to count the entry as blocked */
+    int full = entry->service < 0 || plan_known_full(round, entry);
+    if (!plan_collect_rows(round, entry, full ? 1 : limit))
         return 1;
     if (entry->service >= 0) {
-        int64_t kept = placeable_max(round, entry, most);
+        int64_t kept = headroom_limit(round, entry, limit);
         if (!kept)
             return 1;
-        most = kept < most && !step->gang ? kept : most;
+        limit = kept < limit && !step->gang ? kept : limit;
         const struct plan_service *service = &round->services[entry->service];
-        round->respect_holds = !(service->reserved && !entry->job->n_placed &&
-                                 service->free_cpu * 2 > service->total_cpu && plan_waited_ms(round, entry) > IDLE_MS);
-        if (!plan_surely_full(round, entry)) {
-            if (step->gang && step->task_count > most && plan->n)
+        round->respect_reservations =
+            !(service->reserved && !entry->job->n_placed && service->free_cpu * 2 > service->total_cpu &&
+              plan_waited_ms(round, entry) > IDLE_JOB_WAIT_MS);
+        if (!plan_known_full(round, entry)) {
+            if (step->gang && step->task_count > limit && plan->n)
                 return 0;
-            plan_judge(round, entry);
-            n = step->gang ? place_gang(plan, entry) : place_tasks(plan, entry, most);
-            if (n < round->n_rows && n < most)
+            plan_rate_candidates(round, entry);
+            n = step->gang ? place_gang(plan, entry) : place_tasks(plan, entry, limit);
+            if (n < round->n_rows && n < limit)
                 failed_add(round, entry);
         }
-        round->respect_holds = 1;
+        round->respect_reservations = 1;
     }
     turns_placed(round, entry, n);
-    if (n < round->n_rows && n < most)
+    if (n < round->n_rows && n < limit)
         blocked_add(plan, entry, waiting - round->n_busy - n);
     return 1;
 }
 
-static void blocked_clear(struct plan *plan, int64_t n_queues)
+static void blocked_reset(struct plan *plan, int64_t n_queues)
 {
     plan->blocked = plan->blocked_ms = 0;
     plan->blocked_priority = INT64_MAX;
@@ -155,7 +156,7 @@
     if (!plan->round)
         plan->round = must_alloc(sizeof *plan->round);
     plan->n = 0;
-    blocked_clear(plan, input->record->n_queues);
+    blocked_reset(plan, input->record->n_queues);
     plan_round_begin(plan->round, input, &plan->next_due_ms);
     for (int64_t i = 0; i < plan->round->n_entries; i++)
         if (!place_entry(plan, &plan->round->entries[i]))
--- a/src/dispatch/plan_round.c
+++ b/src/dispatch/plan_round.c
@@ -5,24 +5,24 @@
 #include "dispatch/plan_round.h"
 
 enum {
-    EARLY_PCT = 40,    /* of the allowance by which a repetition may begin early */
-    REST_PCT = 75,     /* estimates are rough: this share of the remaining chain must fit before the target */
-    HOPELESS_AIMS = 3, /* a job later than so many times its target earns nothing */
-    AGEING_AIMS = 4    /* waiting so many times its target raises a job by one priority */
+    EARLY_USED_PCT = 40,  /* a repetition starts early by this share of early_ms */
+    CHAIN_PCT = 75,       /* estimates are rough: only this share of the remaining chain must fit before the target */
+    HOPELESS_TARGETS = 3, /* a job older than this many times its target is HOPELESS */
+    AGEING_TARGETS = 4    /* waiting for this many times its target raises a job by one priority */
 };
 
-void *plan_array_reserve(void *items, int64_t *cap, int64_t n, size_t each)
+void *plan_array_reserve(void *items, int64_t *cap, int64_t n, size_t item_size)
 {
     if (items && n <= *cap)
         return items;
     *cap = n > *cap * 2 ? n + 8 : *cap * 2 + 8;
-    return must_grow(items, each * (size_t)*cap);
+    return must_grow(items, item_size * (size_t)*cap);
 }
 
 static int32_t service_of(struct plan_round *round, const char *name, int add)
 {
     for (int64_t i = 0; i < round->n_services; i++)
-        if (plan_same(round->services[i].name, name))
+        if (plan_text_equal(round->services[i].name, name))
             return (int32_t)i;
     if (!add || !name)
         return -1;
@@ -37,7 +37,7 @@
     const struct plan_input *in = round->in;
     const struct record *record = in->record;
     round->n_services = 0;
-    round->respect_holds = 1;
+    round->respect_reservations = 1;
     round->candidates =
         plan_array_reserve(round->candidates, &round->cap_candidates, in->n_candidates, sizeof *round->candidates);
     round->incarnation_candidate = plan_array_reserve(round->incarnation_candidate, &round->cap_incarnations,
@@ -67,28 +67,28 @@
         round->queue_service[i] = service_of(round, record->queues[i].config.service, 0);
 }
 
-/* By the estimates: fills rest with the duration of the longest chain from each step on, and returns the target: within
- * how many ms of its submission (or due time) the whole job is in time. */
-static int64_t job_aim_ms(const struct record *record, const struct job *job, int64_t rest[STEPS_MAX])
+/* The target of a job: how many ms after its submission (or due time) it must end to be in time. Fills chain_ms with
+ * the duration of the longest chain of steps from each step on. Both follow from the estimates of the steps. */
+static int64_t job_target_ms(const struct record *record, const struct job *job, int64_t chain_ms[STEPS_MAX])
 {
     int64_t longest = 0;
     for (int64_t s = 0; s < job->spec.n_steps; s++)
-        rest[s] = job->spec.steps[s].estimate_ms;
+        chain_ms[s] = job->spec.steps[s].estimate_ms;
     for (int64_t s = job->spec.n_steps - 1; s >= 0; s--) {
         const struct step_spec *step = &job->spec.steps[s];
         for (int64_t i = 0; i < step->n_depends_on; i++) {
             int64_t before = step->depends_on[i];
-            if (rest[before] < job->spec.steps[before].estimate_ms + rest[s])
-                rest[before] = job->spec.steps[before].estimate_ms + rest[s];
+            if (chain_ms[before] < job->spec.steps[before].estimate_ms + chain_ms[s])
+                chain_ms[before] = job->spec.steps[before].estimate_ms + chain_ms[s];
         }
-        longest = rest[s] > longest ? rest[s] : longest;
+        longest = chain_ms[s] > longest ? chain_ms[s] : longest;
     }
-    int64_t aim_ms = longest * JOB_RULED(record, job, stretch_pct) / 100 + JOB_RULED(record, job, target_ms);
-    return aim_ms > 0 ? aim_ms : 1;
+    int64_t target_ms = longest * JOB_RULED(record, job, stretch_pct) / 100 + JOB_RULED(record, job, target_ms);
+    return target_ms > 0 ? target_ms : 1;
 }
 
-static void entry_add(struct plan_round *round, struct job *job, int64_t time, int64_t step, int64_t aim_ms,
-                      int64_t rest_ms)
+static void entry_add(struct plan_round *round, struct job *job, int64_t time, int64_t step, int64_t target_ms,
+                      int64_t step_chain_ms)
 {
     const struct record *record = round->in->record;
     int64_t due_ms = job_due_ms(job, time), wall_ms = round->in->wall_ms;
@@ -99,35 +99,35 @@
     struct plan_entry *entry = &round->entries[round->n_entries++];
     *entry = (struct plan_entry){.job = job, .time = time, .step = step, .service = round->queue_service[job->queue]};
     if (job->spec.steps[step].lasting) {
-        /* earns by its time running, however old it is: only its present wait counts */
+        /* a long-running job counts by the time it runs, however old it is, so only the current wait matters */
         int64_t first = time * job->tasks + job->first[step];
-        for (int64_t no = first; no < first + job->spec.steps[step].task_count; no++)
-            if (job->rows[no].state == ROW_WAITING) {
-                since_ms = job->rows[no].since_ms;
+        for (int64_t row_index = first; row_index < first + job->spec.steps[step].task_count; row_index++)
+            if (job->rows[row_index].state == ROW_WAITING) {
+                since_ms = job->rows[row_index].since_ms;
                 break;
             }
     }
     if (job->rules)
         since_ms = turns_since_ms(round, job, since_ms);
     int64_t age_ms = wall_ms > since_ms ? wall_ms - since_ms : 0;
-    int64_t risen = age_ms / (AGEING_AIMS * aim_ms);
+    int64_t raised = age_ms / (AGEING_TARGETS * target_ms);
     entry->since_ms = since_ms;
     entry->waiting_cpu_milli = job->waiting[time * job->spec.n_steps + step] * job->spec.steps[step].cpu_milli;
-    entry->urgency = (int32_t)(priority > risen ? priority - risen : 0);
-    entry->spare_ms = aim_ms - age_ms - 2 * job->spec.steps[step].estimate_ms;
-    entry->slack_ms = aim_ms - age_ms - rest_ms * REST_PCT / 100;
+    entry->urgency = (int32_t)(priority > raised ? priority - raised : 0);
+    entry->spare_ms = target_ms - age_ms - 2 * job->spec.steps[step].estimate_ms;
+    entry->slack_ms = target_ms - age_ms - step_chain_ms * CHAIN_PCT / 100;
     if (!job->spec.steps[step].lasting)
-        entry->lateness = age_ms > HOPELESS_AIMS * aim_ms ? HOPELESS : entry->slack_ms < 0 ? LATE : IN_TIME;
+        entry->lateness = age_ms > HOPELESS_TARGETS * target_ms ? HOPELESS : entry->slack_ms < 0 ? LATE : IN_TIME;
 }
 
-static int entry_order(const void *a, const void *b)
+static int compare_entries(const void *a, const void *b)
 {
     const struct plan_entry *left = a, *right = b;
     if (left->urgency != right->urgency)
         return left->urgency < right->urgency ? -1 : 1;
     if (left->lateness != right->lateness)
         return left->lateness < right->lateness ? -1 : 1;
-    /* the smaller first: as much room serves more jobs */
+    /* the smaller first: the same capacity then serves more jobs */
     if (left->lateness == IN_TIME && left->waiting_cpu_milli != right->waiting_cpu_milli)
         return left->waiting_cpu_milli < right->waiting_cpu_milli ? -1 : 1;
     if (left->lateness == IN_TIME && left->slack_ms != right->slack_ms)
@@ -141,18 +141,19 @@
     return left->step < right->step ? -1 : left->step > right->step;
 }
 
-static int64_t job_begins_ms(const struct plan_input *in, const struct job *job, int64_t time)
+static int64_t repetition_begins_ms(const struct plan_input *in, const struct job *job, int64_t time)
 {
     int64_t due_ms = job_due_ms(job, time);
-    return due_ms ? due_ms - in->early_ms * EARLY_PCT / 100 : 0;
+    return due_ms ? due_ms - in->early_ms * EARLY_USED_PCT / 100 : 0;
 }
 
-/* Whether a step may be placed: all before it are done, or will be by what is committed ahead of this round. */
-static int step_begins(const struct plan_input *in, const struct job *job, int64_t time, int64_t step)
+/* Whether a step may be placed: all steps that it depends on are done, or become done by ops that are committed before
+ * those of this round. */
+static int step_is_ready(const struct plan_input *in, const struct job *job, int64_t time, int64_t step)
 {
     const struct step_spec *spec = &job->spec.steps[step];
     for (int64_t i = 0; i < spec->n_depends_on; i++) {
-        int64_t before = spec->depends_on[i], left = job->left[time * job->spec.n_steps + before];
+        int64_t before = spec->depends_on[i], left = job->unfinished[time * job->spec.n_steps + before];
         if (left &&
             (!in->ends_pending || left > in->ends_pending(in->arg, job, time * job->tasks + job->first[before])))
             return 0;
@@ -168,30 +169,30 @@
     candidates_begin(round);
     turns_begin(round);
     for (struct job *job = in->record->oldest; job; job = job->next) {
-        int64_t aim_ms = 0, rest[STEPS_MAX];
-        if (job->rules && !turns_may_begin(round, job, job_begins_ms(in, job, 0) <= in->wall_ms))
-            continue; /* by its outlet's rules others go first */
+        int64_t target_ms = 0, chain_ms[STEPS_MAX];
+        if (job->rules && !turns_may_begin(round, job, repetition_begins_ms(in, job, 0) <= in->wall_ms))
+            continue; /* by the rules of its outlet it must wait for other jobs */
         if (job_over(job))
-            continue; /* still live only until its runs have ended */
+            continue; /* live only until its runs have ended */
         for (int64_t time = 0; job->rows && time < job->times; time++) {
-            int64_t begin_ms = job_begins_ms(in, job, time);
-            if (begin_ms > in->wall_ms) {
-                if (begin_ms < *next_due_ms)
-                    *next_due_ms = begin_ms;
+            int64_t begins_ms = repetition_begins_ms(in, job, time);
+            if (begins_ms > in->wall_ms) {
+                if (begins_ms < *next_due_ms)
+                    *next_due_ms = begins_ms;
                 break;
             }
             if (job->rules && !turns_open(round, job, time, next_due_ms))
                 continue;
             for (int64_t step = 0; step < job->spec.n_steps; step++) {
-                if (job->waiting[time * job->spec.n_steps + step] <= 0 || !step_begins(in, job, time, step))
+                if (job->waiting[time * job->spec.n_steps + step] <= 0 || !step_is_ready(in, job, time, step))
                     continue;
-                aim_ms = aim_ms ? aim_ms : job_aim_ms(in->record, job, rest);
-                entry_add(round, job, time, step, aim_ms, rest[step]);
+                target_ms = target_ms ? target_ms : job_target_ms(in->record, job, chain_ms);
+                entry_add(round, job, time, step, target_ms, chain_ms[step]);
             }
         }
     }
     if (round->n_entries)
-        qsort(round->entries, (size_t)round->n_entries, sizeof *round->entries, entry_order);
+        qsort(round->entries, (size_t)round->n_entries, sizeof *round->entries, compare_entries);
 }
 
 void plan_round_free(struct plan_round *round)
@@ -207,30 +208,31 @@
     *round = (struct plan_round){.in = NULL};
 }
 
-int plan_gather(struct plan_round *round, const struct plan_entry *entry, int64_t most)
+int plan_collect_rows(struct plan_round *round, const struct plan_entry *entry, int64_t limit)
 {
     const struct step_spec *step = entry_step(entry);
     const struct job *job = entry->job;
     int64_t first = entry->time * job->tasks + job->first[entry->step];
     int64_t waiting = job->waiting[entry->time * job->spec.n_steps + entry->step];
-    /* where rows in progress are placed is not known here: such steps wait until the record has them */
+    /* the record does not have the executors of busy rows yet, so steps that depend on them have to wait */
     int whole = step->gang || step->per_executor;
     round->n_rows = round->n_busy = 0;
     if (step->gang && waiting < step->task_count)
         return 0;
-    for (int64_t no = first; no < first + step->task_count && round->n_rows + round->n_busy < waiting; no++) {
-        if (job->rows[no].state != ROW_WAITING)
+    for (int64_t row_index = first; row_index < first + step->task_count && round->n_rows + round->n_busy < waiting;
+         row_index++) {
+        if (job->rows[row_index].state != ROW_WAITING)
             continue;
-        if (round->in->busy && round->in->busy(round->in->arg, job, no)) {
+        if (round->in->busy && round->in->busy(round->in->arg, job, row_index)) {
             round->n_busy++;
             if (whole)
                 return 0;
             continue;
         }
-        if (round->n_rows >= most && !whole)
+        if (round->n_rows >= limit && !whole)
             break;
         round->rows = plan_array_reserve(round->rows, &round->cap_rows, round->n_rows + 1, sizeof *round->rows);
-        round->rows[round->n_rows++] = no;
+        round->rows[round->n_rows++] = row_index;
     }
     return round->n_rows > 0;
 }
@@ -247,11 +249,12 @@
         since_ms = due_ms;
     for (int64_t i = 0; i < step->n_depends_on; i++) {
         int64_t first = base + job->first[step->depends_on[i]];
-        for (int64_t no = first; no < first + job->spec.steps[step->depends_on[i]].task_count; no++) {
-            if (job->rows[no].state != ROW_DONE)
-                return 0; /* its end is being committed */
-            if (job->rows[no].since_ms > since_ms)
-                since_ms = job->rows[no].since_ms;
+        for (int64_t row_index = first; row_index < first + job->spec.steps[step->depends_on[i]].task_count;
+             row_index++) {
+            if (job->rows[row_index].state != ROW_DONE)
+                return 0; /* the end of this row is being committed */
+            if (job->rows[row_index].since_ms > since_ms)
+                since_ms = job->rows[row_index].since_ms;
         }
     }
     return round->in->wall_ms - since_ms;
--- a/src/dispatch/record.c
+++ b/src/dispatch/record.c
@@ -1,4 +1,4 @@
-/* The record: jobs and their rows, and indices. */
+/* The record: jobs and their rows, and the indices by id and name. */
 #include "dispatch/record.h"
 
 #include <stdlib.h>
@@ -11,21 +11,21 @@
 
 int job_over(const struct job *job) { return job->state >= JOB_DONE; }
 
-void job_place(const struct job *job, int64_t no, int64_t *time, int64_t *step, int64_t *index)
+void job_place(const struct job *job, int64_t row_index, int64_t *time, int64_t *step, int64_t *index)
 {
-    int64_t rest = no % job->tasks, s = job->spec.n_steps - 1;
-    while (job->first[s] > rest)
+    int64_t row_in_repetition = row_index % job->tasks, s = job->spec.n_steps - 1;
+    while (job->first[s] > row_in_repetition)
         s--;
-    *time = no / job->tasks;
+    *time = row_index / job->tasks;
     *step = s;
-    *index = rest - job->first[s];
+    *index = row_in_repetition - job->first[s];
 }
 
-int job_step_begins(const struct job *job, int64_t time, int64_t step)
+int job_step_is_ready(const struct job *job, int64_t time, int64_t step)
 {
     const struct step_spec *spec = &job->spec.steps[step];
     for (int64_t i = 0; i < spec->n_depends_on; i++)
-        if (job->left[time * job->spec.n_steps + spec->depends_on[i]])
+        if (job->unfinished[time * job->spec.n_steps + spec->depends_on[i]])
             return 0;
     return 1;
 }
@@ -44,10 +44,10 @@
     return time * job->tasks + job->first[step] + index;
 }
 
-int64_t job_task(const struct job *job, int64_t no)
+int64_t job_task(const struct job *job, int64_t row_index)
 {
     int64_t time, step, index;
-    job_place(job, no, &time, &step, &index);
+    job_place(job, row_index, &time, &step, &index);
     return task_of(time, step, index);
 }
 
@@ -62,39 +62,39 @@
     return hash;
 }
 
-void job_open(struct job *job)
+void job_alloc_rows(struct job *job)
 {
     int64_t steps = job->spec.n_steps, n;
     job->tasks = job_spec_tasks(&job->spec);
     job->times = job_spec_times(&job->spec);
     n = job->times * steps;
     job->first = must_alloc(sizeof(int64_t) * (size_t)(steps + 3 * n));
-    job->left = job->first + steps;
-    job->waiting = job->left + n;
-    job->counted = job->waiting + n;
+    job->unfinished = job->first + steps;
+    job->waiting = job->unfinished + n;
+    job->last_failed_attempts = job->waiting + n;
     for (int64_t s = 1; s < steps; s++)
         job->first[s] = job->first[s - 1] + job->spec.steps[s - 1].task_count;
     for (int64_t i = 0; i < n; i++)
-        job->left[i] = job->waiting[i] = job->spec.steps[i % steps].task_count;
+        job->unfinished[i] = job->waiting[i] = job->spec.steps[i % steps].task_count;
     job->rows = must_alloc(sizeof *job->rows * (size_t)(job->times * job->tasks));
-    for (int64_t no = 0; no < job->times * job->tasks; no++)
-        job->rows[no] = (struct row){.state = ROW_WAITING, .incarnation = -1, .since_ms = job->accepted_ms};
+    for (int64_t row_index = 0; row_index < job->times * job->tasks; row_index++)
+        job->rows[row_index] = (struct row){.state = ROW_WAITING, .incarnation = -1, .since_ms = job->accepted_ms};
 }
 
-void job_close(struct job *job)
+void job_free_rows(struct job *job)
 {
-    for (int64_t no = 0; job->rows && no < job->times * job->tasks; no++)
-        free(job->rows[no].saved);
+    for (int64_t row_index = 0; job->rows && row_index < job->times * job->tasks; row_index++)
+        free(job->rows[row_index].saved);
     free(job->rows);
     free(job->first);
     job->rows = NULL;
-    job->first = job->left = job->waiting = job->counted = NULL;
+    job->first = job->unfinished = job->waiting = job->last_failed_attempts = NULL;
     schema_free(&submission_schema, &job->spec);
 }
 
-void job_drop(struct job *job)
+void job_free(struct job *job)
 {
-    job_close(job);
+    job_free_rows(job);
     free(job->rules);
     free(job);
 }
@@ -114,7 +114,7 @@
     PPvoid_t at;
     JLF(at, record->jobs, id);
     while (at) {
-        job_drop(*at);
+        job_free(*at);
         JLN(at, record->jobs, id);
     }
     JLFA(freed, record->jobs);
@@ -152,7 +152,7 @@
     return at ? (int64_t)(Word_t)*at - 1 : -1;
 }
 
-void record_incarnation_named(struct record *record, int64_t incarnation)
+void record_index_incarnation(struct record *record, int64_t incarnation)
 {
     PPvoid_t at =
         JudySLIns(&record->incarnation_numbers, (const uint8_t *)record->incarnations[incarnation].name, PJE0);
@@ -167,13 +167,13 @@
     return -1;
 }
 
-void record_notify(struct record *record, struct job *job, int64_t no)
+void record_notify(struct record *record, struct job *job, int64_t row_index)
 {
     if (record->changed)
-        record->changed(record->arg, job, no);
+        record->changed(record->arg, job, row_index);
 }
 
-void record_add(struct record *record, struct job *job)
+void record_index_job(struct record *record, struct job *job)
 {
     PPvoid_t at;
     JLI(at, record->jobs, (Word_t)job->spec.id);
@@ -217,7 +217,7 @@
     (void)rc;
     record->n_jobs--;
     record_notify(record, job, -1);
-    job_drop(job);
+    job_free(job);
 }
 
 enum sagehitch_error record_apply_batch(struct record *record, const struct bytes *packed, struct record_result *result)
--- a/src/dispatch/record_internal.h
+++ b/src/dispatch/record_internal.h
@@ -4,32 +4,32 @@
 #include "base/error.h"
 #include "dispatch/record.h"
 
-/* Frees all content; changed and arg stay. */
+/* Frees all content except changed and arg. */
 void record_clear(struct record *record);
-/* Indexes an incarnation under its name, which is new. */
-void record_incarnation_named(struct record *record, int64_t incarnation);
+/* Adds an incarnation to the index by name; its name must not be indexed yet. */
+void record_index_incarnation(struct record *record, int64_t incarnation);
 /* Calls record->changed, if set. */
-void record_notify(struct record *record, struct job *job, int64_t no);
-/* Hash of a submission; equal for equal ones, also across versions. */
+void record_notify(struct record *record, struct job *job, int64_t row_index);
+/* Hash of a submission. Equal submissions have equal hashes, across versions of the program too. */
 uint64_t job_hash(const struct job_spec *spec, const char *queue);
-/* Allocates counts and rows, all WAITING, for a job whose spec, queue and accepted_ms are set. */
-void job_open(struct job *job);
-/* Frees counts, rows and what spec owns; the job stays. */
-void job_close(struct job *job);
-/* Frees the whole job. */
-void job_drop(struct job *job);
-/* Indexes the job by its id. */
-void record_add(struct record *record, struct job *job);
-/* Links the job as the newest live one, or unlinks it. */
+/* Allocates the rows, all WAITING, and the per-step arrays of a job whose spec, queue and accepted_ms are set. */
+void job_alloc_rows(struct job *job);
+/* Frees the rows, the per-step arrays and what spec owns, but not the job itself. */
+void job_free_rows(struct job *job);
+/* Frees the job and all that it owns. */
+void job_free(struct job *job);
+/* Adds the job to the index by id. */
+void record_index_job(struct record *record, struct job *job);
+/* Appends the job to the list of live jobs; removes it from the list. */
 void record_link(struct record *record, struct job *job);
 void record_unlink(struct record *record, struct job *job);
-/* Removes a job that is no longer live from the index, calls changed and frees it. */
+/* Removes a job that is no longer live from the index, calls changed and frees the job. */
 void record_forget(struct record *record, struct job *job);
 
 /* record_ops.c */
-/* Frees the rows of a job that is over once none of them is placed; returns whether it did. */
+/* Unlinks a job that is over and frees its rows, unless some of them are still PLACED. Returns whether it did. */
 int job_release(struct record *record, struct job *job);
-/* Ends a job: state is JOB_DONE, JOB_FAILED or JOB_CANCELLED, at_ms the time of day. */
+/* Ends a job. state: JOB_DONE, JOB_FAILED or JOB_CANCELLED; at_ms: time of day. */
 void job_end(struct record *record, struct job *job, int64_t state, int64_t at_ms);
 
 /* record_rows.c. Return values as of record_apply(). */
--- a/src/dispatch/record_ops.c
+++ b/src/dispatch/record_ops.c
@@ -1,4 +1,4 @@
-/* Ops of the record on configuration and jobs; record_rows.c has those on rows. */
+/* Ops that change the configuration and jobs; record_rows.c has the ops that change rows. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -10,7 +10,7 @@
     return a->len == b->len && (!a->len || !memcmp(a->at, b->at, (size_t)a->len));
 }
 
-/* The current configuration becomes this one. */
+/* Replaces the current configuration, and updates the queues. */
 static void config_replace(struct record *record, const struct config *config)
 {
     schema_free(&config_schema, &record->config);
@@ -23,9 +23,9 @@
         *JudySLIns(&numbers, (const uint8_t *)record->queues[i].config.name, PJE0) = (Pvoid_t)(Word_t)(i + 1);
     }
     for (int64_t i = 0; i < config->n_queues; i++) {
-        PPvoid_t no = JudySLGet(numbers, (const uint8_t *)config->queues[i].name, PJE0);
-        struct queue *queue = &record->queues[no ? (int64_t)(Word_t)*no - 1 : record->n_queues++];
-        if (!no)
+        PPvoid_t known_number = JudySLGet(numbers, (const uint8_t *)config->queues[i].name, PJE0);
+        struct queue *queue = &record->queues[known_number ? (int64_t)(Word_t)*known_number - 1 : record->n_queues++];
+        if (!known_number)
             *queue = (struct queue){0};
         schema_free(&queue_config_schema, &queue->config);
         schema_copy(&queue_config_schema, &queue->config, &config->queues[i]);
@@ -44,10 +44,10 @@
     struct taken_change change = {
         .version = config->version, .base = proposed->base, .hash = change_hash(config->raw.at, config->raw.len)};
     if (op->kind == OP_CONFIG_PATCH)
-        change.hash = ~change.hash; /* never the same order as a whole configuration of this text */
+        change.hash = ~change.hash; /* must differ from the hash of a whole configuration with the same text */
     if (config->version <= record->config.version)
         return change_history_check(&record->config_history,
-                                    &change); /* a repetition, or lost against another change */
+                                    &change); /* the same change sent again, or another change was first */
     if (proposed->base != record->config.version)
         return ERROR_STALE;
     struct config patched = {0};
@@ -82,7 +82,7 @@
     return same;
 }
 
-/* The rules of the job's outlet, owned by the caller; unchanged where it has none. */
+/* Fills *rules with the rules of the job's outlet, owned by the caller; leaves it unchanged if the job has none. */
 static enum sagehitch_error job_rules_resolve(const struct record *record, const struct job_op *op,
                                               struct job_rules **rules)
 {
@@ -126,8 +126,8 @@
     job->accepted_ms = at_ms;
     job->spec_hash = job_hash(&op->spec, op->queue);
     job->index = record->next_index++;
-    job_open(job);
-    record_add(record, job);
+    job_alloc_rows(job);
+    record_index_job(record, job);
     record_link(record, job);
     record_notify(record, job, -1);
     return ERROR_NONE;
@@ -138,7 +138,7 @@
     if (!job_over(job) || job->n_placed)
         return 0;
     record_unlink(record, job);
-    job_close(job);
+    job_free_rows(job);
     return 1;
 }
 
--- a/src/dispatch/record_rows.c
+++ b/src/dispatch/record_rows.c
@@ -1,4 +1,4 @@
-/* Ops of the record on rows: placements and ends. */
+/* Ops that change rows: placements and ends. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -10,26 +10,26 @@
     struct job *job;
     struct row *row;
     const struct step_spec *step;
-    int64_t no, time, group; /* group: of left, waiting and counted */
+    int64_t row_index, time, group; /* group: index into unfinished, waiting and last_failed_attempts */
 };
 
-/* Returns 0 where there is no such row. */
+/* Fills position; returns 0 if there is no such row. */
 static int row_find(const struct record *record, int64_t id, int64_t task, struct position *position)
 {
     struct job *job = record_job(record, id);
-    int64_t no = job ? job_row(job, task) : -1;
-    if (no < 0)
+    int64_t row_index = job ? job_row(job, task) : -1;
+    if (row_index < 0)
         return 0;
     *position = (struct position){.job = job,
-                                  .row = &job->rows[no],
+                                  .row = &job->rows[row_index],
                                   .step = &job->spec.steps[task_step(task)],
-                                  .no = no,
+                                  .row_index = row_index,
                                   .time = task_time(task)};
     position->group = position->time * job->spec.n_steps + task_step(task);
     return 1;
 }
 
-/* Changes the state of a row and updates all counts. incarnation: for PLACED only, else -1. */
+/* Changes the state of a row and updates all counts. incarnation: of a row that becomes PLACED, else -1. */
 static void row_transition(struct record *record, const struct position *position, struct row *row, int32_t state,
                            int32_t incarnation, int64_t at_ms)
 {
@@ -43,7 +43,7 @@
     else if (state == ROW_WAITING)
         job->waiting[position->group]++;
     else if (state == ROW_DONE)
-        job->left[position->group]--, job->n_done++;
+        job->unfinished[position->group]--, job->n_done++;
     row->state = state;
     row->incarnation = incarnation;
     row->since_ms = at_ms;
@@ -57,7 +57,7 @@
 
 /* --- placing ------------------------------------------------------------ */
 
-static int64_t incarnation_acquire(struct record *record, const char *name, int64_t agent)
+static int64_t incarnation_find_or_add(struct record *record, const char *name, int64_t agent)
 {
     int64_t at = record_incarnation(record, name);
     for (int64_t i = 0; i < record->n_incarnations && at < 0; i++)
@@ -73,14 +73,14 @@
             JudySLDel(&record->incarnation_numbers, (const uint8_t *)incarnation->name, PJE0);
         free(incarnation->name);
         incarnation->name = must_dup(name);
-        record_incarnation_named(record, at);
+        record_index_incarnation(record, at);
     }
     incarnation->agent = agent;
     return at;
 }
 
-/* A run of an OP_PLACE. claimed: it will be placed. Until all are checked its row has the incarnation CLAIMED, so that
- * a second run for the same row is refused. */
+/* A run of an OP_PLACE. claimed: it will be placed. Until all runs of the op are checked, its row has the incarnation
+ * CLAIMED, so that a second run for the same row is refused. */
 enum { CLAIMED = -2 };
 struct place_claim {
     struct position position;
@@ -91,10 +91,12 @@
 {
     return !job_over(position->job) && position->row->state == ROW_WAITING && position->row->incarnation != CLAIMED &&
            run->attempt > position->row->attempt && run->attempt <= INT32_MAX &&
-           job_step_begins(position->job, position->time, task_step(run->task));
+           job_step_is_ready(position->job, position->time, task_step(run->task));
 }
 
-/* A gang is placed as a whole or not at all: releases its claims of this op and refuses the rest. */
+/* Releases the claims on rows of a gang and refuses its other runs in the op: a gang is placed as a whole or not at
+ * all.
+ */
 static void gang_refuse(struct place_claim *claims, int64_t n, struct position gang)
 {
     for (int64_t i = 0; i < n; i++) {
@@ -128,7 +130,7 @@
     }
     for (int64_t i = 0; i < n; i++)
         claimed += claims[i].claimed;
-    int64_t incarnation = claimed ? incarnation_acquire(record, op->incarnation, op->agent) : -1;
+    int64_t incarnation = claimed ? incarnation_find_or_add(record, op->incarnation, op->agent) : -1;
     for (int64_t i = 0; i < n; i++) {
         struct place_claim *claim = &claims[i];
         if (!claim->claimed)
@@ -140,69 +142,70 @@
     }
     for (int64_t i = 0; i < n; i++)
         if (claims[i].claimed)
-            record_notify(record, claims[i].position.job, claims[i].position.no);
+            record_notify(record, claims[i].position.job, claims[i].position.row_index);
     free(claims);
     return claimed ? ERROR_NONE : ERROR_STALE;
 }
 
 /* --- ends --------------------------------------------------------------- */
 
-/* The rows that an end applies to: the one it names, or all of its gang. */
+/* The rows that an end applies to: its own row, or all rows of the gang. */
 struct row_range {
     int64_t from, n;
 };
 
-static struct row_range row_range_of(const struct position *position, int whole)
+static struct row_range row_range_of(const struct position *position, int whole_gang)
 {
     int64_t step = position->step - position->job->spec.steps;
-    return whole ? (struct row_range){position->time * position->job->tasks + position->job->first[step],
-                                      position->step->task_count}
-                 : (struct row_range){position->no, 1};
+    return whole_gang ? (struct row_range){position->time * position->job->tasks + position->job->first[step],
+                                           position->step->task_count}
+                      : (struct row_range){position->row_index, 1};
 }
 
 static void row_end_done(struct record *record, const struct position *position, int64_t at_ms)
 {
     struct job *job = position->job;
     struct row_range row_range = row_range_of(position, position->step->gang != 0);
-    for (int64_t no = row_range.from; no < row_range.from + row_range.n; no++) {
-        row_set_saved(&job->rows[no], NULL);
-        if (job->rows[no].state != ROW_DONE)
-            row_transition(record, position, &job->rows[no], ROW_DONE, -1, at_ms);
+    for (int64_t row_index = row_range.from; row_index < row_range.from + row_range.n; row_index++) {
+        row_set_saved(&job->rows[row_index], NULL);
+        if (job->rows[row_index].state != ROW_DONE)
+            row_transition(record, position, &job->rows[row_index], ROW_DONE, -1, at_ms);
     }
-    for (int64_t no = row_range.from; no < row_range.from + row_range.n; no++)
-        record_notify(record, job, no);
+    for (int64_t row_index = row_range.from; row_index < row_range.from + row_range.n; row_index++)
+        record_notify(record, job, row_index);
     if (job->n_done == job->times * job->tasks)
         job_end(record, job, JOB_DONE, at_ms);
 }
 
-/* An end other than done: the row waits again, or fails. A failed end counts as a failure, of a gang once per attempt.
- */
-static void row_end_undone(struct record *record, const struct position *position, const struct run_ended *end,
-                           int64_t at_ms)
+/* Applies an end other than END_DONE: the row becomes WAITING again, or FAILED. END_FAILED counts as a failure; for a
+ * gang, once per attempt. */
+static void row_end_not_done(struct record *record, const struct position *position, const struct run_ended *end,
+                             int64_t at_ms)
 {
     struct job *job = position->job;
     int64_t max = JOB_RULED(record, job, attempts_max);
     int gang = position->step->gang != 0;
-    int failed =
-        end->how == END_FAILED && !position->step->lasting && !(gang && job->counted[position->group] == end->attempt);
+    int failed = end->how == END_FAILED && !position->step->lasting &&
+                 !(gang && job->last_failed_attempts[position->group] == end->attempt);
     int saved = end->saved && *end->saved;
     struct row_range row_range = row_range_of(position, gang && (failed || saved));
-    for (int64_t no = row_range.from; no < row_range.from + row_range.n; no++) {
-        job->rows[no].failures += failed;
+    for (int64_t row_index = row_range.from; row_index < row_range.from + row_range.n; row_index++) {
+        job->rows[row_index].failures += failed;
         if (saved)
-            row_set_saved(&job->rows[no], end->saved);
+            row_set_saved(&job->rows[row_index], end->saved);
     }
     if (failed)
-        job->counted[position->group] = end->attempt;
-    int over = failed && position->row->failures >= max; /* max 0 is as 1 */
+        job->last_failed_attempts[position->group] = end->attempt;
+    int over = failed && position->row->failures >= max; /* max 0 has the same effect as 1 */
     row_transition(record, position, position->row, over ? ROW_FAILED : ROW_WAITING, -1, at_ms);
-    for (int64_t no = row_range.from; no < row_range.from + row_range.n; no++)
-        record_notify(record, job, no);
+    for (int64_t row_index = row_range.from; row_index < row_range.from + row_range.n; row_index++)
+        record_notify(record, job, row_index);
     if (over)
         job_end(record, job, JOB_FAILED, at_ms);
 }
 
-/* An end counts for the attempt that is placed; END_DONE also for the newest attempt of a row that waits again. */
+/* Applies an end; returns 0 if it has no effect. An end applies to the attempt that is placed; END_DONE also applies to
+ * the newest attempt of a row that is WAITING again. */
 static int apply_ended(struct record *record, const struct run_ended *end, int64_t at_ms)
 {
     struct position position;
@@ -210,25 +213,25 @@
         return 0;
     int placed = position.row->state == ROW_PLACED, done = end->how == END_DONE && !position.step->lasting;
     if (!placed && !(done && position.row->state == ROW_WAITING && !job_over(position.job) &&
-                     job_step_begins(position.job, position.time, task_step(end->task))))
+                     job_step_is_ready(position.job, position.time, task_step(end->task))))
         return 0;
     if (job_over(position.job)) {
         row_transition(record, &position, position.row, ROW_WAITING, -1, at_ms);
-        record_notify(record, position.job, position.no);
+        record_notify(record, position.job, position.row_index);
         if (job_release(record, position.job))
             record_notify(record, position.job, -1);
     } else if (done) {
         row_end_done(record, &position, at_ms);
     } else {
-        row_end_undone(record, &position, end, at_ms);
+        row_end_not_done(record, &position, end, at_ms);
     }
     return 1;
 }
 
 enum sagehitch_error record_apply_end(struct record *record, const struct end_op *op, int64_t at_ms)
 {
-    int64_t counted = 0;
+    int64_t applied = 0;
     for (int64_t i = 0; i < op->n_ended; i++)
-        counted += apply_ended(record, &op->ended[i], at_ms);
-    return counted ? ERROR_NONE : ERROR_STALE;
+        applied += apply_ended(record, &op->ended[i], at_ms);
+    return applied ? ERROR_NONE : ERROR_STALE;
 }
--- a/src/dispatch/record_snapshot.c
+++ b/src/dispatch/record_snapshot.c
@@ -1,6 +1,6 @@
-/* Snapshots of the record: a head, then the jobs one by one, each preceded by its length (4 bytes, little-endian): live
- * jobs in order of acceptance, then the others by id. Jobs are packed one at a time, so a snapshot of many needs little
- * more memory than its bytes. */
+/* Snapshots of the record. Format: a head, then the live jobs in order of acceptance, then the other jobs by id. The
+ * head and each job are preceded by their length (4 bytes, little-endian). Jobs are packed one at a time, so a snapshot
+ * of many jobs needs little more memory than its bytes. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -24,12 +24,12 @@
     struct rules *rules; /* NULL: none were ever set */
     struct change_history config_history;
 };
-/* A row that has changed since the job was accepted; since_ms is relative to that time. */
+/* A row that has changed since the job was accepted. since_ms: relative to accepted_ms of the job. */
 struct stored_row {
-    int64_t no, state, failures, attempt, incarnation, since_ms;
+    int64_t row_index, state, failures, attempt, incarnation, since_ms;
     char *saved;
 };
-/* A job as stored. hash: the bits of spec_hash. spec, rows and counted are of live jobs only. */
+/* A job as stored. hash: the bits of spec_hash. Only live jobs have spec, rows and counted (last_failed_attempts). */
 struct stored_job {
     int64_t id, queue, state, tasks, times, n_done, accepted_ms, ended_ms, index, hash;
     struct job_spec *spec;
@@ -37,7 +37,7 @@
     int64_t n_rows;
     int64_t *counted;
     int64_t n_counted;
-    struct job_rules *rules; /* of all jobs that belong to an outlet */
+    struct job_rules *rules; /* of all jobs that belong to an outlet; NULL: the job belongs to none */
 };
 
 static const struct field queue_fields[] = {SUB(stored_queue, config, queue_config_schema),
@@ -58,7 +58,7 @@
     SUB_NAMED(stored_head, config_history, "configHistory", change_history_schema)};
 static SCHEMA(stored_head_schema, stored_head, head_fields);
 
-static const struct field row_fields[] = {INT(stored_row, no),
+static const struct field row_fields[] = {INT_NAMED(stored_row, row_index, "no"),
                                           INT(stored_row, state),
                                           INT(stored_row, failures),
                                           INT(stored_row, attempt),
@@ -100,7 +100,7 @@
            row->since_ms == job->accepted_ms;
 }
 
-static void put_job(struct bytes *to, const struct job *job)
+static void pack_job(struct bytes *to, const struct job *job)
 {
     struct stored_job stored = {.id = job->spec.id,
                                 .queue = job->queue,
@@ -116,16 +116,16 @@
     int64_t n = 0;
     if (job->rows) {
         stored.spec = (struct job_spec *)&job->spec;
-        stored.counted = job->counted;
+        stored.counted = job->last_failed_attempts;
         stored.n_counted = job->times * job->spec.n_steps;
-        for (int64_t no = 0; no < job->times * job->tasks; no++)
-            n += !row_is_initial(job, &job->rows[no]);
+        for (int64_t row_index = 0; row_index < job->times * job->tasks; row_index++)
+            n += !row_is_initial(job, &job->rows[row_index]);
         stored.rows = must_alloc(sizeof *stored.rows * (size_t)n);
     }
-    for (int64_t no = 0; n && no < job->times * job->tasks; no++) {
-        const struct row *row = &job->rows[no];
+    for (int64_t row_index = 0; n && row_index < job->times * job->tasks; row_index++) {
+        const struct row *row = &job->rows[row_index];
         if (!row_is_initial(job, row))
-            stored.rows[stored.n_rows++] = (struct stored_row){.no = no,
+            stored.rows[stored.n_rows++] = (struct stored_row){.row_index = row_index,
                                                                .state = row->state,
                                                                .failures = row->failures,
                                                                .attempt = row->attempt,
@@ -160,13 +160,13 @@
     free(head.queues);
     free(head.incarnations);
     for (const struct job *job = record->oldest; job; job = job->next)
-        put_job(to, job);
+        pack_job(to, job);
     Word_t id = 0;
     PPvoid_t at;
     JLF(at, record->jobs, id);
     while (at) {
         if (!((const struct job *)*at)->rows)
-            put_job(to, *at);
+            pack_job(to, *at);
         JLN(at, record->jobs, id);
     }
 }
@@ -186,15 +186,16 @@
     return schema_unpack(schema, stored, from->at + *at - len, len);
 }
 
-static enum sagehitch_error take_row(struct record *record, struct job *job, struct stored_row *stored)
+static enum sagehitch_error restore_row(struct record *record, struct job *job, struct stored_row *stored)
 {
-    if (stored->no < 0 || stored->no >= job->times * job->tasks || stored->state < ROW_WAITING ||
+    if (stored->row_index < 0 || stored->row_index >= job->times * job->tasks || stored->state < ROW_WAITING ||
         stored->state > ROW_FAILED ||
         (stored->state == ROW_PLACED && (stored->incarnation < 0 || stored->incarnation >= record->n_incarnations)))
         return ERROR_BAD_FRAME;
-    struct row *row = &job->rows[stored->no];
-    int64_t group = stored->no / job->tasks * job->spec.n_steps, rest = stored->no % job->tasks, step = 0;
-    while (step + 1 < job->spec.n_steps && job->first[step + 1] <= rest)
+    struct row *row = &job->rows[stored->row_index];
+    int64_t group = stored->row_index / job->tasks * job->spec.n_steps,
+            row_in_repetition = stored->row_index % job->tasks, step = 0;
+    while (step + 1 < job->spec.n_steps && job->first[step + 1] <= row_in_repetition)
         step++;
     group += step;
     free(row->saved);
@@ -206,33 +207,33 @@
                         .since_ms = job->accepted_ms + stored->since_ms};
     stored->saved = NULL;
     job->waiting[group] -= row->state != ROW_WAITING;
-    job->left[group] -= row->state == ROW_DONE;
+    job->unfinished[group] -= row->state == ROW_DONE;
     if (row->state == ROW_PLACED)
         job->n_placed++, record->incarnations[row->incarnation].placed++;
     return ERROR_NONE;
 }
 
-/* Restores a live job's counts and the rows that have changed. */
-static enum sagehitch_error take_live(struct record *record, struct job *job, struct stored_job *stored)
+/* Restores the spec and rows of a live job, and the counts that follow from them. */
+static enum sagehitch_error restore_live_job(struct record *record, struct job *job, struct stored_job *stored)
 {
     if (!stored->spec || stored->spec->id != stored->id || job_spec_check(stored->spec, NULL))
         return ERROR_BAD_FRAME;
     job->spec = *stored->spec;
     *stored->spec = (struct job_spec){0};
-    job_open(job);
+    job_alloc_rows(job);
     int64_t groups = job->times * job->spec.n_steps, last = -1;
     if (stored->n_counted != groups)
         return ERROR_BAD_FRAME;
-    memcpy(job->counted, stored->counted, sizeof *job->counted * (size_t)groups);
+    memcpy(job->last_failed_attempts, stored->counted, sizeof *job->last_failed_attempts * (size_t)groups);
     for (int64_t i = 0; i < stored->n_rows; i++) {
-        if (stored->rows[i].no <= last || take_row(record, job, &stored->rows[i]))
+        if (stored->rows[i].row_index <= last || restore_row(record, job, &stored->rows[i]))
             return ERROR_BAD_FRAME;
-        last = stored->rows[i].no;
+        last = stored->rows[i].row_index;
     }
     return ERROR_NONE;
 }
 
-static enum sagehitch_error take_job(struct record *record, const struct bytes *from, int64_t *at, int live)
+static enum sagehitch_error restore_job(struct record *record, const struct bytes *from, int64_t *at, int live)
 {
     struct stored_job stored = {0};
     enum sagehitch_error rc = item_unpack(from, at, &stored_job_schema, &stored);
@@ -257,13 +258,13 @@
                         .rules = stored.rules};
     stored.rules = NULL;
     if (live)
-        rc = take_live(record, job, &stored);
+        rc = restore_live_job(record, job, &stored);
     schema_free(&stored_job_schema, &stored);
     if (rc) {
-        job_drop(job);
+        job_free(job);
         return rc;
     }
-    record_add(record, job);
+    record_index_job(record, job);
     if (live)
         record_link(record, job);
     return ERROR_NONE;
@@ -286,8 +287,9 @@
     return !head->rules || rules_valid(head->rules);
 }
 
-/* Snapshots of older versions hold no history: then only the current configuration is known, not its base. */
-static void take_history(struct record *record, struct stored_head *head)
+/* Snapshots of older program versions have no history. Then only the current configuration is known, but not its base.
+ */
+static void restore_history(struct record *record, struct stored_head *head)
 {
     schema_free(&change_history_schema, &record->config_history);
     record->config_history = head->config_history;
@@ -315,7 +317,7 @@
     }
     record->config = head.config;
     head.config = (struct config){0};
-    take_history(record, &head);
+    restore_history(record, &head);
     record->next_index = head.next_index;
     if (head.rules) {
         record->rules = *head.rules;
@@ -330,12 +332,12 @@
         struct incarnation *incarnation = list_more(record->incarnations, record->n_incarnations);
         *incarnation = (struct incarnation){.name = head.incarnations[i].name, .agent = head.incarnations[i].agent};
         head.incarnations[i].name = NULL;
-        record_incarnation_named(record, record->n_incarnations - 1);
+        record_index_incarnation(record, record->n_incarnations - 1);
     }
     int64_t n_jobs = head.n_jobs, n_live = head.n_live;
     schema_free(&stored_head_schema, &head);
     for (int64_t i = 0; !rc && i < n_jobs; i++)
-        rc = take_job(record, from, &at, i < n_live);
+        rc = restore_job(record, from, &at, i < n_live);
     if (!rc && at != from->len)
         rc = ERROR_BAD_FRAME;
     if (rc)
--- a/tests/unit/leader_again_test.cc
+++ b/tests/unit/leader_again_test.cc
@@ -1,5 +1,5 @@
-// Orders sent again after a lost answer, with another configuration taken in between: what was taken
-// is acknowledged again or left without a clear answer, never refused.
+// Requests that are resent after their response was lost, while the configuration changed in between. A request that
+// was accepted is acknowledged again or answered with ERROR_GAVE_UP, but never refused.
 #include "leader_rig.h"
 
 using namespace leader_rig;
@@ -7,12 +7,12 @@
 namespace
 {
 
-struct SentAgain : testing::Test {
-    Rig t;
+struct ResentRequests : testing::Test {
+    Rig rig;
     const std::vector<step_spec> one = {Rig::step(1, 100)};
     int64_t version = 1;
 
-    // The next configuration; its queues are these, by name and prefix.
+    // Applies the next configuration, with these queues (name and prefix).
     void configure(const std::vector<std::pair<std::string, std::string>> &queues)
     {
         record_op op = {};
@@ -26,73 +26,77 @@
             free(change.config.queues[i].prefix);
             change.config.queues[i].prefix = must_dup(queues[i].second.c_str());
         }
-        ASSERT_EQ(record_apply(&t.r, &op), 0);
+        ASSERT_EQ(record_apply(&rig.record, &op), 0);
         schema_free(&record_op_schema, &op);
     }
-    int64_t told(int64_t ticket)
+    int64_t answer_to(int64_t ticket)
     {
-        t.settle();
-        EXPECT_EQ(t.answers[ticket].size(), 1u);
-        return t.answers[ticket].empty() ? -99 : t.answers[ticket][0].error;
+        rig.settle();
+        EXPECT_EQ(rig.answers[ticket].size(), 1u);
+        return rig.answers[ticket].empty() ? -99 : rig.answers[ticket][0].error;
     }
-    int64_t job(int64_t id, const std::vector<step_spec> &steps) { return told(t.request_job(id, NORMAL, steps)); }
-    int64_t state(int64_t id) { return told(t.request_state(id)); }
+    int64_t job(int64_t id, const std::vector<step_spec> &steps)
+    {
+        return answer_to(rig.request_job(id, NORMAL, steps));
+    }
+    int64_t state(int64_t id) { return answer_to(rig.request_state(id)); }
     int64_t cancel(int64_t id)
     {
-        return told(t.request(NORMAL, [&](api_request &a) { api_request_make_cancel(&a, id); }));
+        return answer_to(rig.request(NORMAL, [&](api_request &a) { api_request_make_cancel(&a, id); }));
     }
-    void dropped() { configure({{"urgent", "/urgent/"}}); }
-    void replaced() { configure({{"urgent", "/urgent/"}, {"other", "/normal/"}}); }
+    void remove_queue() { configure({{"urgent", "/urgent/"}}); }
+    void replace_queue() { configure({{"urgent", "/urgent/"}, {"other", "/normal/"}}); }
 };
 
-TEST_F(SentAgain, AJobWhoseQueueWasDroppedGetsNoClearAnswer)
+TEST_F(ResentRequests, JobOfRemovedQueueIsAnsweredGaveUp)
 {
-    t.add(1, NORMAL, one);
-    dropped();
-    EXPECT_EQ(job(1, one), ERROR_GAVE_UP) << "it was taken";
-    EXPECT_EQ(job(1, {Rig::step(2, 100)}), ERROR_NO_SUCH) << "this one was not";
+    rig.add(1, NORMAL, one);
+    remove_queue();
+    EXPECT_EQ(job(1, one), ERROR_GAVE_UP) << "it was accepted before";
+    EXPECT_EQ(job(1, {Rig::step(2, 100)}), ERROR_NO_SUCH) << "this one was not accepted";
     EXPECT_EQ(job(2, one), ERROR_NO_SUCH);
-    EXPECT_EQ(t.r.n_jobs, 1);
-    t.run(100);
+    EXPECT_EQ(rig.record.n_jobs, 1);
+    rig.run(100);
     configure({{"normal", "/normal/"}});
     EXPECT_EQ(job(1, one), 0);
     EXPECT_EQ(job(1, {Rig::step(2, 100)}), ERROR_KEY_TAKEN);
 }
 
-TEST_F(SentAgain, AJobWhosePathIsAnotherQueuesIsAcknowledgedAndKnown)
+TEST_F(ResentRequests, JobWhosePathBelongsToAnotherQueueIsAcknowledged)
 {
-    t.add(1, NORMAL, one);
-    replaced();
+    rig.add(1, NORMAL, one);
+    replace_queue();
     EXPECT_EQ(job(1, one), 0);
     EXPECT_EQ(job(1, {Rig::step(2, 100)}), ERROR_KEY_TAKEN);
-    EXPECT_EQ(state(1), 0) << "an accepted job is never said to be gone";
+    EXPECT_EQ(state(1), 0) << "an accepted job must not be reported as gone";
     EXPECT_EQ(cancel(1), 0);
-    EXPECT_EQ(record_job(&t.r, 1)->state, JOB_CANCELLED);
+    EXPECT_EQ(record_job(&rig.record, 1)->state, JOB_CANCELLED);
     EXPECT_EQ(job(2, one), 0);
-    EXPECT_STREQ(t.r.queues[record_job(&t.r, 2)->queue].config.name, "other") << "a new one is the new queue's";
+    EXPECT_STREQ(rig.record.queues[record_job(&rig.record, 2)->queue].config.name, "other")
+        << "a new job belongs to the new queue";
 }
 
-TEST_F(SentAgain, ACancelWhoseQueueWasDroppedGetsNoClearAnswer)
+TEST_F(ResentRequests, CancelOfJobOfRemovedQueueIsAnsweredGaveUp)
 {
-    t.add(1, NORMAL, one);
-    t.add(2, NORMAL, one);
+    rig.add(1, NORMAL, one);
+    rig.add(2, NORMAL, one);
     EXPECT_EQ(cancel(1), 0);
-    EXPECT_EQ(cancel(1), 0) << "sent again";
-    dropped();
-    EXPECT_EQ(cancel(1), ERROR_GAVE_UP) << "it was taken";
-    EXPECT_EQ(cancel(2), ERROR_NO_SUCH) << "this one was not";
-    EXPECT_NE(record_job(&t.r, 2)->state, JOB_CANCELLED);
+    EXPECT_EQ(cancel(1), 0) << "resent";
+    remove_queue();
+    EXPECT_EQ(cancel(1), ERROR_GAVE_UP) << "it was accepted before";
+    EXPECT_EQ(cancel(2), ERROR_NO_SUCH) << "this one was not accepted";
+    EXPECT_NE(record_job(&rig.record, 2)->state, JOB_CANCELLED);
 }
 
-TEST_F(SentAgain, AJobThatIsOverIsAcknowledgedAndNotRunAgain)
+TEST_F(ResentRequests, EndedJobIsAcknowledgedAndNotRunAgain)
 {
-    t.add(1, NORMAL, one);
+    rig.add(1, NORMAL, one);
     EXPECT_EQ(cancel(1), 0);
     EXPECT_EQ(job(1, one), 0);
-    EXPECT_EQ(record_job(&t.r, 1)->state, JOB_CANCELLED);
-    t.now += 600000, t.wall += 600000; /* past its time to be shown */
-    t.run(100);
-    EXPECT_EQ(record_job(&t.r, 1), nullptr);
+    EXPECT_EQ(record_job(&rig.record, 1)->state, JOB_CANCELLED);
+    rig.now += 600000, rig.wall += 600000; /* past its retention time */
+    rig.run(100);
+    EXPECT_EQ(record_job(&rig.record, 1), nullptr);
     EXPECT_EQ(cancel(1), ERROR_GONE);
 }
 
--- a/tests/unit/leader_test.cc
+++ b/tests/unit/leader_test.cc
@@ -1,4 +1,4 @@
-// The leader's side of dispatch: what is answered when, and what is told of ends and stops.
+// Dispatch on a leader: when requests are answered, and when ends are acknowledged and runs are stopped.
 #include "leader_rig.h"
 
 using namespace leader_rig;
@@ -7,317 +7,318 @@
 {
 
 struct Leader : testing::Test {
-    Rig t;
+    Rig rig;
 };
 
-// --- states asked for (360c787) ---
+// --- reads of a job's state (360c787) ---
 
-TEST_F(Leader, AStateWaitsWhileAllThatIsLeftRunsAndIsToldOnceTheEndIsCommitted)
+TEST_F(Leader, StateReadWaitsUntilPendingEndIsCommitted)
 {
-    Executor &e = t.executor();
-    job *j = t.add(1, NORMAL, {Rig::step(1, 1000)});
-    t.run(300);
+    Executor &e = rig.executor();
+    job *j = rig.add(1, NORMAL, {Rig::step(1, 1000)});
+    rig.run(300);
     ASSERT_EQ(j->n_placed, 1);
-    t.auto_commit = false;
-    int64_t request = t.request_state(1);
-    t.run(30);
-    EXPECT_TRUE(t.answers[request].empty());
+    rig.auto_commit = false;
+    int64_t request = rig.request_state(1);
+    rig.run(30);
+    EXPECT_TRUE(rig.answers[request].empty());
     e.end({1, 0, 1}, END_DONE);
-    t.report(e);
-    t.turn();
-    EXPECT_TRUE(t.answers[request].empty()) << "the end is not committed";
-    t.commit_next();
-    dispatch_flush(t.d);
-    ASSERT_EQ(t.answers[request].size(), 1u);
-    EXPECT_EQ(t.answers[request][0].error, 0);
-    EXPECT_EQ(t.answers[request][0].state, JOB_DONE);
+    rig.report(e);
+    rig.turn();
+    EXPECT_TRUE(rig.answers[request].empty()) << "the end is not committed yet";
+    rig.commit_next();
+    dispatch_flush(rig.dispatch);
+    ASSERT_EQ(rig.answers[request].size(), 1u);
+    EXPECT_EQ(rig.answers[request][0].error, 0);
+    EXPECT_EQ(rig.answers[request][0].state, JOB_DONE);
 }
 
-TEST_F(Leader, AStateIsToldAfterAMomentWhereNothingEnds)
+TEST_F(Leader, StateReadIsAnsweredAfterTimeoutIfNoRunEnds)
 {
-    t.executor();
-    t.add(1, NORMAL, {Rig::step(1, 1000)});
-    t.run(300);
-    int64_t request = t.request_state(1);
-    t.run(90);
-    EXPECT_TRUE(t.answers[request].empty());
-    t.run(10);
-    ASSERT_EQ(t.answers[request].size(), 1u);
-    EXPECT_EQ(t.answers[request][0].state, JOB_ACTIVE);
+    rig.executor();
+    rig.add(1, NORMAL, {Rig::step(1, 1000)});
+    rig.run(300);
+    int64_t request = rig.request_state(1);
+    rig.run(90);
+    EXPECT_TRUE(rig.answers[request].empty());
+    rig.run(10);
+    ASSERT_EQ(rig.answers[request].size(), 1u);
+    EXPECT_EQ(rig.answers[request][0].state, JOB_ACTIVE);
 }
 
-TEST_F(Leader, AStateOfAJobWithWaitingTasksIsToldAtOnce)
+TEST_F(Leader, StateReadOfJobWithWaitingTasksIsAnsweredAtOnce)
 {
-    t.executor();
-    job *j = t.add(1, NORMAL, {Rig::step(2, 1000)});
-    t.run(300);
+    rig.executor();
+    job *j = rig.add(1, NORMAL, {Rig::step(2, 1000)});
+    rig.run(300);
     ASSERT_EQ(j->n_placed, 1);
-    int64_t request = t.request_state(1);
-    ASSERT_EQ(t.answers[request].size(), 1u);
-    EXPECT_EQ(t.answers[request][0].state, JOB_ACTIVE);
+    int64_t request = rig.request_state(1);
+    ASSERT_EQ(rig.answers[request].size(), 1u);
+    EXPECT_EQ(rig.answers[request][0].state, JOB_ACTIVE);
 }
 
-TEST_F(Leader, WhoeverWaitsIsToldOnceWhenWeFollow)
+TEST_F(Leader, WaitingRequestsAreAnsweredOnceWhenLeadershipEnds)
 {
-    t.executor();
-    t.add(1, NORMAL, {Rig::step(1, 1000)});
-    t.run(300);
-    int64_t state = t.request_state(1);
-    int64_t under_way = t.request_job(2, NORMAL, {Rig::step(1, 10)});
-    dispatch_flush(t.d);
-    int64_t gathered = t.request_job(3, NORMAL, {Rig::step(1, 10)});
-    t.leads = false;
-    int64_t read = t.request_state(1);
-    ASSERT_EQ(t.barriers.size(), 1u);
-    dispatch_follow(t.d);
-    int64_t after = t.request_state(1);
-    for (int64_t request : {state, under_way, gathered, read, after}) {
-        ASSERT_EQ(t.answers[request].size(), 1u) << request;
-        EXPECT_EQ(t.answers[request][0].error, ERROR_NOT_LEADER) << request;
+    rig.executor();
+    rig.add(1, NORMAL, {Rig::step(1, 1000)});
+    rig.run(300);
+    int64_t state = rig.request_state(1);
+    int64_t proposed = rig.request_job(2, NORMAL, {Rig::step(1, 10)});
+    dispatch_flush(rig.dispatch);
+    int64_t in_open_batch = rig.request_job(3, NORMAL, {Rig::step(1, 10)});
+    rig.leads = false;
+    int64_t read = rig.request_state(1);
+    ASSERT_EQ(rig.barriers.size(), 1u);
+    dispatch_follow(rig.dispatch);
+    int64_t after = rig.request_state(1);
+    for (int64_t request : {state, proposed, in_open_batch, read, after}) {
+        ASSERT_EQ(rig.answers[request].size(), 1u) << request;
+        EXPECT_EQ(rig.answers[request][0].error, ERROR_NOT_LEADER) << request;
     }
-    dispatch_barrier(t.d, t.barriers[0], 0);
-    t.drop_next();
-    EXPECT_EQ(t.answers[read].size(), 1u) << "answered twice";
-    EXPECT_EQ(t.answers[under_way].size(), 1u) << "answered twice";
+    dispatch_barrier(rig.dispatch, rig.barriers[0], 0);
+    rig.drop_next();
+    EXPECT_EQ(rig.answers[read].size(), 1u) << "answered twice";
+    EXPECT_EQ(rig.answers[proposed].size(), 1u) << "answered twice";
 }
 
-TEST_F(Leader, AReadInDoubtWaitsForItsBarrier)
+TEST_F(Leader, ReadWithoutLeaseWaitsForBarrier)
 {
-    t.executor();
-    t.add(1, NORMAL, {Rig::step(2, 1000)});
-    t.leads = false;
-    int64_t request = t.request_state(1);
-    t.run(300);
-    EXPECT_TRUE(t.answers[request].empty());
-    dispatch_barrier(t.d, t.barriers[0], 0);
-    ASSERT_EQ(t.answers[request].size(), 1u);
-    EXPECT_EQ(t.answers[request][0].error, 0);
+    rig.executor();
+    rig.add(1, NORMAL, {Rig::step(2, 1000)});
+    rig.leads = false;
+    int64_t request = rig.request_state(1);
+    rig.run(300);
+    EXPECT_TRUE(rig.answers[request].empty());
+    dispatch_barrier(rig.dispatch, rig.barriers[0], 0);
+    ASSERT_EQ(rig.answers[request].size(), 1u);
+    EXPECT_EQ(rig.answers[request][0].error, 0);
 }
 
 // --- ends (fc1145d) ---
 
-TEST_F(Leader, EndsAreToldAsSeenAtOnceOnceCommittedAndNotBefore)
+TEST_F(Leader, EndsAreAcknowledgedAtOnceAfterCommitAndNotBefore)
 {
-    Executor &e = t.executor();
-    t.add(1, NORMAL, {Rig::step(3, 100)});
-    t.run(300);
+    Executor &e = rig.executor();
+    rig.add(1, NORMAL, {Rig::step(3, 100)});
+    rig.run(300);
     ASSERT_EQ(e.active.size(), 3u);
-    t.auto_commit = false;
+    rig.auto_commit = false;
     for (int64_t task = 0; task < 2; task++) {
         e.end({1, task, 1}, END_DONE);
-        t.report(e);
-        t.turn();
+        rig.report(e);
+        rig.turn();
     }
-    ASSERT_EQ(t.log.size(), 2u);
-    t.run(300);
-    EXPECT_EQ(t.newest_seen(e), 0);
-    t.commit_next();
-    dispatch_flush(t.d);
-    EXPECT_EQ(t.newest_seen(e), 1) << "told at once, and not beyond the one under way";
-    t.run(300);
-    EXPECT_EQ(t.newest_seen(e), 1);
-    t.commit_next();
-    dispatch_flush(t.d);
-    EXPECT_EQ(t.newest_seen(e), 2);
+    ASSERT_EQ(rig.log.size(), 2u);
+    rig.run(300);
+    EXPECT_EQ(rig.newest_seen(e), 0);
+    rig.commit_next();
+    dispatch_flush(rig.dispatch);
+    EXPECT_EQ(rig.newest_seen(e), 1) << "acknowledged at once, but not the end that is being committed";
+    rig.run(300);
+    EXPECT_EQ(rig.newest_seen(e), 1);
+    rig.commit_next();
+    dispatch_flush(rig.dispatch);
+    EXPECT_EQ(rig.newest_seen(e), 2);
 }
 
-TEST_F(Leader, AnEndWhoseBatchWasLostHoldsBackThoseBehindIt)
+TEST_F(Leader, EndOfLostBatchBlocksAcknowledgementOfLaterEnds)
 {
-    Executor &e = t.executor();
-    job *j = t.add(1, NORMAL, {Rig::step(3, 100)});
-    t.run(300);
-    t.auto_commit = false;
+    Executor &e = rig.executor();
+    job *j = rig.add(1, NORMAL, {Rig::step(3, 100)});
+    rig.run(300);
+    rig.auto_commit = false;
     for (int64_t task = 0; task < 2; task++) {
         e.end({1, task, 1}, END_DONE);
-        t.report(e);
-        t.turn();
+        rig.report(e);
+        rig.turn();
     }
-    t.drop_next();
-    t.commit_next();
-    t.run(50);
-    EXPECT_EQ(t.newest_seen(e), 0);
-    t.report(e); // it is told again, and proposed again
-    dispatch_flush(t.d);
-    EXPECT_EQ(t.newest_seen(e), 0);
-    ASSERT_EQ(t.log.size(), 1u);
-    EXPECT_EQ(t.log[0]->end_of({1, 0, 1}), END_DONE);
-    t.commit_next();
-    dispatch_flush(t.d);
-    EXPECT_EQ(t.newest_seen(e), 2);
+    rig.drop_next();
+    rig.commit_next();
+    rig.run(50);
+    EXPECT_EQ(rig.newest_seen(e), 0);
+    rig.report(e); // the end is reported again, and proposed again
+    dispatch_flush(rig.dispatch);
+    EXPECT_EQ(rig.newest_seen(e), 0);
+    ASSERT_EQ(rig.log.size(), 1u);
+    EXPECT_EQ(rig.log[0]->end_of({1, 0, 1}), END_DONE);
+    rig.commit_next();
+    dispatch_flush(rig.dispatch);
+    EXPECT_EQ(rig.newest_seen(e), 2);
     EXPECT_EQ(j->n_done, 2);
 }
 
-// --- room of ends under way (360c787) ---
+// --- capacity of ends that are being committed (360c787) ---
 
-TEST_F(Leader, RoomOfAnEndIsGivenAgainBehindItInTheSameBatch)
+TEST_F(Leader, CapacityOfEndIsReusedAfterItInSameBatch)
 {
-    Executor &e = t.executor();
-    t.add(1, NORMAL, {Rig::step(1, 1000)});
-    t.run(300);
-    t.add(2, NORMAL, {Rig::step(1, 1000)});
-    t.auto_commit = false;
-    t.run(300);
-    ASSERT_TRUE(t.log.empty()) << "placed without room";
-    t.request_job(3, NORMAL, {Rig::step(1, 2000)});
-    dispatch_flush(t.d);
+    Executor &e = rig.executor();
+    rig.add(1, NORMAL, {Rig::step(1, 1000)});
+    rig.run(300);
+    rig.add(2, NORMAL, {Rig::step(1, 1000)});
+    rig.auto_commit = false;
+    rig.run(300);
+    ASSERT_TRUE(rig.log.empty()) << "placed without free capacity";
+    rig.request_job(3, NORMAL, {Rig::step(1, 2000)});
+    dispatch_flush(rig.dispatch);
     e.end({1, 0, 1}, END_DONE);
-    t.report(e);
-    t.commit_next(); // what is committed is a reason to place
-    dispatch_flush(t.d);
-    ASSERT_EQ(t.log.size(), 1u);
-    int64_t end = t.log[0]->find(OP_END), place = t.log[0]->find(OP_PLACE);
+    rig.report(e);
+    rig.commit_next(); // a commit requests a planning round
+    dispatch_flush(rig.dispatch);
+    ASSERT_EQ(rig.log.size(), 1u);
+    int64_t end = rig.log[0]->find(OP_END), place = rig.log[0]->find(OP_PLACE);
     ASSERT_GE(end, 0);
     ASSERT_GE(place, 0);
     EXPECT_LT(end, place);
 }
 
-TEST_F(Leader, RoomOfAnEndIsGivenAgainWithoutWaitingForItsCommit)
+TEST_F(Leader, CapacityOfEndIsReusedBeforeItsCommit)
 {
-    Executor &e = t.executor();
-    t.add(1, NORMAL, {Rig::step(1, 1000)});
-    t.run(300);
-    t.add(2, NORMAL, {Rig::step(1, 1000)});
-    t.auto_commit = false;
+    Executor &e = rig.executor();
+    rig.add(1, NORMAL, {Rig::step(1, 1000)});
+    rig.run(300);
+    rig.add(2, NORMAL, {Rig::step(1, 1000)});
+    rig.auto_commit = false;
     e.end({1, 0, 1}, END_DONE);
-    t.report(e);
-    t.turn();
-    ASSERT_EQ(t.log.size(), 1u);
-    ASSERT_GE(t.log[0]->find(OP_END), 0);
-    t.run(260); // a round comes every 250 ms at the latest
-    EXPECT_GE(t.log.back()->find(OP_PLACE), 0);
+    rig.report(e);
+    rig.turn();
+    ASSERT_EQ(rig.log.size(), 1u);
+    ASSERT_GE(rig.log[0]->find(OP_END), 0);
+    rig.run(260); // a planning round runs every 250 ms at the latest
+    EXPECT_GE(rig.log.back()->find(OP_PLACE), 0);
 }
 
-TEST_F(Leader, RoomOfAnEndIsGivenAgainInALaterBatch)
+TEST_F(Leader, CapacityOfEndIsReusedInLaterBatch)
 {
-    Executor &e = t.executor();
-    t.add(1, NORMAL, {Rig::step(1, 1000)});
-    t.run(300);
-    t.auto_commit = false;
-    t.request_job(2, NORMAL, {Rig::step(1, 1000)});
-    dispatch_flush(t.d); // accepted by the batch before the end
+    Executor &e = rig.executor();
+    rig.add(1, NORMAL, {Rig::step(1, 1000)});
+    rig.run(300);
+    rig.auto_commit = false;
+    rig.request_job(2, NORMAL, {Rig::step(1, 1000)});
+    dispatch_flush(rig.dispatch); // the job is accepted by the batch before that of the end
     e.end({1, 0, 1}, END_DONE);
-    t.report(e);
-    t.turn();
-    t.commit_next();
-    dispatch_flush(t.d);
-    ASSERT_EQ(t.log.size(), 2u);
-    EXPECT_GE(t.log[0]->find(OP_END), 0);
-    EXPECT_GE(t.log[1]->find(OP_PLACE), 0);
+    rig.report(e);
+    rig.turn();
+    rig.commit_next();
+    dispatch_flush(rig.dispatch);
+    ASSERT_EQ(rig.log.size(), 2u);
+    EXPECT_GE(rig.log[0]->find(OP_END), 0);
+    EXPECT_GE(rig.log[1]->find(OP_PLACE), 0);
 }
 
-TEST_F(Leader, RoomOfAnEndThatChangedNothingIsTakenBack)
+TEST_F(Leader, CapacityOfEndWithoutEffectIsCountedAgain)
 {
     for (bool lost : {true, false}) {
-        Rig t;
-        Executor &e = t.executor();
-        t.add(1, NORMAL, {Rig::step(1, 1000)});
-        t.run(300);
-        t.auto_commit = false;
+        Rig rig;
+        Executor &e = rig.executor();
+        rig.add(1, NORMAL, {Rig::step(1, 1000)});
+        rig.run(300);
+        rig.auto_commit = false;
         e.end({1, 0, 1}, END_DONE);
-        t.report(e);
-        t.turn();
-        lost ? t.drop_next() : t.commit_next(false);
-        e.up = false; // and it is not told again for now
-        t.request_job(2, NORMAL, {Rig::step(1, 1000)});
-        t.turn();
-        t.commit_next();
-        t.run(300);
-        EXPECT_TRUE(t.log.empty()) << "the room was given twice, lost " << lost;
+        rig.report(e);
+        rig.turn();
+        lost ? rig.drop_next() : rig.commit_next(false);
+        e.up = false; // it does not report the end again
+        rig.request_job(2, NORMAL, {Rig::step(1, 1000)});
+        rig.turn();
+        rig.commit_next();
+        rig.run(300);
+        EXPECT_TRUE(rig.log.empty()) << "the capacity was used twice, lost " << lost;
     }
 }
 
 // --- gangs and stops (a6346dd) ---
 
-TEST_F(Leader, AGangThatLostAMemberUnderAFormerLeaderIsStoppedNotBegun)
+TEST_F(Leader, GangThatLostMemberUnderFormerLeaderIsStopped)
 {
-    Executor &e = t.executor();
+    Executor &e = rig.executor();
     e.deaf = true;
-    job *j = t.add(1, NORMAL, {Rig::step(3, 100, 1000, true)});
-    t.run(100);
+    job *j = rig.add(1, NORMAL, {Rig::step(3, 100, 1000, true)});
+    rig.run(100);
     ASSERT_EQ(j->n_placed, 3);
-    t.auto_commit = false;
+    rig.auto_commit = false;
     e.ended.push_back({{1, 1, 1}, {1, END_STOPPED}});
-    t.report(e);
-    t.turn();
-    t.commit_next();
+    rig.report(e);
+    rig.turn();
+    rig.commit_next();
     ASSERT_EQ(j->n_placed, 2);
-    t.new_leader();
-    e.epoch = t.epoch;
+    rig.new_leader();
+    e.epoch = rig.epoch;
     e.ended.clear();
-    t.run(600);
+    rig.run(600);
     for (int64_t task : {0, 2}) {
-        EXPECT_EQ(t.starts({1, task, 1}), 0) << task;
-        EXPECT_GT(t.stops({1, task, 1}), 0) << task;
+        EXPECT_EQ(rig.starts({1, task, 1}), 0) << task;
+        EXPECT_GT(rig.stops({1, task, 1}), 0) << task;
     }
 }
 
-TEST_F(Leader, ARowWhoseSavedTextAloneChangedKeepsItsStop)
+TEST_F(Leader, RowWithOnlyNewCheckpointKeepsItsStop)
 {
-    Executor &e = t.executor();
+    Executor &e = rig.executor();
     e.deaf = true;
     step_spec s = Rig::step(3, 100, 1000, true);
     s.checkpoints = 1;
-    job *j = t.add(1, NORMAL, {s});
-    t.run(100);
+    job *j = rig.add(1, NORMAL, {s});
+    rig.run(100);
     ASSERT_EQ(j->n_placed, 3);
     e.saved[{1, 0, 1}] = "half";
     e.end({1, 0, 1}, END_STOPPED);
-    t.report(e);
-    size_t mark = t.orders.size();
-    t.settle();
+    rig.report(e);
+    size_t mark = rig.orders.size();
+    rig.settle();
     ASSERT_STREQ(j->rows[2].saved, "half");
-    t.run(600);
+    rig.run(600);
     for (int64_t task : {1, 2}) {
-        EXPECT_EQ(t.starts({1, task, 1}, mark), 0) << task;
-        EXPECT_GE(t.stops({1, task, 1}, mark), 2) << task << ", told again until it shows";
+        EXPECT_EQ(rig.starts({1, task, 1}, mark), 0) << task;
+        EXPECT_GE(rig.stops({1, task, 1}, mark), 2)
+            << task << ": the stop must be repeated until reports show its effect";
     }
 }
 
-TEST_F(Leader, OrdersCarryANumberThatRises)
+TEST_F(Leader, OrderNumbersIncrease)
 {
-    t.executor(), t.executor();
-    t.add(1, NORMAL, {Rig::step(4, 500)});
-    t.run(500);
-    ASSERT_GT(t.orders.size(), 4u);
-    for (size_t i = 1; i < t.orders.size(); i++)
-        EXPECT_GT(t.orders[i]->o.number, t.orders[i - 1]->o.number);
+    rig.executor(), rig.executor();
+    rig.add(1, NORMAL, {Rig::step(4, 500)});
+    rig.run(500);
+    ASSERT_GT(rig.orders.size(), 4u);
+    for (size_t i = 1; i < rig.orders.size(); i++)
+        EXPECT_GT(rig.orders[i]->message.number, rig.orders[i - 1]->message.number);
 }
 
-TEST_F(Leader, ACancelledJobIsStoppedAtOnce)
+TEST_F(Leader, CancelledJobIsStoppedAtOnce)
 {
-    t.executor();
-    job *j = t.add(1, NORMAL, {Rig::step(2, 500)});
-    t.run(300);
-    size_t mark = t.orders.size();
-    int64_t request = t.request(NORMAL, [](api_request &a) { api_request_make_cancel(&a, 1); });
-    t.settle();
-    ASSERT_EQ(t.answers[request].size(), 1u);
-    EXPECT_EQ(t.answers[request][0].error, 0);
-    EXPECT_EQ(t.stops({1, 0, 1}, mark), 1);
-    EXPECT_EQ(t.stops({1, 1, 1}, mark), 1);
-    EXPECT_EQ(j->n_placed, 2) << "its room is in use until its ends come";
+    rig.executor();
+    job *j = rig.add(1, NORMAL, {Rig::step(2, 500)});
+    rig.run(300);
+    size_t mark = rig.orders.size();
+    int64_t request = rig.request(NORMAL, [](api_request &a) { api_request_make_cancel(&a, 1); });
+    rig.settle();
+    ASSERT_EQ(rig.answers[request].size(), 1u);
+    EXPECT_EQ(rig.answers[request][0].error, 0);
+    EXPECT_EQ(rig.stops({1, 0, 1}, mark), 1);
+    EXPECT_EQ(rig.stops({1, 1, 1}, mark), 1);
+    EXPECT_EQ(j->n_placed, 2) << "its capacity is in use until its runs have ended";
 }
 
-TEST_F(Leader, ARefusedStartIsStoppedAndBegunElsewhereOnlyOnceItSurelyNeverRan)
+TEST_F(Leader, RefusedStartIsRetriedOnlyAfterItCertainlyNeverRan)
 {
-    t.executor(), t.executor();
-    for (Executor &e : t.executors)
+    rig.executor(), rig.executor();
+    for (Executor &e : rig.executors)
         e.deaf = true;
-    job *j = t.add(1, NORMAL, {Rig::step(1, 1000)});
-    Executor *first = t.home_of(j);
+    job *j = rig.add(1, NORMAL, {Rig::step(1, 1000)});
+    Executor *first = rig.executor_of(j);
     ASSERT_TRUE(first);
-    ASSERT_GT(t.starts({1, 0, 1}), 0);
+    ASSERT_GT(rig.starts({1, 0, 1}), 0);
     first->refused[{1, 0, 1}] = REFUSED_SICK;
-    size_t mark = t.orders.size();
-    t.run(3000);
-    EXPECT_GT(t.stops({1, 0, 1}, mark), 0);
-    EXPECT_EQ(t.starts({1, 0, 1}, mark + 1), 0);
+    size_t mark = rig.orders.size();
+    rig.run(3000);
+    EXPECT_GT(rig.stops({1, 0, 1}, mark), 0);
+    EXPECT_EQ(rig.starts({1, 0, 1}, mark + 1), 0);
     EXPECT_EQ(j->rows[0].attempt, 1) << "the refused call may still be carried out";
     first->end({1, 0, 1}, END_ABSENT);
-    t.run(100);
+    rig.run(100);
     EXPECT_EQ(j->rows[0].attempt, 2);
-    EXPECT_GT(t.starts({1, 0, 2}), 0);
-    EXPECT_TRUE(t.home_of(j) && t.home_of(j) != first);
+    EXPECT_GT(rig.starts({1, 0, 2}), 0);
+    EXPECT_TRUE(rig.executor_of(j) && rig.executor_of(j) != first);
     EXPECT_EQ(j->rows[0].failures, 0);
 }
 
--- a/tests/unit/plan_order_test.cc
+++ b/tests/unit/plan_order_test.cc
@@ -1,4 +1,4 @@
-// Placing: the order of what waits, and the room kept for more urgent queues.
+// The planner: the order of entries, and the headroom for more urgent queues.
 #include "plan_site.h"
 
 namespace
@@ -11,10 +11,10 @@
     void round()
     {
         plan_input in = t.input();
-        in.keep_free = keep.data();
+        in.headroom_cpu_milli = keep.data();
         plan_make(&in, &t.p);
     }
-    // The jobs in the order in which they get the one seat's room.
+    // The jobs in the order in which they are placed on the only executor, which has capacity for one.
     std::vector<const job *> order(size_t n)
     {
         std::vector<const job *> got;
@@ -32,10 +32,10 @@
     }
 };
 
-TEST_F(PlanOrder, InTimeGoesBeforeLateBeforeHopeless)
+TEST_F(PlanOrder, InTimeBeforeLateBeforeHopeless)
 {
     t.candidate_add(1000);
-    int64_t q = t.queue(0, 1000); // aim 2500; late from 1750 on, hopeless from 7500 on
+    int64_t q = t.queue(0, 1000); // target 2500; late from 1750 on, hopeless from 7500 on
     job *hopeless = t.add(q, {Site::step(1, 1000)}, WALL - 7600);
     job *late = t.add(q, {Site::step(1, 1000)}, WALL - 1800);
     job *later = t.add(q, {Site::step(1, 1000)}, WALL - 2400);
@@ -43,7 +43,7 @@
     EXPECT_EQ(order(4), (std::vector<const job *>{in_time, later, late, hopeless}));
 }
 
-TEST_F(PlanOrder, OfWhatIsInTimeTheLeastSlackGoesFirstHoweverYoung)
+TEST_F(PlanOrder, LeastSlackFirstAmongJobsInTime)
 {
     t.candidate_add(1000);
     int64_t wide = t.queue(0, 9000), tight = t.queue(0, 1000);
@@ -52,7 +52,7 @@
     EXPECT_EQ(order(2), (std::vector<const job *>{young, old}));
 }
 
-TEST_F(PlanOrder, OfWhatIsInTimeTheSmallerGoesFirst)
+TEST_F(PlanOrder, SmallerFirstAmongJobsInTime)
 {
     t.candidate_add(1000);
     int64_t q = t.queue(0, 9000);
@@ -62,10 +62,10 @@
     EXPECT_EQ(order(1), (std::vector<const job *>{small}));
     t.round();
     EXPECT_EQ(t.placed_of(wide), 1);
-    EXPECT_EQ(t.placed_of(late), 0) << "what is late waits for what is in time, however small";
+    EXPECT_EQ(t.placed_of(late), 0) << "a late job waits for jobs in time, even if it is smaller";
 }
 
-TEST_F(PlanOrder, WhatIsBlockedIsCountedByQueue)
+TEST_F(PlanOrder, BlockedTasksAreCountedByQueue)
 {
     t.candidate_add(1000);
     int64_t urgent = t.queue(0), patient = t.queue(2), idle = t.queue(1);
@@ -78,10 +78,10 @@
     EXPECT_EQ(t.p.blocked_cpu_milli[idle], 0);
     t.candidate_add(10000);
     t.round();
-    EXPECT_EQ(t.p.blocked_cpu_milli[urgent] + t.p.blocked_cpu_milli[patient], 0) << "counted anew each round";
+    EXPECT_EQ(t.p.blocked_cpu_milli[urgent] + t.p.blocked_cpu_milli[patient], 0) << "each round counts again";
 }
 
-TEST_F(PlanOrder, TheRestOfTheChainCountsForSlack)
+TEST_F(PlanOrder, RemainingChainReducesSlack)
 {
     t.candidate_add(1000);
     int64_t q = t.queue(0, 10000);
@@ -89,15 +89,15 @@
     end.depends_on = static_cast<int64_t *>(must_alloc(sizeof(int64_t)));
     end.n_depends_on = 1;
     job *single = t.add(q, {Site::step(1, 1000, 8000)}, WALL - 500); // slack 22000 - 500 - 6000
-    // both have the same longest first step; the chain's aim is 23500, of which 6750 are its rest
+    // the target of the chain is 23500; its remaining steps count 6750
     job *chain = t.add(q, {Site::step(1, 1000, 1000), end}, WALL - 3000);
     t.round();
     EXPECT_EQ(t.placed_of(chain), 1);
     EXPECT_EQ(t.placed_of(single), 0);
 }
 
-// Two thirds of the seat are taken: a keep counts from half on.
-struct Kept : PlanOrder {
+// The executor is partly occupied, because headroom applies only once half of the service is in use.
+struct Headroom : PlanOrder {
     int64_t urgent, patient;
     void begin(int64_t taken_cpu, int64_t target_ms = 1000000)
     {
@@ -111,15 +111,15 @@
     }
 };
 
-TEST_F(Kept, PatientWorkLeavesTheRoomThatIsKept)
+TEST_F(Headroom, IsLeftFreeByPatientWork)
 {
     begin(6000);
     job *j = t.add(patient, {Site::step(9, 1000)});
     round();
-    EXPECT_EQ(t.placed_of(j), 1); // 4000 free, 2500 kept
+    EXPECT_EQ(t.placed_of(j), 1); // 4000 free, 2500 headroom
 }
 
-TEST_F(Kept, AGangThatWouldNotLeaveItIsNotPlaced)
+TEST_F(Headroom, IsNotUsedByGang)
 {
     begin(6000);
     step_spec s = Site::step(2, 1000);
@@ -132,7 +132,7 @@
     EXPECT_EQ(t.placed_of(j), 2);
 }
 
-TEST_F(Kept, UrgentWorkTakesIt)
+TEST_F(Headroom, IsUsedByUrgentWork)
 {
     begin(6000);
     job *j = t.add(urgent, {Site::step(9, 1000)});
@@ -140,20 +140,20 @@
     EXPECT_EQ(t.placed_of(j), 4);
 }
 
-TEST_F(Kept, PatientWorkThatRunsLateTakesIt)
+TEST_F(Headroom, IsUsedByPatientWorkThatWouldBeLate)
 {
-    begin(6000, 3000); // aim 4500, to be begun 2000 before it
+    begin(6000, 3000); // target 4500; must start 2000 before it
     job *early = t.add(patient, {Site::step(9, 1000)}, WALL - 2400);
     round();
     EXPECT_EQ(t.placed_of(early), 1);
-    for (int64_t i = 0; i < t.p.n; i++) // give the round's room back
+    for (int64_t i = 0; i < t.p.n; i++) // undo the placements of the round
         t.candidates[0].cpu_free += 1000, t.candidates[0].memory_free += 1000;
     t.wall_ms += 200;
     round();
     EXPECT_EQ(t.placed_of(early), 4);
 }
 
-TEST_F(Kept, AHalfFreeServiceKeepsNothing)
+TEST_F(Headroom, DoesNotApplyWhileHalfOfServiceIsFree)
 {
     begin(4900);
     keep[1] = 5000;
--- a/tests/unit/plan_random_test.cc
+++ b/tests/unit/plan_random_test.cc
@@ -1,4 +1,4 @@
-// Placing on random records and seats: what must hold of every round, and of victims.
+// The planner on random records and executors: invariants of every round, and of victims.
 #include "plan_site.h"
 
 namespace
@@ -16,10 +16,10 @@
     static const char *const racks[] = {"r0", "r1", "r2"};
     t.most = random.one_in(4) ? 1 + random.below(20) : 300;
     for (int64_t i = 0, n = 1 + random.below(12); i < n; i++) {
-        int64_t no =
+        int64_t index =
             t.candidate_add(1000 * (1 + random.below(8)), racks[random.below(3)], random.one_in(4) ? "other" : "s",
                             random.one_in(3) ? "big" : nullptr, random.one_in(4) ? 4 : 0);
-        candidate &s = t.candidates[(size_t)no];
+        candidate &s = t.candidates[(size_t)index];
         s.open = !random.one_in(8);
         s.slow_pct = random.one_in(4) ? 250 : 100;
         s.failures = random.one_in(4) ? random.below(5) : 0;
@@ -52,14 +52,14 @@
         }
         int64_t accepted = old ? WALL - random.below(20000) : WALL - random.below(900);
         job *j = t.add(random.below(5), steps, accepted, repeats, WALL - 2000 + random.below(4000), random.below(2000));
-        for (int64_t no = 0; no < j->times * j->tasks; no++) {
+        for (int64_t row_index = 0; row_index < j->times * j->tasks; row_index++) {
             int64_t time, step, index;
-            job_place(j, no, &time, &step, &index);
-            j->rows[no].attempt = (int32_t)random.below(3);
-            if (random.one_in(3) && !j->spec.steps[step].gang && job_step_begins(j, time, step))
-                t.move(j, no, ROW_DONE);
+            job_place(j, row_index, &time, &step, &index);
+            j->rows[row_index].attempt = (int32_t)random.below(3);
+            if (random.one_in(3) && !j->spec.steps[step].gang && job_step_is_ready(j, time, step))
+                t.move(j, row_index, ROW_DONE);
             else if (random.one_in(10))
-                t.busy.insert({j, no});
+                t.busy.insert({j, row_index});
         }
         if (random.one_in(12))
             j->state = JOB_CANCELLED;
@@ -75,7 +75,7 @@
            k.memory_mb <= (total ? s.memory_mb : s.memory_free) && k.gpus <= (total ? s.gpus : s.gpus_free);
 }
 
-// Every placement on its own, and all of them together against the seats as they were.
+// Checks each placement, and all of them together against the candidates as they were before the round.
 void check_round(Site &t, const std::vector<candidate> &before)
 {
     std::set<std::pair<job *, int64_t>> seen;
@@ -85,30 +85,31 @@
         const placement *at = &t.p.places[i];
         job *j = at->job;
         int64_t time, step, index;
-        job_place(j, at->no, &time, &step, &index);
+        job_place(j, at->row_index, &time, &step, &index);
         ASSERT_EQ(time, at->time);
         ASSERT_EQ(step, at->step);
         const step_spec &k = j->spec.steps[step];
         EXPECT_FALSE(job_over(j)) << "a job that is over";
-        EXPECT_TRUE(seen.insert({j, at->no}).second) << "a row twice";
-        EXPECT_EQ(j->rows[at->no].state, ROW_WAITING);
-        EXPECT_FALSE(t.busy.count({j, at->no})) << "a row spoken for";
-        EXPECT_GT(at->attempt, j->rows[at->no].attempt);
-        EXPECT_LE(job_due_ms(j, time), t.wall_ms + EARLY) << "before its time";
+        EXPECT_TRUE(seen.insert({j, at->row_index}).second) << "a row twice";
+        EXPECT_EQ(j->rows[at->row_index].state, ROW_WAITING);
+        EXPECT_FALSE(t.busy.count({j, at->row_index})) << "a busy row";
+        EXPECT_GT(at->attempt, j->rows[at->row_index].attempt);
+        EXPECT_LE(job_due_ms(j, time), t.wall_ms + EARLY) << "before it is due";
         for (int64_t d = 0; d < k.n_depends_on; d++)
             for (int64_t n = 0; n < j->spec.steps[k.depends_on[d]].task_count; n++)
-                EXPECT_EQ(j->rows[time * j->tasks + j->first[k.depends_on[d]] + n].state, ROW_DONE) << "order";
+                EXPECT_EQ(j->rows[time * j->tasks + j->first[k.depends_on[d]] + n].state, ROW_DONE)
+                    << "a dependency is not done";
         candidate &s = after[(size_t)at->candidate];
         EXPECT_STREQ(s.service, t.r.queues[j->queue].config.service);
-        EXPECT_TRUE(holds(s, k, true)) << "label, open or size";
+        EXPECT_TRUE(holds(s, k, true)) << "label, open or capacity";
         s.cpu_free -= k.cpu_milli, s.memory_free -= k.memory_mb, s.gpus_free -= k.gpus;
         groups[{j, time, step}].push_back(at);
     }
     for (size_t i = 0; i < after.size(); i++) {
-        EXPECT_GE(after[i].cpu_free, 0) << "seat " << i;
-        EXPECT_GE(after[i].memory_free, 0) << "seat " << i;
-        EXPECT_GE(after[i].gpus_free, 0) << "seat " << i;
-        EXPECT_EQ(after[i].cpu_free, t.candidates[i].cpu_free) << "room not taken, or taken and not given";
+        EXPECT_GE(after[i].cpu_free, 0) << "candidate " << i;
+        EXPECT_GE(after[i].memory_free, 0) << "candidate " << i;
+        EXPECT_GE(after[i].gpus_free, 0) << "candidate " << i;
+        EXPECT_EQ(after[i].cpu_free, t.candidates[i].cpu_free) << "free capacity does not match the placements";
         EXPECT_EQ(after[i].memory_free, t.candidates[i].memory_free);
         EXPECT_EQ(after[i].gpus_free, t.candidates[i].gpus_free);
     }
@@ -116,7 +117,7 @@
         auto [j, time, step] = key;
         const step_spec &k = j->spec.steps[step];
         if (k.gang) {
-            EXPECT_EQ((int64_t)places.size(), k.task_count) << "a gang in part";
+            EXPECT_EQ((int64_t)places.size(), k.task_count) << "only part of a gang";
             for (const placement *at : places)
                 EXPECT_EQ(at->attempt, places[0]->attempt);
         }
@@ -128,39 +129,40 @@
         }
         for (const placement *at : places)
             EXPECT_TRUE(++used[t.candidates[(size_t)at->candidate].incarnation_no] <= k.per_executor || !k.per_executor)
-                << "too many on one";
+                << "more than per_executor on one executor";
     }
-    EXPECT_TRUE(t.p.n <= t.most || groups.size() == 1) << "more than was asked for";
+    EXPECT_TRUE(t.p.n <= t.most || groups.size() == 1) << "more than the limit of the round";
 }
 
-// Nothing that would fit was left out. Holds only where no room is held for others.
+// Checks that all tasks that fit were placed. Holds only if no capacity is reserved for others.
 void check_nothing_left(Site &t)
 {
     std::set<std::pair<job *, int64_t>> placed;
     for (int64_t i = 0; i < t.p.n; i++)
-        placed.insert({t.p.places[i].job, t.p.places[i].no});
+        placed.insert({t.p.places[i].job, t.p.places[i].row_index});
     int64_t left = 0;
     for (job *j = t.r.oldest; j; j = j->next) {
-        for (int64_t no = 0; no < j->times * j->tasks && !job_over(j); no++) {
+        for (int64_t row_index = 0; row_index < j->times * j->tasks && !job_over(j); row_index++) {
             int64_t time, step, index;
-            job_place(j, no, &time, &step, &index);
+            job_place(j, row_index, &time, &step, &index);
             const step_spec &k = j->spec.steps[step];
-            if (j->rows[no].state != ROW_WAITING || placed.count({j, no}) || t.busy.count({j, no}) || k.gang ||
-                k.per_executor || !job_step_begins(j, time, step) || job_due_ms(j, time) > t.wall_ms)
+            if (j->rows[row_index].state != ROW_WAITING || placed.count({j, row_index}) ||
+                t.busy.count({j, row_index}) || k.gang || k.per_executor || !job_step_is_ready(j, time, step) ||
+                job_due_ms(j, time) > t.wall_ms)
                 continue;
             left++;
             for (const candidate &s : t.candidates) {
                 bool stays = s.departs_ms == INT64_MAX;
                 bool other = strcmp(s.service, t.r.queues[j->queue].config.service) != 0;
                 EXPECT_FALSE(stays && !other && holds(s, k, false))
-                    << "row " << no << " of job " << j->spec.id << " would fit";
+                    << "row " << row_index << " of job " << j->spec.id << " would fit";
             }
         }
     }
     EXPECT_GE(t.p.blocked, left);
 }
 
-TEST(PlanRandom, EveryRoundKeepsTheRules)
+TEST(PlanRandom, EveryRoundIsValid)
 {
     for (unsigned seed = 0; seed < 600 && !testing::Test::HasFailure(); seed++) {
         SCOPED_TRACE("seed " + std::to_string(seed));
@@ -176,15 +178,15 @@
                 check_nothing_left(t);
             t.commit();
             for (job *j = t.r.oldest; j; j = j->next)
-                for (int64_t no = 0; no < j->times * j->tasks; no++)
-                    if (j->rows[no].state == ROW_PLACED && random.one_in(4))
-                        t.move(j, no, random.one_in(3) ? ROW_WAITING : ROW_DONE);
+                for (int64_t row_index = 0; row_index < j->times * j->tasks; row_index++)
+                    if (j->rows[row_index].state == ROW_PLACED && random.one_in(4))
+                        t.move(j, row_index, random.one_in(3) ? ROW_WAITING : ROW_DONE);
         }
         t.drop();
     }
 }
 
-TEST(PlanRandom, VictimsAreLessUrgentAndMakeRoom)
+TEST(PlanRandom, VictimsAreLessUrgentAndFreeCapacity)
 {
     int64_t named = 0;
     for (unsigned seed = 0; seed < 600 && !testing::Test::HasFailure(); seed++) {
@@ -213,15 +215,15 @@
         int64_t least = INT64_MAX;
         for (const victim &x : v) {
             int64_t time, step, index;
-            EXPECT_TRUE(seen.insert({x.job, x.no}).second);
-            EXPECT_EQ(x.job->rows[x.no].state, ROW_PLACED);
+            EXPECT_TRUE(seen.insert({x.job, x.row_index}).second);
+            EXPECT_EQ(x.job->rows[x.row_index].state, ROW_PLACED);
             EXPECT_FALSE(job_over(x.job));
             least = std::min(least, t.r.queues[x.job->queue].config.priority);
-            job_place(x.job, x.no, &time, &step, &index);
+            job_place(x.job, x.row_index, &time, &step, &index);
             for (int64_t n = 0; x.job->spec.steps[step].gang && n < x.job->spec.steps[step].task_count; n++)
                 EXPECT_TRUE(std::count_if(v.begin(), v.end(), [&](const victim &y) {
-                    return y.job == x.job && y.no == x.no - index + n;
-                })) << "a gang in part";
+                    return y.job == x.job && y.row_index == x.row_index - index + n;
+                })) << "only part of a gang";
         }
         if (v.empty()) {
             t.drop();
@@ -230,12 +232,12 @@
         EXPECT_GT(least, 0);
         named++;
         for (const victim &x : v)
-            t.move(x.job, x.no, ROW_WAITING);
+            t.move(x.job, x.row_index, ROW_WAITING);
         t.round();
         int64_t helped = 0;
         for (int64_t i = 0; i < t.p.n; i++)
             helped += t.r.queues[t.p.places[i].job->queue].config.priority < least;
-        EXPECT_GT(helped, 0) << "stopped for nothing; before " << without;
+        EXPECT_GT(helped, 0) << "preempted without effect; placed before " << without;
         t.drop();
     }
     EXPECT_GT(named, 50);
--- a/tests/unit/plan_site.h
+++ b/tests/unit/plan_site.h
@@ -1,4 +1,4 @@
-// What the tests of placing share: a record built by hand, and seats.
+// Fixture of the planner's tests: a record and candidates, built without ops.
 #ifndef SAGEHITCH_TESTS_PLAN_SITE_H
 #define SAGEHITCH_TESTS_PLAN_SITE_H
 #include <gtest/gtest.h>
@@ -28,7 +28,7 @@
     return &items[n++];
 }
 
-// A record built by hand, its seats, and one round after another.
+// A record with candidates, on which the tests run planning rounds.
 struct Site {
     record r = {};
     std::deque<std::string> names;
@@ -51,66 +51,68 @@
     }
     int64_t queue(int64_t priority, int64_t target_ms = 1000000, const char *service = "s")
     {
-        struct queue *q = more(r.queues, r.n_queues);
-        q->config.name = must_printf("q%d", (int)r.n_queues);
-        q->config.service = must_dup(service);
-        q->config.priority = priority, q->config.stretch_pct = 150, q->config.target_ms = target_ms;
-        q->config.attempts_max = 4;
+        struct queue *added = more(r.queues, r.n_queues);
+        added->config.name = must_printf("q%d", (int)r.n_queues);
+        added->config.service = must_dup(service);
+        added->config.priority = priority, added->config.stretch_pct = 150, added->config.target_ms = target_ms;
+        added->config.attempts_max = 4;
         return r.n_queues - 1;
     }
     int64_t candidate_add(int64_t cpu, const char *rack = "r0", const char *service = "s", const char *label = nullptr,
                           int64_t gpus = 0)
     {
-        candidate s = {};
-        s.incarnation = name("l" + std::to_string(candidates.size())), s.service = name(service), s.rack = name(rack);
+        candidate added = {};
+        added.incarnation = name("l" + std::to_string(candidates.size())), added.service = name(service),
+        added.rack = name(rack);
         if (label) {
             labelled.push_back(name(label));
-            s.labels = static_cast<char **>(must_alloc(sizeof(char *)));
-            s.labels[0] = labelled.back(), s.n_labels = 1;
-            owned.push_back(s.labels);
+            added.labels = static_cast<char **>(must_alloc(sizeof(char *)));
+            added.labels[0] = labelled.back(), added.n_labels = 1;
+            owned.push_back(added.labels);
         }
-        s.incarnation_no = r.n_incarnations;
-        struct incarnation *l = more(r.incarnations, r.n_incarnations);
-        l->name = must_dup(s.incarnation);
-        s.cpu_milli = s.cpu_free = cpu, s.memory_mb = s.memory_free = cpu, s.gpus = s.gpus_free = gpus;
-        s.open = 1, s.departs_ms = INT64_MAX, s.slow_pct = 100;
-        candidates.push_back(s);
+        added.incarnation_no = r.n_incarnations;
+        struct incarnation *incarnation = more(r.incarnations, r.n_incarnations);
+        incarnation->name = must_dup(added.incarnation);
+        added.cpu_milli = added.cpu_free = cpu, added.memory_mb = added.memory_free = cpu,
+        added.gpus = added.gpus_free = gpus;
+        added.open = 1, added.departs_ms = INT64_MAX, added.slow_pct = 100;
+        candidates.push_back(added);
         return (int64_t)candidates.size() - 1;
     }
     static step_spec step(int64_t tasks, int64_t cpu, int64_t estimate_ms = 1000)
     {
-        step_spec s = {};
-        s.task_count = tasks, s.cpu_milli = cpu, s.memory_mb = cpu, s.estimate_ms = estimate_ms;
-        return s;
+        step_spec spec = {};
+        spec.task_count = tasks, spec.cpu_milli = cpu, spec.memory_mb = cpu, spec.estimate_ms = estimate_ms;
+        return spec;
     }
     job *add(int64_t queue, std::vector<step_spec> steps, int64_t accepted_ms = WALL, int64_t repeats = 0,
              int64_t start_ms = 0, int64_t interval_ms = 0)
     {
-        job *j = static_cast<job *>(must_alloc(sizeof *j));
-        j->spec.id = next_id++;
-        j->spec.n_steps = (int64_t)steps.size();
-        j->spec.steps = static_cast<step_spec *>(must_alloc(sizeof(step_spec) * steps.size()));
+        job *added = static_cast<job *>(must_alloc(sizeof *added));
+        added->spec.id = next_id++;
+        added->spec.n_steps = (int64_t)steps.size();
+        added->spec.steps = static_cast<step_spec *>(must_alloc(sizeof(step_spec) * steps.size()));
         for (size_t i = 0; i < steps.size(); i++)
-            j->spec.steps[i] = steps[i];
-        j->spec.repeats = repeats, j->spec.start_ms = start_ms, j->spec.interval_ms = interval_ms;
-        j->queue = queue, j->accepted_ms = accepted_ms, j->index = r.next_index++;
-        job_open(j);
-        record_add(&r, j);
-        record_link(&r, j);
-        return j;
+            added->spec.steps[i] = steps[i];
+        added->spec.repeats = repeats, added->spec.start_ms = start_ms, added->spec.interval_ms = interval_ms;
+        added->queue = queue, added->accepted_ms = accepted_ms, added->index = r.next_index++;
+        job_alloc_rows(added);
+        record_index_job(&r, added);
+        record_link(&r, added);
+        return added;
     }
-    void move(job *j, int64_t no, int state, int64_t candidate = -1)
+    void move(job *j, int64_t row_index, int state, int64_t candidate = -1)
     {
-        row *w = &j->rows[no];
-        int64_t time, s, index, group;
-        job_place(j, no, &time, &s, &index);
-        group = time * j->spec.n_steps + s;
-        const step_spec *spec = &j->spec.steps[s];
-        if (w->state == ROW_PLACED) {
-            struct candidate *at = &candidates[(size_t)w->incarnation];
+        row *moved = &j->rows[row_index];
+        int64_t time, step, index, group;
+        job_place(j, row_index, &time, &step, &index);
+        group = time * j->spec.n_steps + step;
+        const step_spec *spec = &j->spec.steps[step];
+        if (moved->state == ROW_PLACED) {
+            struct candidate *at = &candidates[(size_t)moved->incarnation];
             at->cpu_free += spec->cpu_milli, at->memory_free += spec->memory_mb, at->gpus_free += spec->gpus;
-            j->n_placed--, r.incarnations[w->incarnation].placed--;
-        } else if (w->state == ROW_WAITING) {
+            j->n_placed--, r.incarnations[moved->incarnation].placed--;
+        } else if (moved->state == ROW_WAITING) {
             j->waiting[group]--;
         }
         if (state == ROW_PLACED) {
@@ -118,13 +120,16 @@
             at->cpu_free -= spec->cpu_milli, at->memory_free -= spec->memory_mb, at->gpus_free -= spec->gpus;
             j->n_placed++, r.incarnations[candidate].placed++;
         } else if (state == ROW_DONE) {
-            j->left[group]--, j->n_done++;
+            j->unfinished[group]--, j->n_done++;
         } else if (state == ROW_WAITING) {
             j->waiting[group]++;
         }
-        w->state = state, w->incarnation = (int32_t)candidate, w->since_ms = wall_ms;
+        moved->state = state, moved->incarnation = (int32_t)candidate, moved->since_ms = wall_ms;
+    }
+    static int is_busy(void *arg, const job *j, int64_t row_index)
+    {
+        return (int)((Site *)arg)->busy.count({j, row_index});
     }
-    static int is_busy(void *arg, const job *j, int64_t no) { return (int)((Site *)arg)->busy.count({j, no}); }
     plan_input input()
     {
         plan_input in = {};
@@ -138,24 +143,24 @@
         plan_input in = input();
         plan_make(&in, &p);
     }
-    // What the record holds once a round was committed; the round has taken the room already.
+    // Applies the placements of the round to the record. The round has already subtracted their capacity.
     void commit()
     {
         for (int64_t i = 0; i < p.n; i++) {
             const placement *at = &p.places[i];
-            const step_spec *s = &at->job->spec.steps[at->step];
+            const step_spec *spec = &at->job->spec.steps[at->step];
             candidate *to = &candidates[(size_t)at->candidate];
-            to->cpu_free += s->cpu_milli, to->memory_free += s->memory_mb, to->gpus_free += s->gpus;
-            move(at->job, at->no, ROW_PLACED, at->candidate);
-            at->job->rows[at->no].attempt = (int32_t)at->attempt;
+            to->cpu_free += spec->cpu_milli, to->memory_free += spec->memory_mb, to->gpus_free += spec->gpus;
+            move(at->job, at->row_index, ROW_PLACED, at->candidate);
+            at->job->rows[at->row_index].attempt = (int32_t)at->attempt;
         }
     }
-    std::vector<victim> victims(int64_t at_most)
+    std::vector<victim> victims(int64_t max_victims)
     {
-        std::vector<victim> v((size_t)at_most);
+        std::vector<victim> chosen((size_t)max_victims);
         plan_input in = input();
-        v.resize((size_t)plan_victims(&in, v.data(), at_most));
-        return v;
+        chosen.resize((size_t)plan_victims(&in, chosen.data(), max_victims));
+        return chosen;
     }
     int64_t placed_of(const job *j) const
     {
--- a/tests/unit/plan_test.cc
+++ b/tests/unit/plan_test.cc
@@ -1,4 +1,4 @@
-// Placing: the choices it is meant to make. What holds of every round is in plan_random_test.cc.
+// The planner: single choices. The invariants of every round are in plan_random_test.cc.
 #include "plan_site.h"
 
 namespace
@@ -9,7 +9,7 @@
     void TearDown() override { t.drop(); }
 };
 
-TEST_F(Plan, TheUrgentOneGetsTheRoomForOne)
+TEST_F(Plan, UrgentJobGetsTheOnlyCapacity)
 {
     t.candidate_add(1000);
     job *later = t.add(t.queue(2), {Site::step(1, 1000)}, WALL - 500);
@@ -21,10 +21,10 @@
     EXPECT_EQ(t.p.blocked_priority, 2);
 }
 
-TEST_F(Plan, WithinAClassHopelessOnesGoLastAndTheOldestFirst)
+TEST_F(Plan, HopelessJobGoesLastAmongEquallyUrgent)
 {
     t.candidate_add(2000);
-    int64_t q = t.queue(0, 1000); // aim 2500: hopeless from 7500 on
+    int64_t q = t.queue(0, 1000); // target 2500: hopeless from 7500 on
     job *hopeless = t.add(q, {Site::step(1, 1000)}, WALL - 8000);
     job *fresh = t.add(q, {Site::step(1, 1000)}, WALL);
     job *old = t.add(q, {Site::step(1, 1000)}, WALL - 7000);
@@ -34,17 +34,18 @@
     EXPECT_EQ(t.placed_of(hopeless), 0);
 }
 
-TEST_F(Plan, WaitingLiftsAJobByAClass)
+TEST_F(Plan, AgeingRaisesPriority)
 {
     t.candidate_add(1000);
-    job *aged = t.add(t.queue(2, 1000), {Site::step(1, 1000)}, WALL - 20500); // two times four aims of 2500
+    job *aged =
+        t.add(t.queue(2, 1000), {Site::step(1, 1000)}, WALL - 20500); // twice AGEING_TARGETS times the target of 2500
     job *fresh = t.add(t.queue(1, 1000), {Site::step(1, 1000)});
     t.round();
     EXPECT_EQ(t.placed_of(aged), 1);
     EXPECT_EQ(t.placed_of(fresh), 0);
 }
 
-TEST_F(Plan, ABlockedBigTaskKeepsItsSeatFree)
+TEST_F(Plan, CapacityIsReservedForBlockedLargeTask)
 {
     for (int i = 0; i < 2; i++)
         t.candidate_add(i ? 2000 : 4000);
@@ -55,21 +56,21 @@
     job *big = t.add(t.queue(0), {Site::step(1, 4000)});
     t.wall_ms += 2000;
     for (int k = 0; k < 4 && !t.placed_of(big); k++) {
-        for (int64_t no = 0; no < small->tasks; no++)
-            if (small->rows[no].state == ROW_PLACED) {
-                t.move(small, no, ROW_DONE);
-                if (!small->rows[no].incarnation && t.candidates[0].cpu_free < 4000)
+        for (int64_t row_index = 0; row_index < small->tasks; row_index++)
+            if (small->rows[row_index].state == ROW_PLACED) {
+                t.move(small, row_index, ROW_DONE);
+                if (!small->rows[row_index].incarnation && t.candidates[0].cpu_free < 4000)
                     break;
             }
         t.round();
         for (int64_t i = 0; i < t.p.n; i++)
-            EXPECT_TRUE(t.p.places[i].job == big || t.p.places[i].candidate == 1) << "took the room that is held";
+            EXPECT_TRUE(t.p.places[i].job == big || t.p.places[i].candidate == 1) << "used reserved capacity";
         t.commit();
     }
     EXPECT_EQ(t.placed_of(big), 1);
 }
 
-TEST_F(Plan, ABlockedGangGetsItsRoomInTheEnd)
+TEST_F(Plan, BlockedGangIsPlacedEventually)
 {
     for (int i = 0; i < 4; i++)
         t.candidate_add(2000);
@@ -83,9 +84,9 @@
     t.wall_ms += 2000;
     int rounds = 0;
     for (; rounds < 20 && !t.placed_of(gang); rounds++) {
-        for (int64_t no = 0; no < small->tasks; no++)
-            if (small->rows[no].state == ROW_PLACED) {
-                t.move(small, no, ROW_DONE);
+        for (int64_t row_index = 0; row_index < small->tasks; row_index++)
+            if (small->rows[row_index].state == ROW_PLACED) {
+                t.move(small, row_index, ROW_DONE);
                 break;
             }
         t.round();
@@ -95,7 +96,7 @@
     EXPECT_LT(rounds, 10);
 }
 
-TEST_F(Plan, AJobWithNothingRunningIsNotHeldUpWhereHalfIsFree)
+TEST_F(Plan, JobWithoutRunsUsesReservedCapacityWhileHalfIsFree)
 {
     t.candidate_add(4000);
     t.candidate_add(4000);
@@ -115,7 +116,7 @@
     EXPECT_EQ(t.placed_of(small), 1);
 }
 
-TEST_F(Plan, TasksGoWhereTheirDataLie)
+TEST_F(Plan, TasksPreferRackOfTheirData)
 {
     t.candidate_add(4000, "r0");
     int64_t near = t.candidate_add(4000, "r1");
@@ -130,7 +131,7 @@
     EXPECT_EQ(there, 4);
 }
 
-TEST_F(Plan, ShortTasksSpreadLongOnesPack)
+TEST_F(Plan, ShortTasksAreSpreadAndLongTasksPacked)
 {
     t.candidate_add(4000);
     int64_t tight = t.candidate_add(3000);
@@ -144,7 +145,7 @@
     EXPECT_EQ(t.candidate_of(long_one), tight);
 }
 
-TEST_F(Plan, SeatsThatFailLeaveOrCrawlAreShunned)
+TEST_F(Plan, FailingDepartingAndSlowExecutorsAreAvoided)
 {
     for (int i = 0; i < 4; i++)
         t.candidate_add(1000);
@@ -154,7 +155,7 @@
     EXPECT_EQ(t.candidate_of(j), 3);
 }
 
-TEST_F(Plan, AGangOfOneRackWaitsAWhileForItThenSpreads)
+TEST_F(Plan, SameRackGangWaitsForRackThenSpreads)
 {
     for (int i = 0; i < 4; i++)
         t.candidate_add(2000, i < 2 ? "r0" : "r1");
@@ -170,7 +171,7 @@
     t.wall_ms += 2100;
     t.round();
     EXPECT_EQ(t.placed_of(gang), 4);
-    for (int64_t i = 0; i < t.p.n; i++) // not committed: the room comes back
+    for (int64_t i = 0; i < t.p.n; i++) // undo the placements, which are not committed
         t.candidates[(size_t)t.p.places[i].candidate].cpu_free += 1000,
             t.candidates[(size_t)t.p.places[i].candidate].memory_free += 1000;
     t.move(some, 1, ROW_DONE);
@@ -180,7 +181,7 @@
         EXPECT_STREQ(t.candidates[(size_t)t.p.places[i].candidate].rack, "r1");
 }
 
-TEST_F(Plan, TimesBeginWhenDueAndTheNextIsTold)
+TEST_F(Plan, RepetitionsStartWhenDue)
 {
     t.candidate_add(9000);
     job *j = t.add(t.queue(0), {Site::step(1, 1000)}, WALL - 100, 3, WALL - 5000, 6000);
@@ -197,7 +198,7 @@
     EXPECT_GE(t.wall_ms, job_due_ms(j, 1) - EARLY / 2);
 }
 
-TEST_F(Plan, AGangLargerThanARoundGoesAlone)
+TEST_F(Plan, GangAboveLimitOfRoundIsPlacedAlone)
 {
     t.candidate_add(9000);
     t.most = 2;
@@ -213,13 +214,13 @@
     EXPECT_EQ(t.placed_of(gang), 4);
 }
 
-TEST_F(Plan, WhatCouldEverFit)
+TEST_F(Plan, CouldFit)
 {
     plan_input in = t.input();
     step_spec s = Site::step(4, 3000);
     job_spec spec = {};
     spec.steps = &s, spec.n_steps = 1;
-    EXPECT_TRUE(plan_could_fit(&in, &spec, "s")) << "no seat is known yet";
+    EXPECT_TRUE(plan_could_fit(&in, &spec, "s")) << "no executor is known yet";
     t.candidate_add(4000);
     t.candidate_add(7000, "r0", "other");
     t.candidates[0].open = 0, t.candidates[0].cpu_free = 0;
@@ -238,7 +239,7 @@
     EXPECT_FALSE(plan_could_fit(&in, &spec, "s"));
 }
 
-TEST_F(Plan, VictimsAreTheYoungestAndThoseThatKeepTheirProgress)
+TEST_F(Plan, VictimsAreYoungOrSaveCheckpoints)
 {
     t.candidate_add(1000);
     t.candidate_add(1000);
@@ -251,24 +252,24 @@
     t.move(b, 0, ROW_PLACED, 1);
     t.move(c, 0, ROW_PLACED, 2);
     t.wall_ms += 5000;
-    EXPECT_TRUE(t.victims(9).empty()) << "nothing waits";
+    EXPECT_TRUE(t.victims(9).empty()) << "no task waits";
     job *urgent = t.add(t.queue(1), {Site::step(1, 1000)}, t.wall_ms);
     std::vector<victim> v = t.victims(9);
     ASSERT_EQ(v.size(), 1u);
     EXPECT_EQ(v[0].job, b);
     t.busy.insert({b, 0});
-    EXPECT_TRUE(t.victims(9).empty()) << "one is being stopped already";
+    EXPECT_TRUE(t.victims(9).empty()) << "a row is being stopped already";
     t.busy.clear();
     a->rows[0].since_ms = t.wall_ms - 100;
     v = t.victims(9);
     ASSERT_EQ(v.size(), 1u);
     EXPECT_EQ(v[0].job, a);
     t.r.queues[low].config.priority = 1;
-    EXPECT_TRUE(t.victims(9).empty()) << "as urgent";
+    EXPECT_TRUE(t.victims(9).empty()) << "equally urgent";
     (void)urgent;
 }
 
-TEST_F(Plan, WhatACancelledJobStillRunsIsRoomToCome)
+TEST_F(Plan, RunsOfCancelledJobCountAsFreedCapacity)
 {
     t.candidate_add(1000);
     t.candidate_add(1000);
--- a/tests/unit/record_build.h
+++ b/tests/unit/record_build.h
@@ -1,4 +1,4 @@
-// Jobs, configurations and batches of ops for tests of the record, all owned.
+// Builders of jobs, configurations and batches of ops for tests of the record. All of them own their content.
 #ifndef SAGEHITCH_TESTS_RECORD_BUILD_H
 #define SAGEHITCH_TESTS_RECORD_BUILD_H
 #include <algorithm>
@@ -13,7 +13,7 @@
 namespace record_build
 {
 
-// Steps of a job in short.
+// A step of a job in short form.
 struct Step {
     int64_t tasks;
     std::vector<int64_t> after;
@@ -26,7 +26,7 @@
 const Spec two = {{{2, {}}, {1, {0}}}, 0};
 const Spec gang = {{{3, {}, true}, {1, {0}}}, 0};
 
-// list_more() of C, for lists that schemas own.
+// list_more() for C++; the list is freed by its schema.
 template <class T> T &more_of(T *&items, int64_t &n)
 {
     items = (T *)must_grow(items, sizeof(T) * (size_t)(n + 1));
@@ -91,11 +91,11 @@
     std::string saved;
 };
 
-// Ops of one batch; what is taken from it by apply is freed with it.
+// The ops of one batch, freed with it.
 struct Batch {
     record_batch batch = {};
     ~Batch() { schema_free(&record_batch_schema, &batch); }
-    // An op without a kind yet.
+    // Adds an op without a kind.
     record_op &more(int64_t at_ms)
     {
         record_op &op = more_of(batch.ops, batch.n);
--- a/tests/unit/record_model.h
+++ b/tests/unit/record_model.h
@@ -1,4 +1,4 @@
-// A naive model of the record: it holds rows by name and counts by looking at every row.
+// A naive model of the record: it finds rows by their position, and counts by going through all rows.
 #ifndef SAGEHITCH_TESTS_RECORD_MODEL_H
 #define SAGEHITCH_TESTS_RECORD_MODEL_H
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 
 using namespace record_build;
 
-using Place = std::tuple<int64_t, int64_t, int64_t>; // time, step, index
+using Position = std::tuple<int64_t, int64_t, int64_t>; // repetition, step, index
 
 struct ModelRow {
     int state = ROW_WAITING;
@@ -26,9 +26,9 @@
     int64_t id, state = JOB_PENDING, accepted_ms, ended_ms = 0;
     size_t spec;
     std::string queue;
-    bool rows_there = true;
-    std::map<Place, ModelRow> rows;
-    std::set<std::tuple<int64_t, int64_t, int64_t>> failed_once; // gangs: time, step, attempt
+    bool has_rows = true;
+    std::map<Position, ModelRow> rows;
+    std::set<std::tuple<int64_t, int64_t, int64_t>> failed_once; // gangs: repetition, step, attempt
     bool over() const { return state >= JOB_DONE; }
 };
 
@@ -42,19 +42,19 @@
 };
 
 struct Model {
-    std::map<std::string, int64_t> attempts_max; // newest known
-    std::set<std::string> queues;                // of the current version
+    std::map<std::string, int64_t> attempts_max; // by queue, from the newest configuration that has it
+    std::set<std::string> queues;                // of the current configuration
     int64_t version = 0;
     std::map<int64_t, ModelJob> jobs;
-    std::vector<int64_t> order; // of acceptance, live ones
+    std::vector<int64_t> order; // live jobs, in order of acceptance
 
     const Step &step(const ModelJob &j, int64_t s) { return specs[j.spec].steps[(size_t)s]; }
     ModelJob *job(int64_t id) { return jobs.count(id) ? &jobs[id] : nullptr; }
     ModelRow *row(int64_t id, int64_t task)
     {
         ModelJob *j = job(id);
-        Place at{task_time(task), task_step(task), task_index(task)};
-        return j && j->rows_there && j->rows.count(at) ? &j->rows[at] : nullptr;
+        Position at{task_time(task), task_step(task), task_index(task)};
+        return j && j->has_rows && j->rows.count(at) ? &j->rows[at] : nullptr;
     }
     bool ready(ModelJob &j, int64_t task)
     {
@@ -71,8 +71,8 @@
             done &= row.state == ROW_DONE, placed |= row.state == ROW_PLACED;
         if (!j.over() && done)
             j.state = JOB_DONE, j.ended_ms = now;
-        if (j.rows_there && j.over() && !placed) {
-            j.rows_there = false;
+        if (j.has_rows && j.over() && !placed) {
+            j.has_rows = false;
             j.rows.clear();
             order.erase(std::find(order.begin(), order.end(), j.id));
         }
@@ -173,7 +173,7 @@
     }
     void forget(int64_t id)
     {
-        if (jobs.count(id) && jobs[id].over() && !jobs[id].rows_there)
+        if (jobs.count(id) && jobs[id].over() && !jobs[id].has_rows)
             jobs.erase(id);
     }
 
@@ -185,15 +185,15 @@
         ASSERT_EQ(j->accepted_ms, m.accepted_ms);
         ASSERT_EQ(j->ended_ms, m.ended_ms);
         ASSERT_EQ(r->queues[j->queue].config.name, m.queue);
-        ASSERT_EQ(j->rows != nullptr, m.rows_there);
-        if (!m.rows_there)
+        ASSERT_EQ(j->rows != nullptr, m.has_rows);
+        if (!m.has_rows)
             return;
-        int64_t n_placed = 0, n_done = 0, no = 0;
+        int64_t n_placed = 0, n_done = 0, row_index = 0;
         std::map<std::pair<int64_t, int64_t>, int64_t> left, waiting;
         for (auto &[at, row] : m.rows) { // in the order of the record's rows
             auto [time, step, index] = at;
-            const struct row *is = &j->rows[no];
-            ASSERT_EQ(job_row(j, task_of(time, step, index)), no++);
+            const struct row *is = &j->rows[row_index];
+            ASSERT_EQ(job_row(j, task_of(time, step, index)), row_index++);
             ASSERT_EQ(is->state, row.state) << m.id << " " << time << " " << step << " " << index;
             ASSERT_EQ(is->failures, row.failures);
             ASSERT_EQ(is->attempt, row.attempt);
@@ -205,11 +205,11 @@
             left[{time, step}] += row.state != ROW_DONE;
             waiting[{time, step}] += row.state == ROW_WAITING;
         }
-        ASSERT_EQ(no, j->times * j->tasks);
+        ASSERT_EQ(row_index, j->times * j->tasks);
         ASSERT_EQ(j->n_placed, n_placed);
         ASSERT_EQ(j->n_done, n_done);
         for (auto &[at, n] : left) {
-            ASSERT_EQ(j->left[at.first * j->spec.n_steps + at.second], n);
+            ASSERT_EQ(j->unfinished[at.first * j->spec.n_steps + at.second], n);
             ASSERT_EQ(j->waiting[at.first * j->spec.n_steps + at.second], waiting[at]);
         }
     }
@@ -230,7 +230,7 @@
         ASSERT_EQ(r->newest, last);
         for (auto &[id, m] : jobs) {
             ASSERT_NO_FATAL_FAILURE(compare_job(r, m));
-            live[m.queue] += m.rows_there;
+            live[m.queue] += m.has_rows;
             for (auto &[place, row] : m.rows)
                 placed[row.incarnation] += row.state == ROW_PLACED;
         }
--- a/tests/unit/record_model_test.cc
+++ b/tests/unit/record_model_test.cc
@@ -1,4 +1,5 @@
-// The record against a naive model under random ops, packed, stored as snapshots and restored on the way.
+// Compares the record with a naive model under random ops, which are packed; snapshots are stored and restored in
+// between.
 #include "record_model.h"
 
 using namespace record_model;
@@ -6,7 +7,7 @@
 namespace
 {
 
-// Rows as changed() told of them: whoever listens holds the same as the record.
+// The rows as reported by the callback `changed`: they must be the same as those of the record.
 struct Listener {
     std::map<int64_t, std::vector<std::tuple<int, int64_t, int64_t, std::string>>> rows;
     const record *r = nullptr;
@@ -15,15 +16,15 @@
     {
         return {row->state, row->attempt, row->failures, row->saved ? row->saved : ""};
     }
-    static void hear(void *arg, struct job *job, int64_t no)
+    static void on_changed(void *arg, struct job *job, int64_t row_index)
     {
-        Listener *l = (Listener *)arg;
-        if (no >= 0) {
-            l->rows[job->spec.id].at((size_t)no) = seen(&job->rows[no]);
-        } else if (!job->rows || record_job(l->r, job->spec.id) != job) {
-            l->rows.erase(job->spec.id);
+        Listener *listener = (Listener *)arg;
+        if (row_index >= 0) {
+            listener->rows[job->spec.id].at((size_t)row_index) = seen(&job->rows[row_index]);
+        } else if (!job->rows || record_job(listener->r, job->spec.id) != job) {
+            listener->rows.erase(job->spec.id);
         } else {
-            auto &list = l->rows[job->spec.id];
+            auto &list = listener->rows[job->spec.id];
             list.clear();
             for (int64_t i = 0; i < job->times * job->tasks; i++)
                 list.push_back(seen(&job->rows[i]));
@@ -72,7 +73,7 @@
         std::string incarnation = "life-" + std::to_string(pick(12));
         for (int64_t n = 1 + pick(3); n > 0; n--) {
             ModelJob *j = model.job(any_job());
-            if (!j || !j->rows_there)
+            if (!j || !j->has_rows)
                 continue;
             auto at = std::next(j->rows.begin(), pick((int64_t)j->rows.size()));
             auto [time, step, index] = at->first;
@@ -91,7 +92,7 @@
         std::vector<End> ends;
         for (int64_t n = 1 + pick(4); n > 0; n--) {
             ModelJob *j = model.job(any_job());
-            if (!j || !j->rows_there)
+            if (!j || !j->has_rows)
                 continue;
             auto at = std::next(j->rows.begin(), pick((int64_t)j->rows.size()));
             auto [time, step, index] = at->first;
@@ -122,16 +123,16 @@
     }
 };
 
-TEST(RecordModel, HoldsWhatTheModelHolds)
+TEST(RecordModel, MatchesModel)
 {
     std::map<int64_t, int64_t> states;
     for (uint64_t seed = 1; seed <= 4; seed++) {
         Trial trial(seed);
         Listener listener;
-        record one, other; // one: packed and restored; other: op by op
+        record one, other; // one: ops are packed, and snapshots restored; other: ops are applied one by one
         record_start(&one);
         record_start(&other);
-        one.changed = Listener::hear, one.arg = &listener, listener.r = &one;
+        one.changed = Listener::on_changed, one.arg = &listener, listener.r = &one;
         for (int round = 0; round < 1200; round++) {
             Batch b;
             for (int64_t n = 1 + trial.pick(3); n > 0; n--)
@@ -163,7 +164,7 @@
         record_end(&other);
     }
     for (int64_t state = JOB_PENDING; state <= JOB_CANCELLED; state++)
-        EXPECT_GT(states[state], 100) << "the trial hardly ever came to state " << state;
+        EXPECT_GT(states[state], 100) << "jobs were too rarely in state " << state;
 }
 
 } // namespace
--- a/tests/unit/record_patch_test.cc
+++ b/tests/unit/record_patch_test.cc
@@ -1,4 +1,4 @@
-// Patches of the configuration in the record: in force once, acknowledged again, never in part.
+// Patches of the configuration in the record: applied once and as a whole, and acknowledged again if resent.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -10,7 +10,7 @@
 namespace
 {
 
-// A patch here is the name of the queue that it adds; "!" does not fit.
+// In these tests a patch is the name of the queue that it adds; "!" is invalid.
 enum sagehitch_error patch_of_test(config *to, const bytes *current, const bytes *patch,
                                    struct validation_error *validation_error)
 {
@@ -47,7 +47,7 @@
 
 } // namespace
 
-TEST_F(RecordPatch, IsInForceAsAWholeConfiguration)
+TEST_F(RecordPatch, IsAppliedAsWholeConfiguration)
 {
     ASSERT_EQ(patch(1, 5, "q5"), 0);
     EXPECT_EQ(r.config.version, 5);
@@ -56,11 +56,11 @@
     EXPECT_GE(record_queue(&r, "q5"), 0);
 }
 
-TEST_F(RecordPatch, IsAcknowledgedAgainAlsoBehindOthersAndAfterASnapshot)
+TEST_F(RecordPatch, ResentIsAcknowledgedAfterLaterChangesAndSnapshot)
 {
     ASSERT_EQ(patch(1, 5, "q5"), 0);
-    EXPECT_EQ(patch(1, 5, "q5"), 0) << "sent again";
-    EXPECT_EQ(raw(), "one+q5") << "and taken once";
+    EXPECT_EQ(patch(1, 5, "q5"), 0) << "resent";
+    EXPECT_EQ(raw(), "one+q5") << "applied once";
     ASSERT_EQ(patch(5, 6, "q6"), 0);
     EXPECT_EQ(patch(1, 5, "q5"), 0);
     bytes stored = {};
@@ -71,25 +71,25 @@
     EXPECT_EQ(raw(), "one+q5+q6");
 }
 
-TEST_F(RecordPatch, OneOfTwoOnTheSameVersionWins)
+TEST_F(RecordPatch, FirstOfTwoWithSameBaseWins)
 {
     ASSERT_EQ(patch(1, 5, "q5"), 0);
     EXPECT_EQ(patch(1, 6, "q6"), ERROR_STALE);
-    EXPECT_EQ(patch(1, 5, "x5"), ERROR_STALE) << "another patch under the same number";
-    EXPECT_EQ(patch(4, 5, "q5"), ERROR_STALE) << "the same on another version";
+    EXPECT_EQ(patch(1, 5, "x5"), ERROR_STALE) << "another patch with the same version";
+    EXPECT_EQ(patch(4, 5, "q5"), ERROR_STALE) << "the same patch with another base";
     Batch put;
     put.conf(3000, 1, 5, {{"a", 2}}, "q5");
-    EXPECT_EQ(record_apply(&r, &put.batch.ops[0]), ERROR_STALE) << "a whole configuration of the same text";
+    EXPECT_EQ(record_apply(&r, &put.batch.ops[0]), ERROR_STALE) << "a whole configuration with the same text";
     EXPECT_EQ(raw(), "one+q5");
 }
 
-TEST_F(RecordPatch, ThatDoesNotFitChangesNothing)
+TEST_F(RecordPatch, InvalidChangesNothing)
 {
     EXPECT_EQ(patch(1, 5, "!"), ERROR_BAD_FIELD);
     EXPECT_EQ(patch(1, 0, "q0"), ERROR_BAD_FIELD) << "no version";
     EXPECT_EQ(raw(), "one");
     EXPECT_EQ(r.config_history.n, 1);
-    ASSERT_EQ(patch(1, 5, "q5"), 0) << "the number is free still";
+    ASSERT_EQ(patch(1, 5, "q5"), 0) << "the version is still unused";
     r.patch_config = nullptr;
     EXPECT_EQ(patch(5, 6, "q6"), ERROR_BAD_METHOD);
 }
--- a/tests/unit/record_test.cc
+++ b/tests/unit/record_test.cc
@@ -1,4 +1,4 @@
-// The record of jobs: single rules of its ops.
+// The record: single rules of its ops.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,14 +14,17 @@
 
 struct Record : testing::Test {
     struct record r = {};
-    std::vector<std::pair<int64_t, int64_t>> told; // job, row
+    std::vector<std::pair<int64_t, int64_t>> notified; // calls of changed: job id, row index
     int64_t now = 1000;
 
-    static void hear(void *arg, struct job *job, int64_t no) { ((Record *)arg)->told.emplace_back(job->spec.id, no); }
+    static void on_changed(void *arg, struct job *job, int64_t row_index)
+    {
+        ((Record *)arg)->notified.emplace_back(job->spec.id, row_index);
+    }
     void SetUp() override
     {
         record_start(&r);
-        r.changed = hear;
+        r.changed = on_changed;
         r.arg = this;
         ASSERT_EQ(config(0, 3, {{"a", 2}, {"b", 0}}, "three"), 0);
     }
@@ -58,15 +61,15 @@
         return with([&](Batch &b) { b.forget(now, {id}); });
     }
     struct job *job(int64_t id) { return record_job(&r, id); }
-    bool told_of(int64_t id, int64_t no)
+    bool was_notified(int64_t id, int64_t row_index)
     {
-        return std::find(told.begin(), told.end(), std::make_pair(id, no)) != told.end();
+        return std::find(notified.begin(), notified.end(), std::make_pair(id, row_index)) != notified.end();
     }
 };
 
-TEST_F(Record, ConfigIsTakenOnceAndOnItsBase)
+TEST_F(Record, ConfigIsAppliedOnceAndOnlyOnItsBase)
 {
-    EXPECT_EQ(config(0, 3, {{"a", 2}, {"b", 0}}, "three"), 0); // sent again
+    EXPECT_EQ(config(0, 3, {{"a", 2}, {"b", 0}}, "three"), 0); // resent
     EXPECT_EQ(config(0, 3, {{"a", 2}}, "other"), ERROR_STALE);
     EXPECT_EQ(config(0, 5, {{"a", 2}}, "five"), ERROR_STALE);
     EXPECT_EQ(config(3, 2, {{"a", 2}}, "two"), ERROR_STALE);
@@ -78,15 +81,15 @@
     EXPECT_STREQ(r.queues[1].config.name, "b");
     EXPECT_EQ(r.queues[1].live, 1);
     EXPECT_EQ(add(2, two, "b"), ERROR_NO_SUCH);
-    EXPECT_EQ(add(1, two, "b"), 0); // sent again, its queue gone since
+    EXPECT_EQ(add(1, two, "b"), 0); // resent after its queue was removed
     EXPECT_EQ(config(5, 6, {{"b", 1}}, "six"), 0);
     EXPECT_FALSE(r.queues[1].removed);
     EXPECT_TRUE(r.queues[0].removed);
     EXPECT_EQ(add(2, two, "b"), 0);
 }
 
-// The answer to an order may be lost and others be taken on top of it: sent again it is acknowledged.
-TEST_F(Record, ConfigSentAgainBehindOthersIsAcknowledged)
+// The response to a change may be lost, and later changes applied after it. If it is resent, it is acknowledged.
+TEST_F(Record, ConfigResentAfterLaterChangesIsAcknowledged)
 {
     EXPECT_EQ(config(3, 5, {{"a", 5}}, "five"), 0);
     EXPECT_EQ(config(5, 9, {{"a", 9}}, "nine"), 0);
@@ -94,18 +97,19 @@
     EXPECT_EQ(config(3, 5, {{"a", 5}}, "five"), 0);
     EXPECT_EQ(config(0, 3, {{"a", 2}, {"b", 0}}, "three"), 0);
     EXPECT_EQ(config(5, 9, {{"a", 9}}, "nine"), 0);
-    EXPECT_EQ(snapshot_of(&r), before) << "and changes nothing";
+    EXPECT_EQ(snapshot_of(&r), before) << "resent changes must have no effect";
     EXPECT_EQ(r.config.version, 9);
-    EXPECT_EQ(config(3, 5, {{"a", 5}}, "fife"), ERROR_STALE) << "another body under its number";
+    EXPECT_EQ(config(3, 5, {{"a", 5}}, "fife"), ERROR_STALE) << "another body with the same version";
     EXPECT_EQ(config(0, 5, {{"a", 5}}, "five"), ERROR_STALE) << "another base";
-    EXPECT_EQ(config(3, 4, {{"a", 5}}, "four"), ERROR_STALE) << "lost the race, as all is remembered";
+    EXPECT_EQ(config(3, 4, {{"a", 5}}, "four"), ERROR_STALE)
+        << "another change of this base was first, as the history shows";
     EXPECT_EQ(config(3, 7, {{"a", 5}}, "seven"), ERROR_STALE);
     EXPECT_EQ(config(5, 10, {{"a", 5}}, "ten"), ERROR_STALE);
 }
 
-// As many queues as 4 MiB hold; a second one drops half of them. Voters take it in a moment, well below
-// what a leader may be silent: 3 s even for a machine that is twenty times slower.
-TEST_F(Record, AConfigurationOfManyQueuesIsTakenInAMoment)
+// A configuration of 4 MiB with 20000 queues, and a second one that removes half of them. Applying them must take much
+// less time than a leader may be silent; the limit of 3 s allows for a machine that is twenty times slower.
+TEST_F(Record, ConfigWithManyQueuesIsAppliedQuickly)
 {
     std::vector<Queue> all, half;
     for (int i = 0; i < 20000; i++) {
@@ -121,12 +125,12 @@
     EXPECT_EQ(r.n_queues, 20002);
     EXPECT_TRUE(r.queues[record_queue(&r, "queue-4")].removed);
     EXPECT_FALSE(r.queues[record_queue(&r, "queue-5")].removed);
-    EXPECT_EQ(config(3, 5, all, raw), 0) << "sent again";
+    EXPECT_EQ(config(3, 5, all, raw), 0) << "resent";
     all[9].name = all[8].name;
     EXPECT_EQ(config(7, 8, all, raw), ERROR_BAD_FIELD);
 }
 
-TEST_F(Record, TwoOrdersUnderOneNumber)
+TEST_F(Record, TwoConfigsWithSameVersion)
 {
     EXPECT_EQ(config(3, 5, {{"a", 5}}, "mine"), 0);
     EXPECT_EQ(config(3, 5, {{"a", 5}}, "your"), ERROR_STALE);
@@ -136,7 +140,7 @@
     EXPECT_EQ(config(3, 5, {{"a", 5}}, "mine"), 0);
 }
 
-TEST_F(Record, ConfigOlderThanAllRememberedGetsNoClearAnswer)
+TEST_F(Record, ConfigOlderThanHistoryIsAnsweredGaveUp)
 {
     auto version = [](int64_t n) { return 3 + 2 * n; };
     auto change = [&](int64_t n) {
@@ -144,17 +148,17 @@
     };
     for (int64_t n = 1; n < CHANGES_REMEMBERED; n++)
         ASSERT_EQ(change(n), 0);
-    EXPECT_EQ(config(0, 3, {{"a", 2}, {"b", 0}}, "three"), 0) << "none is dropped yet";
+    EXPECT_EQ(config(0, 3, {{"a", 2}, {"b", 0}}, "three"), 0) << "the history still has all changes";
     EXPECT_EQ(config(0, 2, {{"a", 2}}, "two"), ERROR_STALE);
     ASSERT_EQ(change(CHANGES_REMEMBERED), 0);
     ASSERT_EQ(change(CHANGES_REMEMBERED + 1), 0);
     EXPECT_EQ(config(0, 3, {{"a", 2}, {"b", 0}}, "three"), ERROR_GAVE_UP);
     EXPECT_EQ(config(0, 2, {{"a", 2}}, "two"), ERROR_GAVE_UP);
     EXPECT_EQ(change(1), ERROR_GAVE_UP);
-    EXPECT_EQ(change(2), 0) << "the oldest remembered";
+    EXPECT_EQ(change(2), 0) << "the oldest change in the history";
     EXPECT_EQ(config(version(1), version(2), {{"a", 2}}, "other"), ERROR_STALE);
     EXPECT_EQ(config(version(2), version(2) + 1, {{"a", 2}}, "other"), ERROR_STALE);
-    // the same from a snapshot
+    // the same after restoring a snapshot
     struct record other = {};
     record_start(&other);
     std::string packed = snapshot_of(&r);
@@ -168,11 +172,11 @@
     EXPECT_EQ(change(2), 0);
     EXPECT_EQ(change(CHANGES_REMEMBERED + 1), 0);
     EXPECT_EQ(config(version(2), version(2) + 1, {{"a", 2}}, "other"), ERROR_STALE);
-    EXPECT_LT(packed.size(), 16u << 10) << "bytes of a snapshot that holds a full history";
+    EXPECT_LT(packed.size(), 16u << 10) << "size of a snapshot with a full history";
     record_end(&other);
 }
 
-TEST_F(Record, JobSentAgainIsOneJob)
+TEST_F(Record, ResentJobIsOneJob)
 {
     EXPECT_EQ(add(-5, two), 0);
     EXPECT_EQ(add(-5, two), 0);
@@ -191,7 +195,7 @@
     EXPECT_EQ(forget(-5), ERROR_GONE);
 }
 
-TEST_F(Record, StepsWaitAndTheJobIsDone)
+TEST_F(Record, StepsWaitForDependenciesAndJobEndsAsDone)
 {
     add(1, two);
     EXPECT_EQ(place({{1, task_of(0, 1, 0), 1}}), ERROR_STALE);
@@ -206,10 +210,10 @@
     EXPECT_EQ(job(1)->n_done, 1);
     EXPECT_EQ(job(1)->waiting[0], 1);
     now = 2000;
-    EXPECT_EQ(end({{1, 1, 1, END_DONE, ""}}), 0); // it was done after all
-    EXPECT_TRUE(job_step_begins(job(1), 0, 1));
+    EXPECT_EQ(end({{1, 1, 1, END_DONE, ""}}), 0); // the stopped attempt was done after all
+    EXPECT_TRUE(job_step_is_ready(job(1), 0, 1));
     EXPECT_EQ(place({{1, task_of(0, 1, 0), 1}}), 0);
-    told.clear();
+    notified.clear();
     EXPECT_EQ(end({{1, task_of(0, 1, 0), 1, END_DONE, ""}}), 0);
     EXPECT_EQ(job(1)->state, JOB_DONE);
     EXPECT_EQ(job(1)->ended_ms, 2000);
@@ -217,49 +221,49 @@
     EXPECT_EQ(r.oldest, nullptr);
     EXPECT_EQ(r.n_live, 0);
     EXPECT_EQ(r.incarnations[0].placed, 0);
-    EXPECT_EQ(told, (std::vector<std::pair<int64_t, int64_t>>{{1, 2}, {1, -1}}));
+    EXPECT_EQ(notified, (std::vector<std::pair<int64_t, int64_t>>{{1, 2}, {1, -1}}));
 }
 
-TEST_F(Record, OneEndAsDoneCountsForTheGang)
+TEST_F(Record, OneMemberDoneEndsTheGang)
 {
     add(1, gang);
-    EXPECT_EQ(place({{1, 0, 1}, {1, 1, 1}, {1, 2, 0}}), ERROR_STALE); // all of it or none
+    EXPECT_EQ(place({{1, 0, 1}, {1, 1, 1}, {1, 2, 0}}), ERROR_STALE); // a gang is placed as a whole or not at all
     EXPECT_EQ(place({{1, 0, 1}, {1, 1, 1}, {1, 1, 1}, {1, 2, 1}}), ERROR_STALE);
     EXPECT_EQ(job(1)->n_placed, 0);
     EXPECT_EQ(place({{1, 0, 1}, {1, 1, 1}, {1, 2, 1}}), 0);
     EXPECT_EQ(end({{1, 2, 1, END_BROKEN, ""}}), 0);
-    told.clear();
+    notified.clear();
     EXPECT_EQ(end({{1, 1, 1, END_DONE, ""}}), 0);
     EXPECT_EQ(job(1)->n_done, 3);
     EXPECT_EQ(job(1)->n_placed, 0);
     EXPECT_EQ(r.incarnations[0].placed, 0);
-    EXPECT_EQ(told.size(), 3u);
-    EXPECT_TRUE(job_step_begins(job(1), 0, 1));
+    EXPECT_EQ(notified.size(), 3u);
+    EXPECT_TRUE(job_step_is_ready(job(1), 0, 1));
     EXPECT_EQ(end({{1, 0, 1, END_FAILED, ""}}), ERROR_STALE);
 }
 
-TEST_F(Record, GangFailsOnceAnAttempt)
+TEST_F(Record, GangFailureCountsOncePerAttempt)
 {
     add(1, gang);
     place({{1, 0, 1}, {1, 1, 1}, {1, 2, 1}});
     EXPECT_EQ(end({{1, 0, 1, END_FAILED, "s1"}, {1, 1, 1, END_FAILED, ""}}), 0);
-    for (int no = 0; no < 3; no++) {
-        EXPECT_EQ(job(1)->rows[no].failures, 1);
-        EXPECT_STREQ(job(1)->rows[no].saved, "s1");
+    for (int row_index = 0; row_index < 3; row_index++) {
+        EXPECT_EQ(job(1)->rows[row_index].failures, 1);
+        EXPECT_STREQ(job(1)->rows[row_index].saved, "s1");
     }
     EXPECT_EQ(job(1)->rows[2].state, ROW_PLACED);
     EXPECT_EQ(job(1)->rows[3].failures, 0);
     EXPECT_EQ(end({{1, 2, 1, END_BROKEN, "s2"}}), 0);
     EXPECT_STREQ(job(1)->rows[0].saved, "s2");
     place({{1, 0, 2}, {1, 1, 2}, {1, 2, 2}});
-    told.clear();
+    notified.clear();
     now = 3000;
     EXPECT_EQ(end({{1, 1, 2, END_FAILED, ""}}), 0);
     EXPECT_EQ(job(1)->state, JOB_FAILED);
     EXPECT_EQ(job(1)->ended_ms, 3000);
-    EXPECT_TRUE(told_of(1, -1));
+    EXPECT_TRUE(was_notified(1, -1));
     EXPECT_EQ(job(1)->rows[1].state, ROW_FAILED);
-    EXPECT_EQ(r.incarnations[0].placed, 2); // these are there still
+    EXPECT_EQ(r.incarnations[0].placed, 2); // the other members are still placed
     EXPECT_EQ(r.n_live, 1);
     EXPECT_EQ(forget(1), ERROR_GONE);
     EXPECT_EQ(end({{1, 0, 2, END_DONE, ""}}), 0);
@@ -270,7 +274,7 @@
     EXPECT_EQ(job(1)->ended_ms, 3000);
 }
 
-TEST_F(Record, CancelKeepsWhatIsPlaced)
+TEST_F(Record, CancelledJobKeepsPlacedRows)
 {
     add(1, two);
     add(2, two);
@@ -281,16 +285,16 @@
     EXPECT_EQ(r.incarnations[0].placed, 1);
     EXPECT_EQ(place({{1, 1, 1}}), ERROR_STALE);
     EXPECT_EQ(cancel(1), 0);
-    told.clear();
+    notified.clear();
     EXPECT_EQ(end({{1, 0, 1, END_STOPPED, ""}}), 0);
-    EXPECT_EQ(told, (std::vector<std::pair<int64_t, int64_t>>{{1, 0}, {1, -1}}));
+    EXPECT_EQ(notified, (std::vector<std::pair<int64_t, int64_t>>{{1, 0}, {1, -1}}));
     EXPECT_EQ(job(1)->rows, nullptr);
     EXPECT_EQ(job(1)->state, JOB_CANCELLED);
     EXPECT_EQ(r.oldest, job(2));
     EXPECT_EQ(r.queues[0].live, 1);
 }
 
-TEST_F(Record, LastingTasksGoOnUntilCancelled)
+TEST_F(Record, LongRunningTasksContinueUntilCancelled)
 {
     add(1, {{{2, {}, false, true}}, 0}, "b");
     for (int attempt = 1; attempt < 6; attempt++) {
@@ -304,7 +308,7 @@
     EXPECT_STREQ(job(1)->rows[0].saved, "kept");
 }
 
-TEST_F(Record, NoAttemptsMaxCountsAsOne)
+TEST_F(Record, AttemptsMaxZeroCountsAsOne)
 {
     add(1, two, "b");
     place({{1, 0, 1}});
@@ -313,17 +317,17 @@
     EXPECT_EQ(job(1)->rows, nullptr);
 }
 
-TEST_F(Record, TimesAreRunsOfTheirOwn)
+TEST_F(Record, RepetitionsAreIndependent)
 {
     add(1, {{{2, {}}, {3, {0}}}, 3});
     struct job *j = job(1);
     EXPECT_EQ(j->times, 3);
     EXPECT_EQ(job_due_ms(j, 2), 5200);
-    for (int64_t no = 0; no < 15; no++) {
+    for (int64_t row_index = 0; row_index < 15; row_index++) {
         int64_t time, step, index;
-        job_place(j, no, &time, &step, &index);
-        EXPECT_EQ(no, time * 5 + (step ? 2 : 0) + index);
-        EXPECT_EQ(job_row(j, job_task(j, no)), no);
+        job_place(j, row_index, &time, &step, &index);
+        EXPECT_EQ(row_index, time * 5 + (step ? 2 : 0) + index);
+        EXPECT_EQ(job_row(j, job_task(j, row_index)), row_index);
     }
     EXPECT_EQ(job_row(j, task_of(3, 0, 0)), -1);
     EXPECT_EQ(job_row(j, task_of(0, 2, 0)), -1);
@@ -331,11 +335,11 @@
     EXPECT_EQ(job_row(j, -1), -1);
     place({{1, task_of(1, 0, 0), 1}, {1, task_of(1, 0, 1), 1}});
     end({{1, task_of(1, 0, 0), 1, END_DONE, ""}, {1, task_of(1, 0, 1), 1, END_DONE, ""}});
-    EXPECT_TRUE(job_step_begins(j, 1, 1));
-    EXPECT_FALSE(job_step_begins(j, 0, 1));
+    EXPECT_TRUE(job_step_is_ready(j, 1, 1));
+    EXPECT_FALSE(job_step_is_ready(j, 0, 1));
 }
 
-TEST_F(Record, LivesWithNothingOnThemAreUsedAgain)
+TEST_F(Record, IncarnationsWithoutRowsAreReused)
 {
     add(1, two);
     place({{1, 0, 1}}, "x");
@@ -350,7 +354,7 @@
     EXPECT_EQ(job(1)->rows[0].incarnation, 0);
 }
 
-TEST_F(Record, CutDigestIsRefused)
+TEST_F(Record, TruncatedSnapshotIsRefused)
 {
     add(1, gang);
     add(2, two);
