--- a/src/dispatch/plan_victims.c
+++ b/src/dispatch/plan_victims.c
@@ -7,7 +7,7 @@
 enum {
     CHECKPOINT_LOSS_DIVISOR = 4,     /* a step that saves checkpoints loses this fraction of its work */
     LONG_RUNNING_LOSS_FACTOR = 1000, /* for rows of long-running steps */
-    CORES_PER_GPU = 8,               /* the loss of a GPU counts as that of so many cores */
+    CORES_PER_GPU = 8,               /* the loss of a GPU counts as that of this many cores */
     ENTRIES_TRIED_MAX = 8            /* blocked entries tried in one call */
 };
 
--- a/tests/unit/leader_rig.h
+++ b/tests/unit/leader_rig.h
@@ -231,7 +231,7 @@
     }
 
     // --- time
-    void turn()
+    void tick()
     {
         dispatch_on_timer(dispatch);
         auto_commit ? settle() : dispatch_flush(dispatch);
@@ -244,7 +244,7 @@
             for (Executor &e : executors)
                 if (e.up && now % 100 == 0)
                     report(e);
-            turn();
+            tick();
         }
     }
 
--- a/tests/unit/leader_steps_test.cc
+++ b/tests/unit/leader_steps_test.cc
@@ -36,7 +36,7 @@
     {
         e.end({id, task_of(0, 0, index), 1}, END_DONE);
         rig.report(e);
-        rig.turn();
+        rig.tick();
     }
     // Kinds of the ops of the newest proposed entry.
     std::vector<int64_t> kinds() const
@@ -79,7 +79,7 @@
     EXPECT_EQ(rig.starts({1, task_of(0, 1, 0), 1}, mark), 0) << "nothing is committed yet";
     rig.commit_next();
     EXPECT_EQ(j->rows[1].state, ROW_PLACED);
-    rig.turn();
+    rig.tick();
     EXPECT_EQ(rig.starts({1, task_of(0, 1, 0), 1}, mark), 1);
 }
 
@@ -90,7 +90,7 @@
     end(e, 1, 0);
     EXPECT_EQ(kinds(), (std::vector<int64_t>{OP_END}));
     rig.commit_next();
-    rig.turn();
+    rig.tick();
     EXPECT_TRUE(rig.log.empty());
     end(e, 1, 1);
     EXPECT_EQ(kinds(), (std::vector<int64_t>{OP_END, OP_PLACE}));
@@ -102,14 +102,14 @@
     job *j = chain(1, 2);
     end(e, 1, 0);
     rig.commit_next(false);
-    rig.turn();
+    rig.tick();
     while (!rig.log.empty())
         rig.drop_next();
-    rig.turn();
+    rig.tick();
     end(e, 1, 1); // the report repeats the first end
     ASSERT_FALSE(rig.log.empty());
     rig.commit_next(false);
-    rig.turn();
+    rig.tick();
     EXPECT_EQ(j->waiting[1], 1);
     EXPECT_EQ(step_ends_pending(rig.dispatch, j, 0), rig.log.empty() ? 0 : 2);
 }
@@ -131,7 +131,7 @@
     end(e, 1, 0);
     EXPECT_EQ(kinds(), (std::vector<int64_t>{OP_END}));
     rig.commit_next();
-    rig.turn();
+    rig.tick();
     EXPECT_EQ(kinds(), (std::vector<int64_t>{OP_PLACE}));
 }
 
--- a/tests/unit/leader_test.cc
+++ b/tests/unit/leader_test.cc
@@ -24,7 +24,7 @@
     EXPECT_TRUE(rig.answers[request].empty());
     e.end({1, 0, 1}, END_DONE);
     rig.report(e);
-    rig.turn();
+    rig.tick();
     EXPECT_TRUE(rig.answers[request].empty()) << "the end is not committed yet";
     rig.commit_next();
     dispatch_flush(rig.dispatch);
@@ -106,7 +106,7 @@
     for (int64_t task = 0; task < 2; task++) {
         e.end({1, task, 1}, END_DONE);
         rig.report(e);
-        rig.turn();
+        rig.tick();
     }
     ASSERT_EQ(rig.log.size(), 2u);
     rig.run(300);
@@ -130,7 +130,7 @@
     for (int64_t task = 0; task < 2; task++) {
         e.end({1, task, 1}, END_DONE);
         rig.report(e);
-        rig.turn();
+        rig.tick();
     }
     rig.drop_next();
     rig.commit_next();
@@ -180,7 +180,7 @@
     rig.auto_commit = false;
     e.end({1, 0, 1}, END_DONE);
     rig.report(e);
-    rig.turn();
+    rig.tick();
     ASSERT_EQ(rig.log.size(), 1u);
     ASSERT_GE(rig.log[0]->find(OP_END), 0);
     rig.run(260); // a planning round runs every 250 ms at the latest
@@ -197,7 +197,7 @@
     dispatch_flush(rig.dispatch); // the job is accepted by the batch before that of the end
     e.end({1, 0, 1}, END_DONE);
     rig.report(e);
-    rig.turn();
+    rig.tick();
     rig.commit_next();
     dispatch_flush(rig.dispatch);
     ASSERT_EQ(rig.log.size(), 2u);
@@ -215,11 +215,11 @@
         rig.auto_commit = false;
         e.end({1, 0, 1}, END_DONE);
         rig.report(e);
-        rig.turn();
+        rig.tick();
         lost ? rig.drop_next() : rig.commit_next(false);
         e.up = false; // it does not report the end again
         rig.request_job(2, NORMAL, {Rig::step(1, 1000)});
-        rig.turn();
+        rig.tick();
         rig.commit_next();
         rig.run(300);
         EXPECT_TRUE(rig.log.empty()) << "the capacity was used twice, lost " << lost;
@@ -238,7 +238,7 @@
     rig.auto_commit = false;
     e.ended.push_back({{1, 1, 1}, {1, END_STOPPED}});
     rig.report(e);
-    rig.turn();
+    rig.tick();
     rig.commit_next();
     ASSERT_EQ(j->n_placed, 2);
     rig.new_leader();
--- a/tests/unit/plan_order_test.cc
+++ b/tests/unit/plan_order_test.cc
@@ -6,12 +6,12 @@
 
 struct PlanOrder : testing::Test {
     Site t;
-    std::vector<int64_t> keep;
+    std::vector<int64_t> headroom;
     void TearDown() override { t.drop(); }
     void round()
     {
         plan_input in = t.input();
-        in.headroom_cpu_milli = keep.data();
+        in.headroom_cpu_milli = headroom.data();
         plan_make(&in, &t.p);
     }
     // The jobs in the order in which they are placed on the only executor, which has capacity for one.
@@ -103,7 +103,7 @@
     {
         t.candidate_add(10000);
         urgent = t.queue(0), patient = t.queue(4, target_ms);
-        keep = {0, 2500};
+        headroom = {0, 2500};
         job *taken = t.add(urgent, {Site::step(1, taken_cpu)});
         t.round();
         t.commit();
@@ -127,7 +127,7 @@
     job *j = t.add(patient, {s});
     round();
     EXPECT_EQ(t.placed_of(j), 0);
-    keep[1] = 2000;
+    headroom[1] = 2000;
     round();
     EXPECT_EQ(t.placed_of(j), 2);
 }
@@ -156,7 +156,7 @@
 TEST_F(Headroom, DoesNotApplyWhileHalfOfServiceIsFree)
 {
     begin(4900);
-    keep[1] = 5000;
+    headroom[1] = 5000;
     job *j = t.add(patient, {Site::step(2, 1000)});
     round();
     EXPECT_EQ(t.placed_of(j), 2);
--- a/tests/unit/record_model.h
+++ b/tests/unit/record_model.h
@@ -28,7 +28,7 @@
     std::string queue;
     bool has_rows = true;
     std::map<Position, ModelRow> rows;
-    std::set<std::tuple<int64_t, int64_t, int64_t>> failed_once; // gangs: repetition, step, attempt
+    std::set<std::tuple<int64_t, int64_t, int64_t>> failed_attempts; // gangs: repetition, step, attempt
     bool over() const { return state >= JOB_DONE; }
 };
 
@@ -64,7 +64,7 @@
                     return false;
         return true;
     }
-    void settle(ModelJob &j, int64_t now)
+    void update_state(ModelJob &j, int64_t now)
     {
         bool done = true, placed = false;
         for (auto &[at, row] : j.rows)
@@ -102,7 +102,7 @@
     {
         ModelJob *j = job(id);
         if (j && !j->over())
-            j->state = JOB_CANCELLED, j->ended_ms = now, settle(*j, now);
+            j->state = JOB_CANCELLED, j->ended_ms = now, update_state(*j, now);
     }
     void place(const std::string &incarnation, const std::vector<run_ref> &runs, int64_t now)
     {
@@ -129,7 +129,10 @@
                 job(run.job)->state = JOB_ACTIVE;
         }
     }
-    static void leave(ModelRow &r, int state, int64_t now) { r.state = state, r.incarnation = "", r.since_ms = now; }
+    static void transition(ModelRow &r, int state, int64_t now)
+    {
+        r.state = state, r.incarnation = "", r.since_ms = now;
+    }
     void end(const End &e, int64_t now)
     {
         ModelRow *r = row(e.job, e.task);
@@ -143,32 +146,32 @@
                 group.push_back(&other);
         if (j.over()) {
             if (r->state == ROW_PLACED)
-                leave(*r, ROW_WAITING, now), settle(j, now);
+                transition(*r, ROW_WAITING, now), update_state(j, now);
             return;
         }
         if (e.how == END_DONE && !s.lasting) {
             if (r->state != ROW_PLACED && !(r->state == ROW_WAITING && ready(j, e.task)))
                 return;
             for (ModelRow *g : group)
-                leave(*g, ROW_DONE, now), g->saved = "";
-            settle(j, now);
+                transition(*g, ROW_DONE, now), g->saved = "";
+            update_state(j, now);
             return;
         }
         if (r->state != ROW_PLACED)
             return;
-        leave(*r, ROW_WAITING, now);
+        transition(*r, ROW_WAITING, now);
         for (ModelRow *g : group)
             if (!e.saved.empty())
                 g->saved = e.saved;
         if (e.how != END_FAILED || s.lasting ||
-            (s.gang && !j.failed_once.insert({task_time(e.task), task_step(e.task), e.attempt}).second))
+            (s.gang && !j.failed_attempts.insert({task_time(e.task), task_step(e.task), e.attempt}).second))
             return;
         for (ModelRow *g : group)
             g->failures++;
         if (r->failures >= std::max<int64_t>(1, attempts_max[j.queue])) {
-            leave(*r, ROW_FAILED, now);
+            transition(*r, ROW_FAILED, now);
             j.state = JOB_FAILED, j.ended_ms = now;
-            settle(j, now);
+            update_state(j, now);
         }
     }
     void forget(int64_t id)
--- a/tests/unit/record_model_test.cc
+++ b/tests/unit/record_model_test.cc
@@ -39,12 +39,12 @@
     }
 };
 
-struct Trial {
+struct RandomOps {
     std::mt19937_64 random;
     Model model;
     int64_t now = 10000;
 
-    explicit Trial(uint64_t seed) : random(seed) {}
+    explicit RandomOps(uint64_t seed) : random(seed) {}
     int64_t pick(int64_t n) { return (int64_t)(random() % (uint64_t)n); }
     int64_t any_job() { return pick(40) - 3; }
 
@@ -127,7 +127,7 @@
 {
     std::map<int64_t, int64_t> states;
     for (uint64_t seed = 1; seed <= 4; seed++) {
-        Trial trial(seed);
+        RandomOps random_ops(seed);
         Listener listener;
         record one, other; // one: ops are packed, and snapshots restored; other: ops are applied one by one
         record_start(&one);
@@ -135,8 +135,8 @@
         one.changed = Listener::on_changed, one.arg = &listener, listener.r = &one;
         for (int round = 0; round < 1200; round++) {
             Batch b;
-            for (int64_t n = 1 + trial.pick(3); n > 0; n--)
-                trial.some_op(b);
+            for (int64_t n = 1 + random_ops.pick(3); n > 0; n--)
+                random_ops.some_op(b);
             bytes packed = {};
             schema_pack(&record_batch_schema, &b.batch, &packed);
             record_result result = {};
@@ -146,7 +146,7 @@
             for (int64_t i = 0; i < b.batch.n; i++)
                 ASSERT_EQ(record_apply(&other, &b.batch.ops[i]), result.errors[i]);
             schema_free(&record_result_schema, &result);
-            ASSERT_NO_FATAL_FAILURE(trial.model.compare(&one)) << "seed " << seed << " round " << round;
+            ASSERT_NO_FATAL_FAILURE(random_ops.model.compare(&one)) << "seed " << seed << " round " << round;
             ASSERT_NO_FATAL_FAILURE(listener.compare()) << "seed " << seed << " round " << round;
             if (round % 50 == 7) {
                 std::string snapshot = snapshot_of(&one);
@@ -155,9 +155,9 @@
                 ASSERT_EQ(record_restore(&one, &from), 0);
                 ASSERT_EQ(one.arg, &listener);
                 ASSERT_EQ(snapshot_of(&one), snapshot);
-                ASSERT_NO_FATAL_FAILURE(trial.model.compare(&one));
+                ASSERT_NO_FATAL_FAILURE(random_ops.model.compare(&one));
             }
-            for (auto &[id, j] : trial.model.jobs)
+            for (auto &[id, j] : random_ops.model.jobs)
                 states[j.state]++;
         }
         record_end(&one);
--- a/tests/unit/record_test.cc
+++ b/tests/unit/record_test.cc
@@ -30,7 +30,7 @@
     }
     void TearDown() override { record_end(&r); }
 
-    template <class F> int with(F fill)
+    template <class F> int apply(F fill)
     {
         Batch b;
         fill(b);
@@ -38,27 +38,27 @@
     }
     int config(int64_t base, int64_t version, const std::vector<Queue> &queues, const std::string &raw)
     {
-        return with([&](Batch &b) { b.conf(now, base, version, queues, raw); });
+        return apply([&](Batch &b) { b.conf(now, base, version, queues, raw); });
     }
     int add(int64_t id, const Spec &spec, const std::string &queue = "a", const std::string &text = "text")
     {
-        return with([&](Batch &b) { b.job(now, id, spec, queue, text); });
+        return apply([&](Batch &b) { b.job(now, id, spec, queue, text); });
     }
     int cancel(int64_t id)
     {
-        return with([&](Batch &b) { b.cancel(now, id); });
+        return apply([&](Batch &b) { b.cancel(now, id); });
     }
     int place(const std::vector<run_ref> &runs, const std::string &incarnation = "life-1")
     {
-        return with([&](Batch &b) { b.place(now, incarnation, 7, runs); });
+        return apply([&](Batch &b) { b.place(now, incarnation, 7, runs); });
     }
     int end(const std::vector<End> &ends)
     {
-        return with([&](Batch &b) { b.end(now, ends); });
+        return apply([&](Batch &b) { b.end(now, ends); });
     }
     int forget(int64_t id)
     {
-        return with([&](Batch &b) { b.forget(now, {id}); });
+        return apply([&](Batch &b) { b.forget(now, {id}); });
     }
     struct job *job(int64_t id) { return record_job(&r, id); }
     bool was_notified(int64_t id, int64_t row_index)
