--- a/src/agent/agent_works.c
+++ b/src/agent/agent_work_items.c
@@ -73,7 +73,7 @@
     if (number <= work->answered_no || !whole)
         return 0;
     if (work->state == WORK_CHECK)
-        agent_work_refused(agent, work, REFUSED_OLD);
+        agent_work_refused(agent, work, REFUSED_OUTDATED);
     if (work->state == WORK_STOPPED) {
         work->state = WORK_ABSENT;
         agent->report_due = 1;
@@ -110,7 +110,7 @@
     if (work->doubt)
         agent_work_stop(work, now);
     else
-        agent_work_refused(agent, work, REFUSED_ROOM);
+        agent_work_refused(agent, work, REFUSED_NO_CAPACITY);
 }
 
 void agent_works_step(struct agent *agent, int64_t now)
@@ -127,7 +127,7 @@
 
 static struct work *work_add(struct agent *agent, int64_t job, int64_t task, int64_t attempt, int64_t now)
 {
-    struct work *work = list_more(agent->works, agent->n_works);
+    struct work *work = array_add(agent->works, agent->n_works);
     work->start = (struct run_start){.job = job, .task = task, .attempt = attempt};
     work->doubt = agent_inherits(agent, now);
     work->due_ms = now;
@@ -183,7 +183,7 @@
     work_supersede(agent, start, now);
     struct work *work = work_add(agent, start->job, start->task, start->attempt, now);
     work->start.text = must_dup(start->text);
-    work->start.saved = must_dup(start->saved);
+    work->start.checkpoint = must_dup(start->checkpoint);
     work_withdraw(agent, work, now);
 }
 
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -63,8 +63,8 @@
         record_end(&fresh);
         return rc;
     }
-    if (c->dispatch && dispatch_leads(c->dispatch))
-        dispatch_follow(c->dispatch); /* its belief points into the record */
+    if (c->dispatch && dispatch_is_leader(c->dispatch))
+        dispatch_become_follower(c->dispatch); /* its belief points into the record */
     record_swap(&c->record, &fresh);
     return ERROR_NONE;
 }
@@ -92,10 +92,10 @@
     controller_send(arg, agent, FRAME_ORDERS, &agent_orders_schema, orders);
 }
 
-static int leads(void *arg)
+static int holds_lease(void *arg)
 {
     struct controller *c = arg;
-    return c->votes && log_leads(&c->log);
+    return c->votes && log_has_lease(&c->log);
 }
 
 static void confirmed(void *arg, int64_t tag, int error, const struct bytes *unused)
@@ -128,15 +128,19 @@
     log_election_reset(&c->log);
     int rc = log_load(&c->log);
     if (!rc && !controller_empty(c))
-        c->log.votes_from_ms = world_ms(c->w) + ELECTION_MS;
+        c->log.no_vote_before_ms = world_ms(c->w) + ELECTION_MS;
     return rc;
 }
 
 struct controller *controller_new(struct world *w, const struct controller_setup *setup)
 {
     struct controller *c = must_alloc(sizeof *c);
-    const struct dispatch_calls calls = {
-        .propose = propose, .answer = answer, .orders = orders, .leads = leads, .barrier = barrier, .arg = c};
+    const struct dispatch_calls calls = {.propose = propose,
+                                         .answer = answer,
+                                         .orders = orders,
+                                         .holds_lease = holds_lease,
+                                         .barrier = barrier,
+                                         .arg = c};
     int rc = ERROR_NONE;
     c->w = w;
     c->setup = *setup;
@@ -146,7 +150,7 @@
     record_start(&c->record);
     c->record.patch_config = setup->codec->patch_config;
     directory_start(&c->directory, w, c->cluster, NULL, 0, 1, setup->disk, setup->boot);
-    controller_reread(c, setup->seeds, setup->n_seeds);
+    controller_set_seeds(c, setup->seeds, setup->n_seeds);
     if (c->votes && !(rc = log_identity(w, c->cluster, &c->id)))
         rc = open_log(c);
     if (!rc)
@@ -184,12 +188,12 @@
 
 int controller_empty(const struct controller *c) { return !c->log.members.n && !log_last(&c->log) && !c->log.term; }
 
-void controller_reread(struct controller *c, const int64_t *seeds, int64_t n_seeds)
+void controller_set_seeds(struct controller *c, const int64_t *seeds, int64_t n_seeds)
 {
     c->n_seeds = 0;
     for (int64_t i = 0; i < n_seeds && i < COUNT_OF(c->seeds); i++)
         c->seeds[c->n_seeds++] = seeds[i];
-    directory_seeds(&c->directory, c->seeds, c->n_seeds);
+    directory_set_seeds(&c->directory, c->seeds, c->n_seeds);
 }
 
 /* After a disk error: reads the log again as after a restart, when only what was synced counts. Until then nothing is
@@ -205,8 +209,8 @@
         return;
     c->broken_ms = now_ms;
     log_on_timer(&c->log); /* fails pending proposals and reads */
-    if (dispatch_leads(c->dispatch))
-        dispatch_follow(c->dispatch);
+    if (dispatch_is_leader(c->dispatch))
+        dispatch_become_follower(c->dispatch);
     log_end(&c->log);
     record_clear(&c->record);
     if (open_log(c))
@@ -216,27 +220,27 @@
 }
 
 /* Starts or stops dispatch, and tells the directory, as the role in the log has changed. */
-static void follow_log(struct controller *c)
+static void apply_log_role(struct controller *c)
 {
     struct log *log = &c->log;
     int fit = log->role == LOG_LEADER && !log->broken;
-    if (!fit && dispatch_leads(c->dispatch))
-        dispatch_follow(c->dispatch);
+    if (!fit && dispatch_is_leader(c->dispatch))
+        dispatch_become_follower(c->dispatch);
     /* all that former leaders committed is in the record once an entry of the own term is committed */
-    if (fit && !dispatch_leads(c->dispatch) && log_term_at(log, log->commit) == log->term)
-        dispatch_lead(c->dispatch, log->term);
-    if (fit && log_leads(log))
-        directory_learn(&c->directory, log->term, (int64_t)c->w->self);
+    if (fit && !dispatch_is_leader(c->dispatch) && log_term_at(log, log->commit) == log->term)
+        dispatch_become_leader(c->dispatch, log->term);
+    if (fit && log_has_lease(log))
+        directory_learn_leader(&c->directory, log->term, (int64_t)c->w->self);
     else if (c->directory.leader == (int64_t)c->w->self)
-        directory_doubt(&c->directory);
+        directory_suspect_leader(&c->directory);
     if (!fit && log->leader_addr && log->leader_addr != (int64_t)c->w->self && log->heard_leader_ms &&
         world_ms(c->w) - log->heard_leader_ms < 2LL * HEARTBEAT_MS)
-        directory_learn(&c->directory, log->term, log->leader_addr);
+        directory_learn_leader(&c->directory, log->term, log->leader_addr);
 }
 
 /* A voter that leaves lets the others be elected first; but not for longer than one election takes: it may hold
  * entries that they lack, and then none of them can be elected without it standing for election itself. */
-static void let_others_lead(struct controller *c)
+static void defer_election(struct controller *c)
 {
     struct log *log = &c->log;
     int64_t now_ms = world_ms(c->w), since_ms = c->leave_ms;
@@ -254,7 +258,7 @@
     struct log *log = &c->log;
     int64_t now_ms = world_ms(c->w);
     if (log->role == LOG_LEADER && log->handed_over_ms && now_ms - log->handed_over_ms > HAND_OVER_MS)
-        log_follow(log, log->term, 0);
+        log_become_follower(log, log->term, 0);
     if (!c->leaving)
         return;
     if (!c->leave_waits && now_ms - c->leave_ms >= SERVE_ON_MS && !leaving_may_end(c)) {
@@ -262,12 +266,12 @@
         world_note(c->w, EV_LEAVE_WAITS, "log=%s commit=%lld", log->name, (long long)log->commit);
     }
     int in_haste = now_ms - c->leave_ms >= c->setup.grace_ms - 1000 - HAND_OVER_MS;
-    if (log->role == LOG_LEADER && !log->handed_over_ms && now_ms >= c->hand_over_ms &&
+    if (log->role == LOG_LEADER && !log->handed_over_ms && now_ms >= c->next_hand_over_ms &&
         leaving_may_hand_over(c, in_haste)) {
-        c->hand_over_ms = now_ms + 2LL * HEARTBEAT_MS;
+        c->next_hand_over_ms = now_ms + 2LL * HEARTBEAT_MS;
         log_hand_over(log);
     } else if (log->role == LOG_FOLLOWER) {
-        let_others_lead(c);
+        defer_election(c);
     }
 }
 
@@ -277,7 +281,7 @@
         log_on_timer(&c->log);
         reopen_log(c);
         leave_on_timer(c);
-        follow_log(c);
+        apply_log_role(c);
     }
     if (!c->log.broken)
         bootstrap_on_timer(c);
@@ -293,7 +297,7 @@
 
 void controller_flush(struct controller *c)
 {
-    if (dispatch_leads(c->dispatch))
+    if (dispatch_is_leader(c->dispatch))
         dispatch_flush(c->dispatch);
     if (c->votes)
         log_flush(&c->log);
@@ -302,7 +306,7 @@
 static void take_report(struct controller *c, const struct frame *frame)
 {
     struct agent_report report = {0};
-    if (dispatch_leads(c->dispatch) && !schema_unpack(&agent_report_schema, &report, frame->body, frame->len))
+    if (dispatch_is_leader(c->dispatch) && !schema_unpack(&agent_report_schema, &report, frame->body, frame->len))
         dispatch_report(c->dispatch, (int64_t)frame->from, &report);
     schema_free(&agent_report_schema, &report);
 }
@@ -319,7 +323,7 @@
 {
     struct leaving message = {0};
     if (c->votes && !c->log.broken && !schema_unpack(&leaving_schema, &message, frame->body, frame->len))
-        leaving_take(c, (int64_t)frame->from, &message);
+        leaving_on_message(c, (int64_t)frame->from, &message);
     schema_free(&leaving_schema, &message);
 }
 
@@ -327,25 +331,25 @@
 {
     if (!c->votes || c->log.broken)
         return ERROR_NONE;
-    int rc = log_take(&c->log, frame);
-    follow_log(c);
+    int rc = log_on_frame(&c->log, frame);
+    apply_log_role(c);
     return rc;
 }
 
-void controller_take(struct controller *c, const uint8_t *at, int64_t len)
+void controller_on_frame(struct controller *c, const uint8_t *at, int64_t len)
 {
     struct frame frame;
     int rc = frame_parse(&frame, at, len, c->cluster);
-    if (!rc && !directory_take(&c->directory, &frame)) {
-        if (frame_of_log(frame.kind))
+    if (!rc && !directory_on_frame(&c->directory, &frame)) {
+        if (frame_is_for_log(frame.kind))
             rc = take_log(c, &frame);
         else if (frame.kind == FRAME_JOIN)
             take_join(c, &frame);
         else if (frame.kind == FRAME_LEAVING)
             take_leaving(c, &frame);
-        else if (frame.kind == FRAME_COLLECT || frame.kind == FRAME_FOUNDERS || frame.kind == FRAME_BALLOT ||
+        else if (frame.kind == FRAME_COLLECT || frame.kind == FRAME_BOOTSTRAP_MEMBERS || frame.kind == FRAME_BALLOT ||
                  frame.kind == FRAME_BALLOT_REPLY)
-            bootstrap_take(c, &frame);
+            bootstrap_on_frame(c, &frame);
         else if (frame.kind == FRAME_REQUEST || frame.kind == FRAME_RESPONSE)
             relay_take(c, &frame);
         else if (frame.kind == FRAME_REPORT)
@@ -381,7 +385,7 @@
 
 const struct record *controller_record(const struct controller *c) { return &c->record; }
 
-int controller_leads(const struct controller *c) { return dispatch_leads(c->dispatch); }
+int controller_leads(const struct controller *c) { return dispatch_is_leader(c->dispatch); }
 
 static uint64_t list_hash(const struct log_members *list)
 {
--- a/src/dispatch/job.h
+++ b/src/dispatch/job.h
@@ -18,7 +18,7 @@
     int64_t gang;         /* either all its tasks run at the same time or none does */
     int64_t same_rack;    /* the gang should run in one rack */
     int64_t duplicates;   /* two attempts may run at once; the first one to end counts */
-    int64_t lasting;      /* its tasks run until the job is cancelled */
+    int64_t long_running; /* its tasks run until the job is cancelled */
     int64_t per_executor; /* limit of its tasks on one executor; 0: none */
     char *label;          /* label that the executor must have; NULL: none */
     char *rack;           /* preferred rack, where its data are; NULL: any */
@@ -51,8 +51,8 @@
 /* A service: the kind of executors that run the jobs of a queue. */
 struct service_config {
     char *name;
-    char *health_path; /* HTTP path on its executors, NULL: none */
-    int64_t guards;    /* 1: its executors refuse starts that do not fit */
+    char *health_path;       /* HTTP path on its executors, NULL: none */
+    int64_t checks_capacity; /* 1: its executors refuse starts that do not fit */
 };
 /* One version of the whole configuration. raw: the bytes that the operator sent, which reads return. */
 struct config {
@@ -81,7 +81,7 @@
 enum sagehitch_error config_check(const struct config *config, struct validation_error *validation_error);
 /* The number of tasks in one repetition; the number of repetitions. */
 int64_t job_spec_tasks(const struct job_spec *spec);
-int64_t job_spec_times(const struct job_spec *spec);
+int64_t job_spec_repetitions(const struct job_spec *spec);
 /* The index of the queue with this host (case is ignored) and the longest prefix of path; -1: none. */
 int64_t config_route(const struct config *config, const char *host, const char *path);
 #endif
--- a/src/dispatch/leader.h
+++ b/src/dispatch/leader.h
@@ -11,12 +11,12 @@
 
 /* Settings of a deployment, in milliseconds unless the name says otherwise. */
 struct dispatch_settings {
-    int64_t lease_ms;        /* length of the lease under which an agent's executor runs tasks */
-    int64_t gang_timeout_ms; /* an executor ends a gang member that has waited this long for the other members */
-    int64_t early_ms;        /* how long before its due time a repetition may start */
-    int64_t shown_ms;        /* how long a job's state can be read after the job ended */
-    int64_t restore_ms;      /* how long a run that resumes from a checkpoint may report no progress */
-    int64_t far_pct;         /* duration of a task outside the rack of its data, in percent of that inside it */
+    int64_t lease_ms;         /* length of the lease under which an agent's executor runs tasks */
+    int64_t gang_timeout_ms;  /* an executor ends a gang member that has waited this long for the other members */
+    int64_t early_ms;         /* how long before its due time a repetition may start */
+    int64_t job_retention_ms; /* how long a job's state can be read after the job ended */
+    int64_t restore_ms;       /* how long a run that resumes from a checkpoint may report no progress */
+    int64_t remote_data_pct;  /* duration of a task outside the rack of its data, in percent of that inside it */
 };
 
 /* What dispatch needs from the controller around it. Messages are borrowed for the call only. */
@@ -29,7 +29,7 @@
     /* Sends orders to the agent at this address. */
     void (*orders)(void *arg, int64_t agent, const struct agent_orders *orders);
     /* Whether this process holds the leader's lease now. Leases are granted to agents only while it does. */
-    int (*leads)(void *arg);
+    int (*holds_lease)(void *arg);
     /* Starts a read barrier, which confirms leadership with a majority; the controller then calls
      * dispatch_barrier(tag). */
     void (*barrier)(void *arg, int64_t tag);
@@ -46,11 +46,11 @@
 void dispatch_settings_set(struct dispatch *dispatch, const struct dispatch_settings *settings);
 /* Starts to lead under epoch. Every entry committed under a lower epoch must be applied to the record, and no leader
  * of a lower epoch may be able to commit any more. */
-void dispatch_lead(struct dispatch *dispatch, int64_t epoch);
+void dispatch_become_leader(struct dispatch *dispatch, int64_t epoch);
 /* Stops leading: frees all volatile state and answers waiting requests with ERROR_NOT_LEADER. */
-void dispatch_follow(struct dispatch *dispatch);
-/* Whether dispatch leads: dispatch_lead() was called, and dispatch_follow() was not called since. */
-int dispatch_leads(const struct dispatch *dispatch);
+void dispatch_become_follower(struct dispatch *dispatch);
+/* Whether dispatch leads: dispatch_become_leader() was called, and dispatch_become_follower() was not called since. */
+int dispatch_is_leader(const struct dispatch *dispatch);
 /* Checks leases, stalled runs and the time of day. Must be called on each timer tick, on followers too. */
 void dispatch_on_timer(struct dispatch *dispatch);
 /* Runs a planning round if one is needed, sends orders and proposes the open batch. Must be called once per iteration
--- a/src/dispatch/leader_executor_views.c
+++ b/src/dispatch/leader_executor_views.c
@@ -15,8 +15,8 @@
     if (*at)
         return *at;
     struct executor_view *view = *at = must_alloc(sizeof *view);
-    *view = (struct executor_view){.agent = agent, .slow_pct = 100};
-    *list_more(dispatch->executor_views, dispatch->n_executor_views) = view;
+    *view = (struct executor_view){.agent = agent, .duration_pct = 100};
+    *array_add(dispatch->executor_views, dispatch->n_executor_views) = view;
     return view;
 }
 
@@ -107,7 +107,7 @@
             view->newest_seq = ended->seq;
         if (!run) {
             if (!ended->seq)
-                *list_more(view->absent_runs, view->n_absent_runs) = ref;
+                *array_add(view->absent_runs, view->n_absent_runs) = ref;
             continue;
         }
         run->end_seq = ended->seq;
@@ -117,7 +117,7 @@
             step_learn_duration(dispatch, view, run);
         if (ended->how == END_DONE || ended->how == END_FAILED)
             executor_view_count_outcome(dispatch, view, ended->how == END_FAILED, 1);
-        run_end(dispatch, run, ended->how, ended->saved);
+        run_end(dispatch, run, ended->how, ended->checkpoint);
     }
 }
 
@@ -130,7 +130,7 @@
         struct run_ref ref = {.job = active->job, .task = active->task, .attempt = active->attempt};
         struct run *run = run_find(dispatch, incarnation, &ref);
         if (!run) {
-            *list_more(view->orphan_runs, view->n_orphan_runs) = ref;
+            *array_add(view->orphan_runs, view->n_orphan_runs) = ref;
             continue;
         }
         if (!run->started_ms)
@@ -152,13 +152,13 @@
         struct run_ref ref = {.job = refused->job, .task = refused->task, .attempt = refused->attempt};
         struct run *run = run_find(dispatch, incarnation, &ref);
         if (!run) {
-            *list_more(view->absent_runs, view->n_absent_runs) = ref;
+            *array_add(view->absent_runs, view->n_absent_runs) = ref;
             continue;
         }
         run->acknowledged = 1;
         if (!run->refused) {
             run->refused = 1;
-            executor_view_count_outcome(dispatch, view, refused->reason == REFUSED_SICK, 2);
+            executor_view_count_outcome(dispatch, view, refused->reason == REFUSED_UNAVAILABLE, 2);
         }
         /* an earlier call for this start that got no response may still be carried out, so the run must be stopped */
         run_stop(dispatch, run);
@@ -174,11 +174,11 @@
         if (incarnation >= 0 && dispatch->record->incarnations[incarnation].agent == view->agent)
             incarnation_lapse_runs(dispatch, incarnation, INT64_MAX);
         else
-            *list_more(view->lost_incarnations, view->n_lost_incarnations) = must_dup(report->lost_incarnations[i]);
+            *array_add(view->lost_incarnations, view->n_lost_incarnations) = must_dup(report->lost_incarnations[i]);
     }
     /* the executor is silent, and every lease that was sent to it has expired */
-    int leases_expired =
-        report->present && report->epoch == dispatch->epoch && report->executor.silent_ms && !report->executor.over_ms;
+    int leases_expired = report->present && report->epoch == dispatch->epoch && report->executor.silent_ms &&
+                         !report->executor.lease_left_ms;
     int64_t silent_incarnation = leases_expired ? incarnation_find(dispatch, report->executor.incarnation) : -1;
     if (silent_incarnation >= 0 && dispatch->record->incarnations[silent_incarnation].agent == view->agent)
         incarnation_lapse_runs(dispatch, silent_incarnation, report->orders_taken);
@@ -228,7 +228,7 @@
     if (new_incarnation) {
         reservations_recompute(dispatch, view, report->present ? report->executor.incarnation : NULL);
         view->committed_seq = view->newest_seq = 0;
-        view->slow_pct = 100;
+        view->duration_pct = 100;
         view->failure_pct = view->quarantine_until_ms = 0;
         dispatch->plan_needed = 1;
     }
--- a/src/dispatch/leader_place.c
+++ b/src/dispatch/leader_place.c
@@ -38,7 +38,7 @@
                                .gpus_free = executor->gpus - view->gpus_reserved,
                                .open = executor_view_accepts_work(dispatch, view),
                                .departs_ms = executor->departure_ms > 0 ? now_ms + executor->departure_ms : INT64_MAX,
-                               .slow_pct = view->slow_pct,
+                               .duration_pct = view->duration_pct,
                                .failures = view->failure_pct / 30};
         if (incarnation < 0 || incarnation >= dispatch->n_incarnation_states)
             continue;
@@ -105,11 +105,11 @@
 {
     const struct step_spec *spec = &placement->job->spec.steps[placement->step];
     struct place_op *op = place_op_of(dispatch, candidate, from_op);
-    *list_more(op->runs, op->n_runs) = (struct run_ref){.job = placement->job->spec.id,
+    *array_add(op->runs, op->n_runs) = (struct run_ref){.job = placement->job->spec.id,
                                                         .task = job_task(placement->job, placement->row_index),
                                                         .attempt = placement->attempt};
     struct reservation *reservation =
-        list_more(dispatch->open_batch->reservations, dispatch->open_batch->n_reservations);
+        array_add(dispatch->open_batch->reservations, dispatch->open_batch->n_reservations);
     *reservation = (struct reservation){.job = placement->job,
                                         .row_index = placement->row_index,
                                         .agent = candidate->agent,
@@ -157,8 +157,8 @@
                                .now_ms = now_ms,
                                .wall_ms = wall_ms,
                                .early_ms = dispatch->settings.early_ms,
-                               .far_pct = dispatch->settings.far_pct,
-                               .most = PLACEMENTS_MAX,
+                               .remote_data_pct = dispatch->settings.remote_data_pct,
+                               .max_placements = PLACEMENTS_MAX,
                                .headroom_cpu_milli = dispatch->headroom_cpu_milli,
                                .busy = is_busy,
                                .ends_pending = ends_pending,
@@ -166,7 +166,8 @@
     plan_make(&input, plan);
     int64_t from_op = dispatch->open_batch ? dispatch->open_batch->ops.n : 0;
     for (int64_t i = 0; i < plan->n; i++)
-        placement_propose(dispatch, &plan->places[i], &dispatch->candidates[plan->places[i].candidate], from_op);
+        placement_propose(dispatch, &plan->placements[i], &dispatch->candidates[plan->placements[i].candidate],
+                          from_op);
     preempt(dispatch, &input, now_ms);
     dispatch->next_plan_ms = now_ms + 250;
     if (plan->next_due_ms != INT64_MAX && plan->next_due_ms - wall_ms < 250)
--- a/src/dispatch/leader_requests.c
+++ b/src/dispatch/leader_requests.c
@@ -11,7 +11,7 @@
 
 static void waiter_add(struct dispatch *dispatch, int64_t ticket, int64_t kind)
 {
-    *list_more(dispatch->open_batch->waiters, dispatch->open_batch->n_waiters) =
+    *array_add(dispatch->open_batch->waiters, dispatch->open_batch->n_waiters) =
         (struct waiter){.ticket = ticket, .kind = kind, .op = dispatch->open_batch->ops.n - 1};
 }
 
@@ -24,7 +24,7 @@
     int64_t route = config->version ? config_route(config, request->host, request->path) : -1;
     if (route >= 0)
         return &config->queues[route];
-    dispatch_answer(dispatch, ticket, request->kind, config->version ? ERROR_NO_SUCH : ERROR_UNAVAILABLE,
+    dispatch_answer(dispatch, ticket, request->kind, config->version ? ERROR_NOT_FOUND : ERROR_UNAVAILABLE,
                     "no queue for this host and path");
     return NULL;
 }
@@ -45,7 +45,7 @@
 /* The queue of a request about a job; NULL: the request was answered with an error. already_accepted: the same request
  * was accepted before. A job of a removed queue can still be reached by its path if that path belongs to another queue
  * now. If the path belongs to no queue, the request is not carried out; a request that was accepted before is then
- * answered with ERROR_GAVE_UP, since a refusal would say that it had not been accepted. */
+ * answered with ERROR_OUTCOME_UNKNOWN, since a refusal would say that it had not been accepted. */
 static const struct queue_config *requested_job_queue(struct dispatch *dispatch, int64_t ticket,
                                                       const struct api_request *request, const struct job *job,
                                                       int already_accepted)
@@ -56,7 +56,7 @@
         return removed;
     if (!removed || !already_accepted)
         return requested_queue(dispatch, ticket, request);
-    dispatch_answer(dispatch, ticket, request->kind, ERROR_GAVE_UP, "accepted before its queue was removed");
+    dispatch_answer(dispatch, ticket, request->kind, ERROR_OUTCOME_UNKNOWN, "accepted before its queue was removed");
     return NULL;
 }
 
@@ -174,17 +174,18 @@
     bytes_printf(&text, "job %016llx queue %s state %lld placed %lld done %lld of %lld\n",
                  (unsigned long long)job->spec.id, dispatch->record->queues[job->queue].config.name,
                  (long long)job->state, (long long)job->n_placed, (long long)job->n_done,
-                 (long long)job->tasks * job->times);
-    for (int64_t i = 0; job->rows && i < job->tasks * job->times && i < 200; i++) {
+                 (long long)job->tasks * job->repetitions);
+    for (int64_t i = 0; job->rows && i < job->tasks * job->repetitions && i < 200; i++) {
         const struct row *row = &job->rows[i];
         const struct run *run = run_of_row(dispatch, job, i);
-        int64_t time, step, index;
-        job_place(job, i, &time, &step, &index);
-        bytes_printf(&text, "time %lld step %lld task %lld %s attempt %d failures %d%s%s%s\n", (long long)time,
+        int64_t repetition, step, index;
+        job_row_position(job, i, &repetition, &step, &index);
+        bytes_printf(&text, "time %lld step %lld task %lld %s attempt %d failures %d%s%s%s\n", (long long)repetition,
                      (long long)step, (long long)index, row_names[row->state], row->attempt, row->failures,
                      row->state == ROW_PLACED ? " on " : "",
                      row->state == ROW_PLACED ? dispatch->record->incarnations[row->incarnation].name : "",
-                     row->state == ROW_WAITING && !job_step_is_ready(job, time, step) ? " (steps before it)" : "");
+                     row->state == ROW_WAITING && !job_step_is_ready(job, repetition, step) ? " (steps before it)"
+                                                                                            : "");
         if (run)
             bytes_printf(&text, "  percent %lld seen %lld ms ago%s%s\n", (long long)run->percent,
                          (long long)(run->seen_ms ? world_ms(dispatch->world) - run->seen_ms : -1),
@@ -235,7 +236,7 @@
 {
     const struct job *job =
         request->kind == REQUEST_STATE ? record_job(dispatch->record, api_request_job_id(request)) : NULL;
-    return job && !job_over(job) && job->n_placed && job->n_done + job->n_placed == job->tasks * job->times;
+    return job && !job_over(job) && job->n_placed && job->n_done + job->n_placed == job->tasks * job->repetitions;
 }
 
 static struct pending_read *pending_read_new(struct dispatch *dispatch, int64_t ticket,
@@ -268,7 +269,7 @@
         if (!pending_read || !pending_read->until_ms ||
             (now_ms < pending_read->until_ms && may_end_soon(dispatch, &pending_read->request)))
             continue;
-        if (dispatch->calls.leads(dispatch->calls.arg))
+        if (dispatch->calls.holds_lease(dispatch->calls.arg))
             pending_read_answer(dispatch, tag, ERROR_NONE);
         else if (now_ms >= pending_read->until_ms)
             pending_read_answer(dispatch, tag, ERROR_NOT_LEADER);
@@ -293,11 +294,11 @@
     case REQUEST_WHY:
     case REQUEST_RULES_GET:
     case REQUEST_RULES_JOB: break;
-    default: dispatch_answer(dispatch, ticket, request->kind, ERROR_NO_SUCH, NULL); return;
+    default: dispatch_answer(dispatch, ticket, request->kind, ERROR_NOT_FOUND, NULL); return;
     }
     int64_t tag;
     /* while this leader holds its lease, no other process can have committed anything */
-    if (!dispatch->calls.leads(dispatch->calls.arg)) {
+    if (!dispatch->calls.holds_lease(dispatch->calls.arg)) {
         pending_read_new(dispatch, ticket, request, &tag);
         dispatch->calls.barrier(dispatch->calls.arg, tag);
     } else if (may_end_soon(dispatch, request)) {
--- a/src/dispatch/leader_state.h
+++ b/src/dispatch/leader_state.h
@@ -60,7 +60,7 @@
     struct executor_state executor;
     int64_t cpu_reserved, memory_reserved, gpus_reserved;
     int64_t dirty;               /* orders must be sent at the next flush */
-    int64_t slow_pct;            /* mean duration of its runs in percent of the duration on other executors */
+    int64_t duration_pct;        /* mean duration of its runs in percent of the duration on other executors */
     int64_t failure_pct;         /* mean share of runs that failed, stalled or were refused */
     int64_t quarantine_until_ms; /* the executor gets no new work before this time, steady clock; 0: none */
     char **lost_incarnations;    /* reported as lost, to be acknowledged: nothing is placed on them */
@@ -172,7 +172,7 @@
 /* Index of the incarnation of this name, -1: nothing is placed on it. */
 int64_t incarnation_find(const struct dispatch *dispatch, const char *name);
 /* Proposes the end of a run; how: enum run_end; saved: its newest checkpoint or NULL. */
-void run_end(struct dispatch *dispatch, struct run *run, int64_t how, const char *saved);
+void run_end(struct dispatch *dispatch, struct run *run, int64_t how, const char *checkpoint);
 /* Marks a run to be stopped; the order is sent at the next flush. */
 void run_stop(struct dispatch *dispatch, struct run *run);
 /* Stops all runs of the gang that the row belongs to, if any. */
@@ -201,7 +201,7 @@
 int64_t executor_view_committed_seq(const struct dispatch *dispatch, struct executor_view *view, int64_t incarnation);
 
 /* leader_steps.c */
-/* Updates slow_pct of the executor after a run ended as DONE on it: the run is compared with other runs of the same
+/* Updates duration_pct of the executor after a run ended as DONE on it: the run is compared with other runs of the same
  * step, whose work is alike. Estimates are not used, because they may be far off. */
 void step_learn_duration(struct dispatch *dispatch, struct executor_view *view, const struct run *run);
 /* Counts a run whose end as DONE is being committed; undoes this once the end was committed or dropped. */
--- a/src/dispatch/leader_steps.c
+++ b/src/dispatch/leader_steps.c
@@ -17,8 +17,8 @@
 /* The step of a run; fills first with the index of the step's first row in the run's repetition. */
 static const struct step_spec *step_of_run(const struct run *run, int64_t *first)
 {
-    int64_t time, step, index;
-    job_place(run->job, run->row_index, &time, &step, &index);
+    int64_t repetition, step, index;
+    job_row_position(run->job, run->row_index, &repetition, &step, &index);
     *first = run->row_index - index;
     return &run->job->spec.steps[step];
 }
@@ -45,7 +45,8 @@
 {
     int64_t duration_ms = world_ms(dispatch->world) - run->placed_ms;
     int away = spec->rack && (!view->executor.rack || strcmp(spec->rack, view->executor.rack) != 0);
-    return away && dispatch->settings.far_pct > 100 ? duration_ms * 100 / dispatch->settings.far_pct : duration_ms;
+    return away && dispatch->settings.remote_data_pct > 100 ? duration_ms * 100 / dispatch->settings.remote_data_pct
+                                                            : duration_ms;
 }
 
 void step_learn_duration(struct dispatch *dispatch, struct executor_view *view, const struct run *run)
@@ -53,7 +54,7 @@
     int64_t first;
     const struct step_spec *spec = step_of_run(run, &first);
     int64_t duration_ms = run_duration_ms(dispatch, view, spec, run);
-    if (duration_ms <= 0 || spec->lasting || run->job->rows[run->row_index].saved || job_over(run->job))
+    if (duration_ms <= 0 || spec->long_running || run->job->rows[run->row_index].checkpoint || job_over(run->job))
         return;
     struct step_progress *progress = progress_of(dispatch, run->job, first);
     int64_t n = progress->n_ended++, mean_ms = n ? progress->ended_ms / n : 0;
@@ -65,9 +66,9 @@
         pct = DURATION_PCT_MAX;
     int64_t typical_pct = dispatch->typical_pct > TYPICAL_PCT_MIN ? dispatch->typical_pct : TYPICAL_PCT_MIN;
     dispatch->typical_pct += (pct - dispatch->typical_pct) / TYPICAL_SHARE;
-    view->slow_pct += (pct * 100 / typical_pct - view->slow_pct) / DURATION_SHARE;
-    if (view->slow_pct < DURATION_PCT_MIN)
-        view->slow_pct = DURATION_PCT_MIN;
+    view->duration_pct += (pct * 100 / typical_pct - view->duration_pct) / DURATION_SHARE;
+    if (view->duration_pct < DURATION_PCT_MIN)
+        view->duration_pct = DURATION_PCT_MIN;
 }
 
 void step_end_pending(struct dispatch *dispatch, struct run *run)
--- a/src/dispatch/leader_watch.c
+++ b/src/dispatch/leader_watch.c
@@ -46,8 +46,8 @@
 
 static const struct step_spec *spec_of(const struct run *run)
 {
-    int64_t time, step, index;
-    job_place(run->job, run->row_index, &time, &step, &index);
+    int64_t repetition, step, index;
+    job_row_position(run->job, run->row_index, &repetition, &step, &index);
     return &run->job->spec.steps[step];
 }
 
@@ -76,8 +76,9 @@
         return;
     }
     /* not for long-running steps, whose percent has no meaning, and only while the executor answers */
-    if (!spec->lasting && run->started_ms && !view->executor.silent_ms && now_ms - run->seen_ms < REPORT_MAX_AGE_MS &&
-        now_ms - run->percent_ms > stall_timeout_ms(dispatch) && run->percent >= 0) {
+    if (!spec->long_running && run->started_ms && !view->executor.silent_ms &&
+        now_ms - run->seen_ms < REPORT_MAX_AGE_MS && now_ms - run->percent_ms > stall_timeout_ms(dispatch) &&
+        run->percent >= 0) {
         executor_view_count_outcome(dispatch, view, 1, 2);
         run_stop(dispatch, run);
         run_gang_stop(dispatch, run->job, run->row_index);
@@ -124,11 +125,12 @@
     Pvoid_t *entry = JudyLFirst(dispatch->record->jobs, &id, PJE0);
     for (; entry; entry = JudyLNext(dispatch->record->jobs, &id, PJE0)) {
         const struct job *job = *entry;
-        if (!job_over(job) || job->rows || wall_ms - job->ended_ms < dispatch->settings.shown_ms + FORGET_DELAY_MS)
+        if (!job_over(job) || job->rows ||
+            wall_ms - job->ended_ms < dispatch->settings.job_retention_ms + FORGET_DELAY_MS)
             continue;
         if (!op)
             op = record_op_make_forget(dispatch_op(dispatch));
-        *list_more(op->jobs, op->n_jobs) = job->spec.id;
+        *array_add(op->jobs, op->n_jobs) = job->spec.id;
         if (op->n_jobs >= 500)
             return;
     }
--- a/src/dispatch/messages.h
+++ b/src/dispatch/messages.h
@@ -16,27 +16,27 @@
     END_STOPPED, /* stopped by an order */
     END_LAPSED,  /* its lease expired */
     END_BROKEN,
-    END_ALONE, /* a gang member that waited gang_timeout_ms for the other members */
-    END_ABSENT /* it never ran on the executor, and after a stop it never will */
+    END_GANG_TIMEOUT, /* a gang member that waited gang_timeout_ms for the other members */
+    END_NEVER_RAN     /* it never ran on the executor, and after a stop it never will */
 };
 /* Why an executor refused a start. */
 enum start_refusal {
-    REFUSED_NOT,
-    REFUSED_EPOCH, /* it knows a higher epoch */
-    REFUSED_OLD,   /* it knows a newer attempt */
-    REFUSED_LATE,  /* the call arrived too late */
-    REFUSED_ROOM,  /* it lacks the capacity */
-    REFUSED_BAD,   /* the request is invalid */
-    REFUSED_SICK   /* it is overloaded or unavailable */
+    REFUSED_NONE,
+    REFUSED_STALE_EPOCH, /* it knows a higher epoch */
+    REFUSED_OUTDATED,    /* it knows a newer attempt */
+    REFUSED_LATE,        /* the call arrived too late */
+    REFUSED_NO_CAPACITY, /* it lacks the capacity */
+    REFUSED_BAD_REQUEST, /* the request is invalid */
+    REFUSED_UNAVAILABLE  /* it is overloaded or unavailable */
 };
 
 /* A task of a job as one number: its repetition, its step and its index within the step. */
 enum { TASK_INDEX_BITS = 24, TASK_STEP_BITS = 8 };
-static inline int64_t task_of(int64_t time, int64_t step, int64_t index)
+static inline int64_t task_of(int64_t repetition, int64_t step, int64_t index)
 {
-    return (time << (TASK_INDEX_BITS + TASK_STEP_BITS)) | (step << TASK_INDEX_BITS) | index;
+    return (repetition << (TASK_INDEX_BITS + TASK_STEP_BITS)) | (step << TASK_INDEX_BITS) | index;
 }
-static inline int64_t task_time(int64_t task) { return task >> (TASK_INDEX_BITS + TASK_STEP_BITS); }
+static inline int64_t task_repetition(int64_t task) { return task >> (TASK_INDEX_BITS + TASK_STEP_BITS); }
 static inline int64_t task_step(int64_t task) { return (task >> TASK_INDEX_BITS) & ((1 << TASK_STEP_BITS) - 1); }
 static inline int64_t task_index(int64_t task) { return task & ((1 << TASK_INDEX_BITS) - 1); }
 
@@ -47,13 +47,13 @@
 /* A run that is executing. percent: its progress; saved: its newest checkpoint or NULL. */
 struct run_active {
     int64_t job, task, attempt, percent;
-    char *saved;
+    char *checkpoint;
 };
 /* A run that ended. seq: sequence number that the executor gave the end, increasing within an incarnation; 0 if the end
  * was found by the agent itself, because the run never ran; how: enum run_end; saved: its newest checkpoint or NULL. */
 struct run_ended {
     int64_t seq, job, task, attempt, how;
-    char *saved;
+    char *checkpoint;
 };
 /* A start that the executor refused. reason: enum start_refusal. */
 struct run_refused {
@@ -68,8 +68,8 @@
     int64_t cpu_milli, memory_mb, gpus; /* its total capacity */
     int64_t draining, departure_ms;     /* departure_ms: at least so long until it leaves; 0: unknown */
     int64_t warmup_ms;
-    int64_t silent_ms; /* time since it last answered a call; 0: it answers */
-    int64_t over_ms;   /* time until all runs on it have lapsed, unless their lease is renewed */
+    int64_t silent_ms;     /* time since it last answered a call; 0: it answers */
+    int64_t lease_left_ms; /* time until all runs on it have lapsed, unless their lease is renewed */
 };
 
 /* From the agent to the leader, every REPORT_MS and after each change. present 0: no incarnation is known.
@@ -95,7 +95,7 @@
 /* An order to start a run. text: that of the job; saved: the checkpoint to resume from, or NULL. */
 struct run_start {
     int64_t job, task, attempt;
-    char *text, *saved;
+    char *text, *checkpoint;
 };
 
 /* From the leader to the agent, in answer to each report and after each change.
@@ -105,8 +105,9 @@
     int64_t epoch, stamp_ms, lease_ms, leader;
     int64_t number; /* increases within an epoch; the agent drops orders with a lower number than it has followed */
     char *incarnation;
-    int64_t seen;       /* acknowledges ends up to this seq: they are committed */
-    int64_t pace_ms;    /* delay of the next poll after a poll with ends, so that one poll finds several; 0: default */
+    int64_t seen; /* acknowledges ends up to this seq: they are committed */
+    int64_t
+        poll_delay_ms;  /* delay of the next poll after a poll with ends, so that one poll finds several; 0: default */
     int64_t drain_seen; /* acknowledges that the executor drains: no further starts follow */
     struct run_start *starts;
     int64_t n_starts;
--- a/src/dispatch/plan.c
+++ b/src/dispatch/plan.c
@@ -15,13 +15,14 @@
                           int64_t candidate)
 {
     plan_take_capacity(plan->round, candidate, entry_step(entry));
-    plan->places = plan_array_reserve(plan->places, &plan->round->cap_places, plan->n + 1, sizeof *plan->places);
-    plan->places[plan->n++] = (struct placement){.job = entry->job,
-                                                 .time = entry->time,
-                                                 .step = entry->step,
-                                                 .row_index = row_index,
-                                                 .attempt = attempt,
-                                                 .candidate = candidate};
+    plan->placements =
+        plan_array_reserve(plan->placements, &plan->round->cap_places, plan->n + 1, sizeof *plan->placements);
+    plan->placements[plan->n++] = (struct placement){.job = entry->job,
+                                                     .repetition = entry->repetition,
+                                                     .step = entry->step,
+                                                     .row_index = row_index,
+                                                     .attempt = attempt,
+                                                     .candidate = candidate};
 }
 
 /* Places all members of a gang or none. All request the same, so capacity for task_count tasks in total is enough. */
@@ -71,7 +72,7 @@
 static void blocked_add(struct plan *plan, const struct plan_entry *entry, int64_t n)
 {
     struct plan_round *round = plan->round;
-    int64_t priority = JOB_RULED(round->in->record, entry->job, priority);
+    int64_t priority = JOB_EFFECTIVE_RULE(round->in->record, entry->job, priority);
     plan->blocked += n;
     plan->blocked_cpu_milli[entry->job->queue] += n * entry_step(entry)->cpu_milli;
     if (priority < plan->blocked_priority) {
@@ -106,11 +107,11 @@
 {
     struct plan_round *round = plan->round;
     const struct step_spec *step = entry_step(entry);
-    int64_t waiting = entry->job->waiting[entry->time * entry->job->spec.n_steps + entry->step];
-    int64_t limit = round->in->most - plan->n, n = 0;
+    int64_t waiting = entry->job->waiting[entry->repetition * entry->job->spec.n_steps + entry->step];
+    int64_t limit = round->in->max_placements - plan->n, n = 0;
     if (limit <= 0)
         return 0;
-    limit = turns_room(round, entry, limit);
+    limit = outlet_placement_limit(round, entry, limit);
     if (!limit)
         return 1;
     /* if it cannot fit, one row is enough to count the entry as blocked */
@@ -136,7 +137,7 @@
         }
         round->respect_reservations = 1;
     }
-    turns_placed(round, entry, n);
+    outlet_count_placed(round, entry, n);
     if (n < round->n_rows && n < limit)
         blocked_add(plan, entry, waiting - round->n_busy - n);
     return 1;
@@ -168,7 +169,7 @@
     if (plan->round)
         plan_round_free(plan->round);
     free(plan->round);
-    free(plan->places);
+    free(plan->placements);
     free(plan->blocked_cpu_milli);
-    *plan = (struct plan){.places = NULL};
+    *plan = (struct plan){.placements = NULL};
 }
--- a/src/dispatch/plan.h
+++ b/src/dispatch/plan.h
@@ -13,16 +13,16 @@
     int64_t n_labels;
     int64_t agent, incarnation_no; /* incarnation_no: index into record->incarnations, -1: none yet */
     int64_t cpu_milli, memory_mb, gpus, cpu_free, memory_free, gpus_free;
-    int64_t open;       /* accepts new work: ready, not draining, not quarantined */
-    int64_t departs_ms; /* when it will leave the cluster, steady clock; INT64_MAX: not planned */
-    int64_t slow_pct;   /* duration of tasks on it in percent of the duration on other executors */
-    int64_t failures;   /* recent failures and refusals, decayed; each makes it less preferred */
+    int64_t open;         /* accepts new work: ready, not draining, not quarantined */
+    int64_t departs_ms;   /* when it will leave the cluster, steady clock; INT64_MAX: not planned */
+    int64_t duration_pct; /* duration of tasks on it in percent of the duration on other executors */
+    int64_t failures;     /* recent failures and refusals, decayed; each makes it less preferred */
 };
 
 /* One task placed on a candidate; a gang has one placement for each member. candidate: index into the candidates. */
 struct placement {
     struct job *job;
-    int64_t time, step;
+    int64_t repetition, step;
     int64_t row_index; /* index of its row */
     int64_t attempt;
     int64_t candidate;
@@ -33,8 +33,8 @@
     struct candidate *candidates;
     int64_t n_candidates;
     int64_t now_ms, wall_ms, early_ms; /* steady clock; time of day; how long before its due time work may start */
-    int64_t far_pct; /* duration of a task outside the rack of its data, in percent of that inside it */
-    int64_t most;    /* limit of the placements in one round */
+    int64_t remote_data_pct; /* duration of a task outside the rack of its data, in percent of that inside it */
+    int64_t max_placements;  /* limit of the placements in one round */
     /* by queue: thousandths of a core of its service that the queue leaves free for more urgent queues, as long as its
      * own work has spare time; NULL: none */
     const int64_t *headroom_cpu_milli;
@@ -51,7 +51,7 @@
  * exceeds the whole limit is placed by a round that has placed nothing else. */
 struct plan {
     struct plan_round *round; /* internal */
-    struct placement *places;
+    struct placement *placements;
     int64_t n;
     int64_t next_due_ms;        /* time of day at which the next repetition may start; INT64_MAX: none */
     int64_t blocked;            /* number of blocked tasks: ready to start, but without free capacity */
--- a/src/dispatch/plan_round.c
+++ b/src/dispatch/plan_round.c
@@ -83,24 +83,26 @@
         }
         longest = chain_ms[s] > longest ? chain_ms[s] : longest;
     }
-    int64_t target_ms = longest * JOB_RULED(record, job, stretch_pct) / 100 + JOB_RULED(record, job, target_ms);
+    int64_t target_ms =
+        longest * JOB_EFFECTIVE_RULE(record, job, stretch_pct) / 100 + JOB_EFFECTIVE_RULE(record, job, target_ms);
     return target_ms > 0 ? target_ms : 1;
 }
 
-static void entry_add(struct plan_round *round, struct job *job, int64_t time, int64_t step, int64_t target_ms,
+static void entry_add(struct plan_round *round, struct job *job, int64_t repetition, int64_t step, int64_t target_ms,
                       int64_t step_chain_ms)
 {
     const struct record *record = round->in->record;
-    int64_t due_ms = job_due_ms(job, time), wall_ms = round->in->wall_ms;
+    int64_t due_ms = job_due_ms(job, repetition), wall_ms = round->in->wall_ms;
     int64_t since_ms = due_ms > job->accepted_ms ? due_ms : job->accepted_ms;
-    int64_t priority = JOB_RULED(record, job, priority);
+    int64_t priority = JOB_EFFECTIVE_RULE(record, job, priority);
     round->entries =
         plan_array_reserve(round->entries, &round->cap_entries, round->n_entries + 1, sizeof *round->entries);
     struct plan_entry *entry = &round->entries[round->n_entries++];
-    *entry = (struct plan_entry){.job = job, .time = time, .step = step, .service = round->queue_service[job->queue]};
-    if (job->spec.steps[step].lasting) {
+    *entry = (struct plan_entry){
+        .job = job, .repetition = repetition, .step = step, .service = round->queue_service[job->queue]};
+    if (job->spec.steps[step].long_running) {
         /* a long-running job counts by the time it runs, however old it is, so only the current wait matters */
-        int64_t first = time * job->tasks + job->first[step];
+        int64_t first = repetition * job->tasks + job->first[step];
         for (int64_t row_index = first; row_index < first + job->spec.steps[step].task_count; row_index++)
             if (job->rows[row_index].state == ROW_WAITING) {
                 since_ms = job->rows[row_index].since_ms;
@@ -108,15 +110,15 @@
             }
     }
     if (job->rules)
-        since_ms = turns_since_ms(round, job, since_ms);
+        since_ms = outlet_wait_start_ms(round, job, since_ms);
     int64_t age_ms = wall_ms > since_ms ? wall_ms - since_ms : 0;
     int64_t raised = age_ms / (AGEING_TARGETS * target_ms);
     entry->since_ms = since_ms;
-    entry->waiting_cpu_milli = job->waiting[time * job->spec.n_steps + step] * job->spec.steps[step].cpu_milli;
+    entry->waiting_cpu_milli = job->waiting[repetition * job->spec.n_steps + step] * job->spec.steps[step].cpu_milli;
     entry->urgency = (int32_t)(priority > raised ? priority - raised : 0);
     entry->spare_ms = target_ms - age_ms - 2 * job->spec.steps[step].estimate_ms;
     entry->slack_ms = target_ms - age_ms - step_chain_ms * CHAIN_PCT / 100;
-    if (!job->spec.steps[step].lasting)
+    if (!job->spec.steps[step].long_running)
         entry->lateness = age_ms > HOPELESS_TARGETS * target_ms ? HOPELESS : entry->slack_ms < 0 ? LATE : IN_TIME;
 }
 
@@ -136,26 +138,26 @@
         return left->since_ms < right->since_ms ? -1 : 1;
     if (left->job->index != right->job->index)
         return left->job->index < right->job->index ? -1 : 1;
-    if (left->time != right->time)
-        return left->time < right->time ? -1 : 1;
+    if (left->repetition != right->repetition)
+        return left->repetition < right->repetition ? -1 : 1;
     return left->step < right->step ? -1 : left->step > right->step;
 }
 
-static int64_t repetition_begins_ms(const struct plan_input *in, const struct job *job, int64_t time)
+static int64_t repetition_begins_ms(const struct plan_input *in, const struct job *job, int64_t repetition)
 {
-    int64_t due_ms = job_due_ms(job, time);
+    int64_t due_ms = job_due_ms(job, repetition);
     return due_ms ? due_ms - in->early_ms * EARLY_USED_PCT / 100 : 0;
 }
 
 /* Whether a step may be placed: all steps that it depends on are done, or become done by ops that are committed before
  * those of this round. */
-static int step_is_ready(const struct plan_input *in, const struct job *job, int64_t time, int64_t step)
+static int step_is_ready(const struct plan_input *in, const struct job *job, int64_t repetition, int64_t step)
 {
     const struct step_spec *spec = &job->spec.steps[step];
     for (int64_t i = 0; i < spec->n_depends_on; i++) {
-        int64_t before = spec->depends_on[i], left = job->unfinished[time * job->spec.n_steps + before];
+        int64_t before = spec->depends_on[i], left = job->unfinished[repetition * job->spec.n_steps + before];
         if (left &&
-            (!in->ends_pending || left > in->ends_pending(in->arg, job, time * job->tasks + job->first[before])))
+            (!in->ends_pending || left > in->ends_pending(in->arg, job, repetition * job->tasks + job->first[before])))
             return 0;
     }
     return 1;
@@ -167,27 +169,28 @@
     round->n_entries = 0;
     *next_due_ms = INT64_MAX;
     candidates_begin(round);
-    turns_begin(round);
+    outlet_limits_begin(round);
     for (struct job *job = in->record->oldest; job; job = job->next) {
         int64_t target_ms = 0, chain_ms[STEPS_MAX];
-        if (job->rules && !turns_may_begin(round, job, repetition_begins_ms(in, job, 0) <= in->wall_ms))
+        if (job->rules && !outlet_job_may_start(round, job, repetition_begins_ms(in, job, 0) <= in->wall_ms))
             continue; /* by the rules of its outlet it must wait for other jobs */
         if (job_over(job))
             continue; /* live only until its runs have ended */
-        for (int64_t time = 0; job->rows && time < job->times; time++) {
-            int64_t begins_ms = repetition_begins_ms(in, job, time);
+        for (int64_t repetition = 0; job->rows && repetition < job->repetitions; repetition++) {
+            int64_t begins_ms = repetition_begins_ms(in, job, repetition);
             if (begins_ms > in->wall_ms) {
                 if (begins_ms < *next_due_ms)
                     *next_due_ms = begins_ms;
                 break;
             }
-            if (job->rules && !turns_open(round, job, time, next_due_ms))
+            if (job->rules && !outlet_hours_open(round, job, repetition, next_due_ms))
                 continue;
             for (int64_t step = 0; step < job->spec.n_steps; step++) {
-                if (job->waiting[time * job->spec.n_steps + step] <= 0 || !step_is_ready(in, job, time, step))
+                if (job->waiting[repetition * job->spec.n_steps + step] <= 0 ||
+                    !step_is_ready(in, job, repetition, step))
                     continue;
                 target_ms = target_ms ? target_ms : job_target_ms(in->record, job, chain_ms);
-                entry_add(round, job, time, step, target_ms, chain_ms[step]);
+                entry_add(round, job, repetition, step, target_ms, chain_ms[step]);
             }
         }
     }
@@ -204,7 +207,7 @@
     free(round->incarnation_candidate);
     free(round->rows);
     free(round->outlet_runs);
-    turns_free(round);
+    outlet_limits_free(round);
     *round = (struct plan_round){.in = NULL};
 }
 
@@ -212,8 +215,8 @@
 {
     const struct step_spec *step = entry_step(entry);
     const struct job *job = entry->job;
-    int64_t first = entry->time * job->tasks + job->first[entry->step];
-    int64_t waiting = job->waiting[entry->time * job->spec.n_steps + entry->step];
+    int64_t first = entry->repetition * job->tasks + job->first[entry->step];
+    int64_t waiting = job->waiting[entry->repetition * job->spec.n_steps + entry->step];
     /* the record does not have the executors of busy rows yet, so steps that depend on them have to wait */
     int whole = step->gang || step->per_executor;
     round->n_rows = round->n_busy = 0;
@@ -240,8 +243,8 @@
 int64_t plan_waited_ms(const struct plan_round *round, const struct plan_entry *entry)
 {
     const struct job *job = entry->job;
-    int64_t base = entry->time * job->tasks;
-    int64_t since_ms = job->rows[base + job->first[entry->step]].since_ms, due_ms = job_due_ms(job, entry->time);
+    int64_t base = entry->repetition * job->tasks;
+    int64_t since_ms = job->rows[base + job->first[entry->step]].since_ms, due_ms = job_due_ms(job, entry->repetition);
     const struct step_spec *step = entry_step(entry);
     if (round->n_rows)
         since_ms = job->rows[round->rows[0]].since_ms;
--- a/src/dispatch/plan_round.h
+++ b/src/dispatch/plan_round.h
@@ -10,7 +10,7 @@
  * is the time within which a job must end to be in time. */
 struct plan_entry {
     struct job *job;
-    int64_t time, step;
+    int64_t repetition, step;
     int64_t since_ms;          /* start of its waiting time, time of day; older entries go first */
     int32_t urgency;           /* the queue's priority less the ageing bonus; 0 goes first */
     int64_t spare_ms;          /* time left until it must start to be in time, by the estimate of the step */
@@ -79,21 +79,21 @@
 
 /* rules/turns.c: order of an outlet's jobs, its opening hours and its limit of running tasks. */
 /* Starts a round. */
-void turns_begin(struct plan_round *round);
+void outlet_limits_begin(struct plan_round *round);
 /* Whether the job may start or continue. Only for jobs of an outlet; must be called once for each live one, in order of
  * acceptance. due: the first repetition of the job is due. */
-int turns_may_begin(struct plan_round *round, const struct job *job, int due);
+int outlet_job_may_start(struct plan_round *round, const struct job *job, int due);
 /* Whether a repetition may be placed: it has started, or the outlet is open now. Otherwise lowers next_due_ms to the
  * next opening. Only for jobs of an outlet. */
-int turns_open(const struct plan_round *round, const struct job *job, int64_t time, int64_t *next_due_ms);
+int outlet_hours_open(const struct plan_round *round, const struct job *job, int64_t repetition, int64_t *next_due_ms);
 /* The later of since_ms and the latest opening of the outlet. Only for jobs of an outlet. */
-int64_t turns_since_ms(const struct plan_round *round, const struct job *job, int64_t since_ms);
+int64_t outlet_wait_start_ms(const struct plan_round *round, const struct job *job, int64_t since_ms);
 /* How many tasks of the entry may be placed now under the limit of its outlet, at most `limit`; 0: none, or fewer than
  * the whole gang. */
-int64_t turns_room(const struct plan_round *round, const struct plan_entry *entry, int64_t limit);
+int64_t outlet_placement_limit(const struct plan_round *round, const struct plan_entry *entry, int64_t limit);
 /* Counts n tasks of the entry as placed. */
-void turns_placed(struct plan_round *round, const struct plan_entry *entry, int64_t n);
-void turns_free(struct plan_round *round);
+void outlet_count_placed(struct plan_round *round, const struct plan_entry *entry, int64_t n);
+void outlet_limits_free(struct plan_round *round);
 
 /* plan_candidate.c */
 /* Computes cost and used of all candidates for the entry's step. */
--- a/src/dispatch/plan_victims.c
+++ b/src/dispatch/plan_victims.c
@@ -71,7 +71,7 @@
         loss /= CHECKPOINT_LOSS_DIVISOR;
     if (step->gang)
         loss *= step->task_count;
-    return (loss + 1) * (step->lasting ? LONG_RUNNING_LOSS_FACTOR : 1);
+    return (loss + 1) * (step->long_running ? LONG_RUNNING_LOSS_FACTOR : 1);
 }
 
 static void freed_capacity_add(struct plan_candidate *candidate, const struct step_spec *step, int64_t sign)
@@ -88,13 +88,14 @@
     struct plan_round *round = search->round;
     const struct record *record = round->in->record;
     for (struct job *job = record->oldest; job; job = job->next) {
-        for (int64_t row_index = 0; job->rows && job->n_placed && row_index < job->times * job->tasks; row_index++) {
+        for (int64_t row_index = 0; job->rows && job->n_placed && row_index < job->repetitions * job->tasks;
+             row_index++) {
             const struct row *row = &job->rows[row_index];
-            int64_t time, step, index;
+            int64_t repetition, step, index;
             if (row->state != ROW_PLACED || row->incarnation < 0 || row->incarnation >= record->n_incarnations ||
                 round->incarnation_candidate[row->incarnation] < 0)
                 continue;
-            job_place(job, row_index, &time, &step, &index);
+            job_row_position(job, row_index, &repetition, &step, &index);
             struct victim_option option = {.job = job,
                                            .step = &job->spec.steps[step],
                                            .row_index = row_index,
@@ -104,8 +105,8 @@
                 continue;
             }
             option.loss = loss_of(round, option.step, row);
-            if (JOB_RULED(record, job, priority) > search->least_urgent)
-                search->least_urgent = JOB_RULED(record, job, priority);
+            if (JOB_EFFECTIVE_RULE(record, job, priority) > search->least_urgent)
+                search->least_urgent = JOB_EFFECTIVE_RULE(record, job, priority);
             option.gang = option.step->gang ? row_index - index : -1;
             if (search->n == search->cap) {
                 search->cap = search->cap * 2 + 64;
@@ -133,7 +134,7 @@
                        int gangs)
 {
     return !option->chosen && (gangs || option->gang < 0) &&
-           JOB_RULED(search->round->in->record, option->job, priority) > priority;
+           JOB_EFFECTIVE_RULE(search->round->in->record, option->job, priority) > priority;
 }
 
 /* Chooses a row with its whole gang (sign 1), or undoes the choice (-1). Returns the number of rows. */
@@ -158,7 +159,7 @@
                                         int gangs, int keep)
 {
     const struct step_spec *step = entry_step(entry);
-    int64_t priority = JOB_RULED(search->round->in->record, entry->job, priority);
+    int64_t priority = JOB_EFFECTIVE_RULE(search->round->in->record, entry->job, priority);
     int64_t want = plan_candidate_capacity(search->round, candidate, step, 0) + 1, loss = 0, n = 0, n_taken = 0,
             enough = 0;
     struct victim_option *taken[64];
@@ -265,9 +266,9 @@
         const struct plan_entry *entry = &round.entries[i];
         const struct step_spec *step = entry_step(entry);
         if (entry->service < 0 || entry->lateness == HOPELESS ||
-            JOB_RULED(input->record, entry->job, priority) >= search.least_urgent)
+            JOB_EFFECTIVE_RULE(input->record, entry->job, priority) >= search.least_urgent)
             continue;
-        int64_t limit = turns_room(&round, entry, max_victims);
+        int64_t limit = outlet_placement_limit(&round, entry, max_victims);
         if (!limit || !plan_collect_rows(&round, entry, limit))
             continue;
         round.n_rows = round.n_rows > limit && !step->gang ? limit : round.n_rows;
--- a/src/dispatch/record.h
+++ b/src/dispatch/record.h
@@ -17,7 +17,7 @@
  * in all rows of a gang; NULL: none, as in all DONE rows. */
 struct row {
     int32_t state, failures, attempt, incarnation;
-    char *saved;
+    char *checkpoint;
     int64_t since_ms; /* when it entered this state, time of day */
 };
 
@@ -30,7 +30,7 @@
  *   (NULL), and only the numbers of spec; spec_hash still shows whether a job submitted again is the same. */
 struct job {
     struct job_spec spec;
-    int64_t queue, state, tasks, times, accepted_ms, ended_ms, n_placed, n_done;
+    int64_t queue, state, tasks, repetitions, accepted_ms, ended_ms, n_placed, n_done;
     int64_t *first, *unfinished, *waiting, *last_failed_attempts; /* one allocation, owned by first */
     struct row *rows;
     struct job *next, *prev; /* live jobs, in order of acceptance */
@@ -116,15 +116,15 @@
 int job_over(const struct job *job);
 /* The priority, attempts_max, stretch_pct or target_ms that applies to a job: from the rules of its outlet if they set
  * it, else from its queue. */
-#define JOB_RULED(record, job, rule)                                                     \
+#define JOB_EFFECTIVE_RULE(record, job, rule)                                            \
     ((job)->rules && (job)->rules->values.rule != RULE_UNSET ? (job)->rules->values.rule \
                                                              : (record)->queues[(job)->queue].config.rule)
 /* The repetition, step and index within the step of a row. The job must be live. */
-void job_place(const struct job *job, int64_t row_index, int64_t *time, int64_t *step, int64_t *index);
+void job_row_position(const struct job *job, int64_t row_index, int64_t *repetition, int64_t *step, int64_t *index);
 /* Whether all steps that this step depends on are done in this repetition. The job must be live. */
-int job_step_is_ready(const struct job *job, int64_t time, int64_t step);
+int job_step_is_ready(const struct job *job, int64_t repetition, int64_t step);
 /* The time of day at which a repetition is due, 0: at once. */
-int64_t job_due_ms(const struct job *job, int64_t time);
+int64_t job_due_ms(const struct job *job, int64_t repetition);
 /* The index of the row of a task_of() number, -1: there is none, or the job is not live; and the task_of() number of a
  * row of a live job. */
 int64_t job_row(const struct job *job, int64_t task);
--- a/tests/unit/leader_again_test.cc
+++ b/tests/unit/leader_again_test.cc
@@ -1,5 +1,5 @@
 // Requests that are resent after their response was lost, while the configuration changed in between. A request that
-// was accepted is acknowledged again or answered with ERROR_GAVE_UP, but never refused.
+// was accepted is acknowledged again or answered with ERROR_OUTCOME_UNKNOWN, but never refused.
 #include "leader_rig.h"
 
 using namespace leader_rig;
@@ -52,9 +52,9 @@
 {
     rig.add(1, NORMAL, one);
     remove_queue();
-    EXPECT_EQ(job(1, one), ERROR_GAVE_UP) << "it was accepted before";
-    EXPECT_EQ(job(1, {Rig::step(2, 100)}), ERROR_NO_SUCH) << "this one was not accepted";
-    EXPECT_EQ(job(2, one), ERROR_NO_SUCH);
+    EXPECT_EQ(job(1, one), ERROR_OUTCOME_UNKNOWN) << "it was accepted before";
+    EXPECT_EQ(job(1, {Rig::step(2, 100)}), ERROR_NOT_FOUND) << "this one was not accepted";
+    EXPECT_EQ(job(2, one), ERROR_NOT_FOUND);
     EXPECT_EQ(rig.record.n_jobs, 1);
     rig.run(100);
     configure({{"normal", "/normal/"}});
@@ -83,8 +83,8 @@
     EXPECT_EQ(cancel(1), 0);
     EXPECT_EQ(cancel(1), 0) << "resent";
     remove_queue();
-    EXPECT_EQ(cancel(1), ERROR_GAVE_UP) << "it was accepted before";
-    EXPECT_EQ(cancel(2), ERROR_NO_SUCH) << "this one was not accepted";
+    EXPECT_EQ(cancel(1), ERROR_OUTCOME_UNKNOWN) << "it was accepted before";
+    EXPECT_EQ(cancel(2), ERROR_NOT_FOUND) << "this one was not accepted";
     EXPECT_NE(record_job(&rig.record, 2)->state, JOB_CANCELLED);
 }
 
--- a/tests/unit/leader_rig.h
+++ b/tests/unit/leader_rig.h
@@ -52,18 +52,18 @@
 struct Executor {
     int64_t agent;
     std::string incarnation;
-    int64_t cpu = 1000, epoch = 1, silent_ms = 0, over_ms = 5000, draining = 0, seq = 0, percent = -1;
+    int64_t cpu = 1000, epoch = 1, silent_ms = 0, lease_left_ms = 5000, draining = 0, seq = 0, percent = -1;
     int64_t orders_taken = 0;
     bool up = true, deaf = false; // up: it sends reports; deaf: orders do not reach it
     std::set<Ref> active;
     std::vector<std::pair<Ref, std::pair<int64_t, int64_t>>> ended; // seq, how
-    std::map<Ref, std::string> saved;
+    std::map<Ref, std::string> checkpoint;
     std::map<Ref, int64_t> refused;
     int64_t end(Ref ref, int64_t how)
     {
         active.erase(ref);
         refused.erase(ref);
-        ended.push_back({ref, {how == END_ABSENT ? 0 : ++seq, how}});
+        ended.push_back({ref, {how == END_NEVER_RAN ? 0 : ++seq, how}});
         return seq;
     }
 };
@@ -103,7 +103,7 @@
     int64_t now = 1000, wall = 1000000, epoch = 1;
     struct record record = {};
     struct dispatch *dispatch = nullptr;
-    bool leads = true, auto_commit = true;
+    bool holds_lease = true, auto_commit = true;
     std::deque<std::unique_ptr<Batch>> log; // proposed, not committed
     std::vector<int64_t> barriers;
     std::map<int64_t, std::vector<Answer>> answers; // by ticket
@@ -146,7 +146,7 @@
                 e.active.insert({message->starts[i].job, message->starts[i].task, message->starts[i].attempt});
         of(arg)->orders.push_back(std::move(copy));
     }
-    static int leads_now(void *arg) { return of(arg)->leads; }
+    static int leads_now(void *arg) { return of(arg)->holds_lease; }
     static void barrier(void *arg, int64_t tag) { of(arg)->barriers.push_back(tag); }
 
     Rig() : world()
@@ -169,7 +169,7 @@
         EXPECT_EQ(record_apply(&record, &op), 0);
         schema_free(&record_op_schema, &op);
         begin();
-        dispatch_lead(dispatch, epoch);
+        dispatch_become_leader(dispatch, epoch);
     }
     ~Rig()
     {
@@ -180,8 +180,8 @@
     {
         settings.lease_ms = LEASE;
         settings.early_ms = EARLY;
-        settings.shown_ms = 60000;
-        settings.far_pct = 150;
+        settings.job_retention_ms = 60000;
+        settings.remote_data_pct = 150;
         settings.gang_timeout_ms = 3000;
         settings.restore_ms = 600;
         struct dispatch_calls callbacks = {propose, answer, take_orders, leads_now, barrier, static_cast<void *>(this)};
@@ -194,7 +194,7 @@
         log.clear();
         orders.clear();
         begin();
-        dispatch_lead(dispatch, ++epoch);
+        dispatch_become_leader(dispatch, ++epoch);
     }
 
     // --- the log
@@ -217,7 +217,7 @@
     {
         auto batch = std::move(log.front());
         log.pop_front();
-        dispatch_committed(dispatch, batch->tag, ERROR_GAVE_UP, nullptr);
+        dispatch_committed(dispatch, batch->tag, ERROR_OUTCOME_UNKNOWN, nullptr);
     }
     // Flushes and commits until nothing more is proposed.
     void settle()
@@ -310,13 +310,13 @@
         message.executor.zone = must_dup("z");
         message.executor.cpu_milli = e.cpu, message.executor.memory_mb = 100000;
         message.executor.draining = e.draining, message.executor.silent_ms = e.silent_ms,
-        message.executor.over_ms = e.over_ms;
+        message.executor.lease_left_ms = e.lease_left_ms;
         for (const Ref &run : e.active)
             record_build::more_of(message.active, message.n_active) = {std::get<0>(run), std::get<1>(run),
                                                                        std::get<2>(run), e.percent, nullptr};
         for (const auto &end : e.ended) {
             run_ref ref = ref_of(end.first);
-            char *text = e.saved.count(end.first) ? must_dup(e.saved[end.first].c_str()) : nullptr;
+            char *text = e.checkpoint.count(end.first) ? must_dup(e.checkpoint[end.first].c_str()) : nullptr;
             record_build::more_of(message.ended, message.n_ended) = {end.second.first, ref.job,           ref.task,
                                                                      ref.attempt,      end.second.second, text};
         }
--- a/tests/unit/leader_test.cc
+++ b/tests/unit/leader_test.cc
@@ -66,10 +66,10 @@
     int64_t proposed = rig.request_job(2, NORMAL, {Rig::step(1, 10)});
     dispatch_flush(rig.dispatch);
     int64_t in_open_batch = rig.request_job(3, NORMAL, {Rig::step(1, 10)});
-    rig.leads = false;
+    rig.holds_lease = false;
     int64_t read = rig.request_state(1);
     ASSERT_EQ(rig.barriers.size(), 1u);
-    dispatch_follow(rig.dispatch);
+    dispatch_become_follower(rig.dispatch);
     int64_t after = rig.request_state(1);
     for (int64_t request : {state, proposed, in_open_batch, read, after}) {
         ASSERT_EQ(rig.answers[request].size(), 1u) << request;
@@ -85,7 +85,7 @@
 {
     rig.executor();
     rig.add(1, NORMAL, {Rig::step(2, 1000)});
-    rig.leads = false;
+    rig.holds_lease = false;
     int64_t request = rig.request_state(1);
     rig.run(300);
     EXPECT_TRUE(rig.answers[request].empty());
@@ -260,12 +260,12 @@
     job *j = rig.add(1, NORMAL, {s});
     rig.run(100);
     ASSERT_EQ(j->n_placed, 3);
-    e.saved[{1, 0, 1}] = "half";
+    e.checkpoint[{1, 0, 1}] = "half";
     e.end({1, 0, 1}, END_STOPPED);
     rig.report(e);
     size_t mark = rig.orders.size();
     rig.settle();
-    ASSERT_STREQ(j->rows[2].saved, "half");
+    ASSERT_STREQ(j->rows[2].checkpoint, "half");
     rig.run(600);
     for (int64_t task : {1, 2}) {
         EXPECT_EQ(rig.starts({1, task, 1}, mark), 0) << task;
@@ -308,13 +308,13 @@
     Executor *first = rig.executor_of(j);
     ASSERT_TRUE(first);
     ASSERT_GT(rig.starts({1, 0, 1}), 0);
-    first->refused[{1, 0, 1}] = REFUSED_SICK;
+    first->refused[{1, 0, 1}] = REFUSED_UNAVAILABLE;
     size_t mark = rig.orders.size();
     rig.run(3000);
     EXPECT_GT(rig.stops({1, 0, 1}, mark), 0);
     EXPECT_EQ(rig.starts({1, 0, 1}, mark + 1), 0);
     EXPECT_EQ(j->rows[0].attempt, 1) << "the refused call may still be carried out";
-    first->end({1, 0, 1}, END_ABSENT);
+    first->end({1, 0, 1}, END_NEVER_RAN);
     rig.run(100);
     EXPECT_EQ(j->rows[0].attempt, 2);
     EXPECT_GT(rig.starts({1, 0, 2}), 0);
--- a/tests/unit/leader_time_test.cc
+++ b/tests/unit/leader_time_test.cc
@@ -48,7 +48,7 @@
     rig.add(1, NORMAL, {Rig::step(1, 500)});
     rig.run(1000);
     ASSERT_EQ(e.active.size(), 1u);
-    rig.leads = false;
+    rig.holds_lease = false;
     size_t mark = rig.orders.size();
     int64_t ms = lapsed_after({1, 0, 1}, LAPSE_MS + 1000);
     EXPECT_GT(ms, LAPSE_MS);
@@ -75,11 +75,11 @@
     rig.add(1, NORMAL, {Rig::step(1, 500)});
     rig.run(300);
     rig.auto_commit = false;
-    e.silent_ms = 1000, e.over_ms = 10;
+    e.silent_ms = 1000, e.lease_left_ms = 10;
     rig.report(e);
     dispatch_flush(rig.dispatch);
     ASSERT_TRUE(rig.log.empty());
-    e.over_ms = 0;
+    e.lease_left_ms = 0;
     rig.report(e);
     dispatch_flush(rig.dispatch);
     ASSERT_EQ(rig.log.size(), 1u);
@@ -94,7 +94,7 @@
     rig.add(1, NORMAL, {Rig::step(1, 500)});
     rig.run(300);
     rig.auto_commit = false;
-    e.silent_ms = 1000, e.over_ms = 0;
+    e.silent_ms = 1000, e.lease_left_ms = 0;
     rig.report(e);
     dispatch_flush(rig.dispatch);
     EXPECT_TRUE(rig.log.empty());
@@ -351,11 +351,11 @@
     rig.executor();
     rig.add(1, NORMAL, {Rig::step(1, 1000)});
     rig.run(500);
-    int64_t idle_delay_ms = rig.orders.back()->message.pace_ms;
+    int64_t idle_delay_ms = rig.orders.back()->message.poll_delay_ms;
     rig.add(2, NORMAL, {Rig::step(1, 1000)});
     rig.run(500);
-    EXPECT_GT(rig.orders.back()->message.pace_ms, 0);
-    EXPECT_LT(rig.orders.back()->message.pace_ms, idle_delay_ms);
+    EXPECT_GT(rig.orders.back()->message.poll_delay_ms, 0);
+    EXPECT_LT(rig.orders.back()->message.poll_delay_ms, idle_delay_ms);
 }
 
 } // namespace
--- a/tests/unit/plan_site.h
+++ b/tests/unit/plan_fixture.h
@@ -29,17 +29,17 @@
 }
 
 // A record with candidates, on which the tests run planning rounds.
-struct Site {
+struct PlanFixture {
     record r = {};
     std::deque<std::string> names;
     std::vector<char *> labelled;
     std::vector<candidate> candidates;
     std::set<std::pair<const job *, int64_t>> busy;
     plan p = {};
-    int64_t wall_ms = WALL, most = 300, next_id = 1;
+    int64_t wall_ms = WALL, max_placements = 300, next_id = 1;
 
-    Site() { record_start(&r); }
-    ~Site()
+    PlanFixture() { record_start(&r); }
+    ~PlanFixture()
     {
         plan_free(&p);
         record_end(&r);
@@ -75,7 +75,7 @@
         incarnation->name = must_dup(added.incarnation);
         added.cpu_milli = added.cpu_free = cpu, added.memory_mb = added.memory_free = cpu,
         added.gpus = added.gpus_free = gpus;
-        added.open = 1, added.departs_ms = INT64_MAX, added.slow_pct = 100;
+        added.open = 1, added.departs_ms = INT64_MAX, added.duration_pct = 100;
         candidates.push_back(added);
         return (int64_t)candidates.size() - 1;
     }
@@ -104,9 +104,9 @@
     void move(job *j, int64_t row_index, int state, int64_t candidate = -1)
     {
         row *moved = &j->rows[row_index];
-        int64_t time, step, index, group;
-        job_place(j, row_index, &time, &step, &index);
-        group = time * j->spec.n_steps + step;
+        int64_t repetition, step, index, group;
+        job_row_position(j, row_index, &repetition, &step, &index);
+        group = repetition * j->spec.n_steps + step;
         const step_spec *spec = &j->spec.steps[step];
         if (moved->state == ROW_PLACED) {
             struct candidate *at = &candidates[(size_t)moved->incarnation];
@@ -128,13 +128,14 @@
     }
     static int is_busy(void *arg, const job *j, int64_t row_index)
     {
-        return (int)((Site *)arg)->busy.count({j, row_index});
+        return (int)((PlanFixture *)arg)->busy.count({j, row_index});
     }
     plan_input input()
     {
         plan_input in = {};
         in.record = &r, in.candidates = candidates.data(), in.n_candidates = (int64_t)candidates.size();
-        in.now_ms = 5000, in.wall_ms = wall_ms, in.early_ms = EARLY, in.far_pct = 150, in.most = most;
+        in.now_ms = 5000, in.wall_ms = wall_ms, in.early_ms = EARLY, in.remote_data_pct = 150,
+        in.max_placements = max_placements;
         in.busy = is_busy, in.arg = this;
         return in;
     }
@@ -147,7 +148,7 @@
     void commit()
     {
         for (int64_t i = 0; i < p.n; i++) {
-            const placement *at = &p.places[i];
+            const placement *at = &p.placements[i];
             const step_spec *spec = &at->job->spec.steps[at->step];
             candidate *to = &candidates[(size_t)at->candidate];
             to->cpu_free += spec->cpu_milli, to->memory_free += spec->memory_mb, to->gpus_free += spec->gpus;
@@ -166,14 +167,14 @@
     {
         int64_t n = 0;
         for (int64_t i = 0; i < p.n; i++)
-            n += p.places[i].job == j;
+            n += p.placements[i].job == j;
         return n;
     }
-    int64_t candidate_of(const job *j) const
+    int64_t placed_on(const job *j) const
     {
         for (int64_t i = 0; i < p.n; i++)
-            if (p.places[i].job == j)
-                return p.places[i].candidate;
+            if (p.placements[i].job == j)
+                return p.placements[i].candidate;
         return -1;
     }
     std::vector<char **> owned;
