--- a/src/dispatch/job.c
+++ b/src/dispatch/job.c
@@ -104,8 +104,8 @@
         return validation_error_set(validation_error, ERROR_BAD_FIELD, "no negative number", "startMs");
     if (spec->interval_ms < 0 || __builtin_mul_overflow(spec->repeats, spec->interval_ms, &last_ms) ||
         __builtin_add_overflow(last_ms, spec->start_ms, &last_ms))
-        return validation_error_set(validation_error, ERROR_BAD_FIELD, "0 or more, and times of day that 64 bits hold",
-                                    "intervalMs");
+        return validation_error_set(validation_error, ERROR_BAD_FIELD,
+                                    "0 or more, and times of day that fit in 64 bits", "intervalMs");
     for (int64_t i = 0; i < spec->n_steps; i++) {
         enum sagehitch_error rc = step_check(spec, i, validation_error);
         if (rc)
@@ -113,7 +113,7 @@
         tasks += spec->steps[i].task_count;
     }
     if (tasks * job_spec_repetitions(spec) > JOB_TASKS_MAX)
-        return validation_error_set(validation_error, ERROR_TOO_LARGE, "fewer tasks, over all steps and times",
+        return validation_error_set(validation_error, ERROR_TOO_LARGE, "fewer tasks, over all steps and repetitions",
                                     "steps");
     return ERROR_NONE;
 }
@@ -169,10 +169,11 @@
     if (empty(queue->host))
         return validation_error_set(validation_error, ERROR_BAD_FIELD, "a host", "queues[%d].host", index);
     if (!queue->prefix || queue->prefix[0] != '/')
-        return validation_error_set(validation_error, ERROR_BAD_FIELD, "a path from / on", "queues[%d].prefix", index);
-    if (empty(queue->service) || !JudySLGet(names->services, (const uint8_t *)queue->service, PJE0))
-        return validation_error_set(validation_error, ERROR_BAD_FIELD, "a service that is listed", "queues[%d].service",
+        return validation_error_set(validation_error, ERROR_BAD_FIELD, "a path that begins with /", "queues[%d].prefix",
                                     index);
+    if (empty(queue->service) || !JudySLGet(names->services, (const uint8_t *)queue->service, PJE0))
+        return validation_error_set(validation_error, ERROR_BAD_FIELD, "the name of a listed service",
+                                    "queues[%d].service", index);
     if (queue->timeout_ms <= 0)
         return validation_error_set(validation_error, ERROR_BAD_FIELD, "more than 0", "queues[%d].timeoutMs", index);
     if (queue->attempts_max < 0)
--- a/src/dispatch/job.h
+++ b/src/dispatch/job.h
@@ -8,7 +8,7 @@
 /* SPEC_MAX: maximum length of a job's text in bytes; JOB_TASKS_MAX: tasks over all steps and repetitions. */
 enum { SPEC_MAX = 4000, STEPS_MAX = 64, JOB_TASKS_MAX = 20000 };
 
-/* A step. Resources are requested for each task. checkpoints to lasting are flags (0 or 1). */
+/* A step. Resources are requested for each task. checkpoints to long_running are flags (0 or 1). */
 struct step_spec {
     int64_t task_count, cpu_milli, memory_mb, gpus;
     int64_t estimate_ms; /* expected duration of a task; may be far off */
--- a/src/dispatch/leader_state.h
+++ b/src/dispatch/leader_state.h
@@ -171,7 +171,7 @@
 struct run *run_of_row(struct dispatch *dispatch, const struct job *job, int64_t row_index);
 /* Index of the incarnation of this name, -1: nothing is placed on it. */
 int64_t incarnation_find(const struct dispatch *dispatch, const char *name);
-/* Proposes the end of a run; how: enum run_end; saved: its newest checkpoint or NULL. */
+/* Proposes the end of a run; how: enum run_end; checkpoint: its newest one or NULL. */
 void run_end(struct dispatch *dispatch, struct run *run, int64_t how, const char *checkpoint);
 /* Marks a run to be stopped; the order is sent at the next flush. */
 void run_stop(struct dispatch *dispatch, struct run *run);
--- a/src/dispatch/messages.h
+++ b/src/dispatch/messages.h
@@ -44,13 +44,13 @@
 struct run_ref {
     int64_t job, task, attempt;
 };
-/* A run that is executing. percent: its progress; saved: its newest checkpoint or NULL. */
+/* A run that is executing. percent: its progress; checkpoint: its newest one or NULL. */
 struct run_active {
     int64_t job, task, attempt, percent;
     char *checkpoint;
 };
 /* A run that ended. seq: sequence number that the executor gave the end, increasing within an incarnation; 0 if the end
- * was found by the agent itself, because the run never ran; how: enum run_end; saved: its newest checkpoint or NULL. */
+ * was found by the agent itself, because the run never ran; how: enum run_end; checkpoint: the newest one or NULL. */
 struct run_ended {
     int64_t seq, job, task, attempt, how;
     char *checkpoint;
@@ -92,7 +92,7 @@
     int64_t n_refused;
 };
 
-/* An order to start a run. text: that of the job; saved: the checkpoint to resume from, or NULL. */
+/* An order to start a run. text: that of the job; checkpoint: the one to resume from, or NULL. */
 struct run_start {
     int64_t job, task, attempt;
     char *text, *checkpoint;
--- a/src/dispatch/record.h
+++ b/src/dispatch/record.h
@@ -13,7 +13,7 @@
 
 /* A row: one task of one repetition. Invariants: attempt never decreases. incarnation is the index of the incarnation
  * on which the attempt of a PLACED row may run, -1 for other rows. failures is the number of failed attempts; all rows
- * of a gang have the same number, and a failed attempt of a gang counts once. saved is the newest checkpoint, the same
+ * of a gang have the same number, and a failed attempt of a gang counts once. checkpoint is the newest one, the same
  * in all rows of a gang; NULL: none, as in all DONE rows. */
 struct row {
     int32_t state, failures, attempt, incarnation;
--- a/src/dispatch/record_rows.c
+++ b/src/dispatch/record_rows.c
@@ -49,7 +49,7 @@
     row->since_ms = at_ms;
 }
 
-static void row_set_saved(struct row *row, const char *checkpoint)
+static void row_set_checkpoint(struct row *row, const char *checkpoint)
 {
     free(row->checkpoint);
     row->checkpoint = must_dup(checkpoint);
@@ -167,7 +167,7 @@
     struct job *job = position->job;
     struct row_range row_range = row_range_of(position, position->step->gang != 0);
     for (int64_t row_index = row_range.from; row_index < row_range.from + row_range.n; row_index++) {
-        row_set_saved(&job->rows[row_index], NULL);
+        row_set_checkpoint(&job->rows[row_index], NULL);
         if (job->rows[row_index].state != ROW_DONE)
             row_transition(record, position, &job->rows[row_index], ROW_DONE, -1, at_ms);
     }
@@ -192,7 +192,7 @@
     for (int64_t row_index = row_range.from; row_index < row_range.from + row_range.n; row_index++) {
         job->rows[row_index].failures += failed;
         if (checkpoint)
-            row_set_saved(&job->rows[row_index], end->checkpoint);
+            row_set_checkpoint(&job->rows[row_index], end->checkpoint);
     }
     if (failed)
         job->last_failed_attempts[position->group] = end->attempt;
--- a/tests/unit/plan_test.cc
+++ b/tests/unit/plan_test.cc
@@ -245,9 +245,9 @@
     t.candidate_add(1000);
     t.candidate_add(1000);
     int64_t low = t.queue(2);
-    step_spec s = PlanFixture::step(1, 1000, 60000), saved = s, long_running = s;
-    saved.checkpoints = 1, long_running.long_running = 1;
-    job *a = t.add(low, {s}), *b = t.add(low, {saved}), *c = t.add(low, {long_running});
+    step_spec s = PlanFixture::step(1, 1000, 60000), checkpointing = s, long_running_step = s;
+    checkpointing.checkpoints = 1, long_running_step.long_running = 1;
+    job *a = t.add(low, {s}), *b = t.add(low, {checkpointing}), *c = t.add(low, {long_running_step});
     t.move(a, 0, ROW_PLACED, 0);
     t.move(b, 0, ROW_PLACED, 1);
     t.move(c, 0, ROW_PLACED, 2);
