--- a/src/controller/api_message.c
+++ b/src/controller/api_message.c
@@ -6,7 +6,7 @@
 
 _Static_assert(sizeof(struct executor_beat) == sizeof(((struct api_request *)NULL)->body), "the largest is first");
 
-/* The schemas describe members that several kinds share once, so they must lie at the same place. */
+/* The schemas describe members that several kinds share only once, so these must have the same offset in each kind. */
 _Static_assert(offsetof(struct api_response, body.state) == offsetof(struct api_response, body.explanation.state),
                "state");
 _Static_assert(offsetof(struct api_response, body.document.text) ==
@@ -45,7 +45,7 @@
     STR(api_response, detail)};
 SCHEMA_TAGGED(api_response_schema, api_response, api_response_fields);
 
-/* Ends the process unless kind is one of kinds. */
+/* Aborts the process unless kind is one of kinds. */
 static void check_kind(int64_t kind, uint64_t kinds)
 {
     if (kind < REQUEST_NONE || kind > REQUEST_CONFIG_PATCH || !(kinds & KIND_BIT(kind)))
--- a/src/controller/api_message.h
+++ b/src/controller/api_message.h
@@ -1,37 +1,38 @@
-/* Requests of callers, operators and executors, and the responses to them, independent of the codec that they came in.
+/* Requests of callers, operators and executors, and the responses to them, independent of their encoding.
  *
- * Both are tagged unions: enum request_kind says which member of body is there. A constructor, one for each kind (or
- * for kinds with the same members), sets the kind together with its members; accessors read them, and end the process
- * where the kind is another one. body itself is for the constructors, the accessors and the schemas alone. */
+ * Both are tagged unions: enum request_kind tells which member of body is valid. There is a constructor for each kind
+ * (or for several kinds with the same members), which sets the kind together with its members. Accessors read the
+ * members, and abort the process if the kind is a different one. Only the constructors, accessors and schemas may use
+ * body directly. */
 #ifndef SAGEHITCH_CONTROLLER_API_MESSAGE_H
 #define SAGEHITCH_CONTROLLER_API_MESSAGE_H
 #include "agent/executor_codec.h"
 #include "dispatch/job.h"
 #include "rules/rules.h"
 
-/* The numbers go over the wire between controllers. */
+/* The values are sent between controllers, so they must not change. */
 enum request_kind {
     REQUEST_NONE,
     REQUEST_JOB,           /* submits a job */
     REQUEST_STATE,         /* reads the state of a job */
     REQUEST_CANCEL,        /* cancels a job */
-    REQUEST_COUNT_WAITING, /* counts the jobs of a queue that have not begun */
+    REQUEST_COUNT_WAITING, /* counts the jobs of a queue that have not started */
     REQUEST_CONFIG_PUT,    /* replaces the configuration */
-    REQUEST_CONFIG_GET,    /* reads it */
-    REQUEST_READY,         /* whether this process is ready */
+    REQUEST_CONFIG_GET,    /* reads the configuration */
+    REQUEST_READY,         /* asks whether this process is ready */
     REQUEST_BEAT,          /* heartbeat of an executor */
     REQUEST_WHY,           /* explains the state of a job as text, for operators */
-    REQUEST_RULES_PUT,     /* changes head office's rules, or an outlet's */
-    REQUEST_RULES_GET,     /* reads them */
-    REQUEST_RULES_JOB,     /* reads the rules that a job was accepted under */
+    REQUEST_RULES_PUT,     /* changes the rules of the head office or of an outlet */
+    REQUEST_RULES_GET,     /* reads the rules of the head office or of an outlet */
+    REQUEST_RULES_JOB,     /* reads the rules under which a job was accepted */
     REQUEST_CONFIG_PATCH   /* changes named items of the configuration */
 };
 
-/* A request. Owns what it points to; schema_free() with api_request_schema frees it. */
+/* A request. It owns what it points to; schema_free() with api_request_schema frees that. */
 struct api_request {
     int64_t kind;      /* enum request_kind */
-    int64_t wait_ms;   /* how long the caller waits, 0: it does not say */
-    char *host, *path; /* as sent; of requests about jobs and queues they decide the queue */
+    int64_t wait_ms;   /* how long the caller waits for a response, 0: not given */
+    char *host, *path; /* as sent; they select the queue of a request about jobs or queues */
     union {
         struct executor_beat beat;   /* REQUEST_BEAT; the largest member is first, so that {0} clears them all */
         struct job_spec job;         /* REQUEST_JOB */
@@ -41,7 +42,8 @@
     } body;
 };
 
-/* Constructors. request is zeroed but for wait_ms, host and path; it owns what is put into the members returned. */
+/* Constructors. request must be zeroed except for wait_ms, host and path. It owns what the caller stores in the
+ * returned members. */
 struct job_spec *api_request_make_job(struct api_request *request);
 void api_request_make_state(struct api_request *request, int64_t job_id);
 void api_request_make_cancel(struct api_request *request, int64_t job_id);
@@ -52,12 +54,12 @@
 void api_request_make_ready(struct api_request *request);
 struct executor_beat *api_request_make_beat(struct api_request *request);
 void api_request_make_why(struct api_request *request, int64_t job_id);
-/* outlet: copied; NULL: head office's rules. The change has the defaults of its schema. */
+/* outlet: is copied; NULL: the rules of the head office. The returned change has the defaults of its schema. */
 struct rules_change *api_request_make_rules_put(struct api_request *request, const char *outlet);
 void api_request_make_rules_get(struct api_request *request, const char *outlet);
 void api_request_make_rules_job(struct api_request *request, int64_t job_id);
 
-/* Accessors, borrowed from the request. */
+/* Accessors. The results are borrowed from the request. */
 const struct job_spec *api_request_job(const struct api_request *request);
 int64_t api_request_job_id(const struct api_request *request);                     /* of all four kinds that have it */
 const struct config_change *api_request_config(const struct api_request *request); /* of both kinds */
@@ -70,14 +72,14 @@
     int64_t state; /* enum job_state */
     struct bytes text;
 };
-/* A versioned text: a configuration as it was sent, or rules as JSON. version 0: the text has none. */
+/* A text with a version: a configuration as it was sent, or rules as JSON. version 0: the text has no version. */
 struct api_document {
     int64_t version;
     struct bytes text;
 };
 
-/* A response to a request of the same kind. With an error body is empty, and detail (may be NULL) says for the one who
- * sent the request what was wrong. Only responses that schema_unpack() filled own what they point to; those of the
+/* A response to a request of the same kind. If it has an error, body is empty and detail (may be NULL) explains the
+ * error to the sender of the request. Responses filled by schema_unpack() own what they point to; responses made by the
  * constructors borrow it. */
 struct api_response {
     int64_t kind;     /* enum request_kind */
@@ -92,7 +94,7 @@
     } body;
 };
 
-/* Constructors. api_response_done() is for kinds of which no more is told than that the request succeeded. */
+/* Constructors. api_response_done() is for kinds whose response carries only the success of the request. */
 struct api_response api_response_done(int64_t kind);
 struct api_response api_response_error(int64_t kind, int error, int64_t retry_ms, const char *detail);
 struct api_response api_response_make_state(int64_t state);
@@ -102,7 +104,7 @@
 /* kind: REQUEST_RULES_GET or REQUEST_RULES_JOB */
 struct api_response api_response_make_rules(int64_t kind, int64_t version, const struct bytes *text);
 
-/* Accessors, borrowed from the response. */
+/* Accessors. The results are borrowed from the response. */
 int64_t api_response_state(const struct api_response *response); /* REQUEST_STATE */
 int64_t api_response_count(const struct api_response *response);
 const struct api_document *api_response_document(const struct api_response *response);
--- a/src/controller/api_schemas.c
+++ b/src/controller/api_schemas.c
@@ -1,3 +1,4 @@
+/* Schemas of the frames between controllers. */
 #include "controller/controller_state.h"
 
 static const struct field leader_query_fields[] = {INT(leader_query, addr), INT(leader_query, controller),
--- a/src/controller/ballot.c
+++ b/src/controller/ballot.c
@@ -1,9 +1,10 @@
-/* Single-decree consensus (Paxos) of the seeds on the first voters.
- * The acceptors are the seeds as configured at the first start. A list of voters is chosen once a majority of them has
- * accepted it under one ballot; a proposer with a later ballot learns of it from a promise and proposes it again. The
- * seeds are also the proposers, in the order of their addresses, each after a longer silence than the one before.
- * An acceptor syncs its state before it replies. A seed without a disk has lost that state after a restart, so it takes
- * part only at its first start. */
+/* Single-decree consensus (Paxos) among the seeds on the first voters.
+ * The acceptors are the seeds as configured at the first start. A list of voters is chosen once a majority of the
+ * acceptors has accepted it under the same ballot; a proposer with a higher ballot learns the list from a promise and
+ * proposes it again. The seeds are also the proposers. They take over in the order of their addresses: the higher the
+ * rank of a seed, the longer the silence after which it proposes.
+ * An acceptor syncs its state before it replies. A seed without a disk loses that state in a restart, so it takes part
+ * only at its first start. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -11,215 +12,227 @@
 #include "controller/controller_state.h"
 
 enum {
-    TAKE_OVER_MS = 800, /* silence before a seed proposes, for each seed of a lower rank */
-    AGAIN_MS = 3000,    /* wait after a restart: a log may already exist */
-    RETRY_MS = 200
+    TAKE_OVER_MS = 800,     /* silence before a seed proposes, times its rank */
+    RESTART_WAIT_MS = 3000, /* wait after a restart, when a log may already exist, or after a reply that one exists */
+    RETRY_MS = 200          /* least time before the next proposal after a refusal */
 };
-/* A ballot number is (round * RANDOM + random) * RANKS + rank, so it is unique to its proposer. */
-enum { RANKS = 8, RANDOM = 1 << 20 };
+/* A ballot number is (round * RANDOM_RANGE + random) * RANKS + rank, so no two proposers use the same one. */
+enum { RANKS = 8, RANDOM_RANGE = 1 << 20 };
 
-/* Position of addr in the order of the acceptors' addresses; -1: not an acceptor. */
-static int64_t rank_of(const struct controller *c, int64_t addr)
+/* Position of addr among the sorted addresses of the acceptors; -1: not an acceptor. */
+static int64_t rank_of(const struct controller *controller, int64_t addr)
 {
     int64_t rank = 0, found = 0;
-    for (int64_t i = 0; i < c->acceptor.n_seeds; i++) {
-        rank += c->acceptor.seeds[i] < addr;
-        found |= c->acceptor.seeds[i] == addr;
+    for (int64_t i = 0; i < controller->acceptor.n_seeds; i++) {
+        rank += controller->acceptor.seeds[i] < addr;
+        found |= controller->acceptor.seeds[i] == addr;
     }
     return found ? rank : -1;
 }
 
-static int save(struct controller *c, const struct acceptor *next)
+static int save_acceptor(struct controller *controller, const struct acceptor *next)
 {
-    return c->votes ? log_save_schema(c->w, "founding-ballot", &acceptor_schema, next) : ERROR_NONE;
+    return controller->votes ? log_save_schema(controller->w, "founding-ballot", &acceptor_schema, next) : ERROR_NONE;
 }
 
-/* Participation in the first start is synced before the first message is sent. */
-int ballot_load(struct controller *c)
+/* That this acceptor takes part in the first start is synced before its first message is sent. */
+int ballot_load(struct controller *controller)
 {
     int rc = ERROR_NO_SUCH;
-    if (c->votes)
-        rc = log_load_schema(c->w, "founding-ballot", &acceptor_schema, &c->acceptor);
-    c->proposer.start_ms = world_ms(c->w) + (rc ? 0 : AGAIN_MS);
-    c->may_bootstrap = !rc;
-    if (rc != ERROR_NO_SUCH || !c->setup.first_start)
+    if (controller->votes)
+        rc = log_load_schema(controller->w, "founding-ballot", &acceptor_schema, &controller->acceptor);
+    controller->proposer.start_ms = world_ms(controller->w) + (rc ? 0 : RESTART_WAIT_MS);
+    controller->may_bootstrap = !rc;
+    if (rc != ERROR_NO_SUCH || !controller->setup.first_start)
         return rc == ERROR_NO_SUCH ? ERROR_NONE : rc;
-    c->may_bootstrap = 1;
-    for (int64_t i = 0; i < c->n_seeds; i++)
-        *list_more(c->acceptor.seeds, c->acceptor.n_seeds) = c->seeds[i];
-    return rank_of(c, (int64_t)c->w->self) >= 0 ? save(c, &c->acceptor) : ERROR_NONE;
+    controller->may_bootstrap = 1;
+    for (int64_t i = 0; i < controller->n_seeds; i++)
+        *list_more(controller->acceptor.seeds, controller->acceptor.n_seeds) = controller->seeds[i];
+    return rank_of(controller, (int64_t)controller->w->self) >= 0 ? save_acceptor(controller, &controller->acceptor)
+                                                                  : ERROR_NONE;
 }
 
-int ballot_over(const struct controller *c) { return c->directory.term || c->log.term > 1 || c->log.commit; }
+int ballot_finished(const struct controller *controller)
+{
+    return controller->directory.term || controller->log.term > 1 || controller->log.commit;
+}
 
 /* --- acceptor ------------------------------------------------------------------ */
 
-/* Promises request->ballot and, if accepted is set, accepts its members. On an error nothing has changed. */
-static int persist(struct controller *c, int64_t accepted, const struct ballot *request)
+/* Promises request->ballot and, if accepted is set, also accepts its members. Changes nothing on an error. */
+static int update_acceptor(struct controller *controller, int64_t accepted, const struct ballot *request)
 {
-    struct acceptor next = c->acceptor;
+    struct acceptor next = controller->acceptor;
     next.promised = request->ballot;
     if (accepted) {
         next.accepted = request->ballot;
         next.members = request->members;
     }
-    int rc = save(c, &next);
+    int rc = save_acceptor(controller, &next);
     if (rc)
         return rc;
     if (accepted) {
-        schema_free(&log_members_schema, &c->acceptor.members);
+        schema_free(&log_members_schema, &controller->acceptor.members);
         schema_copy(&log_members_schema, &next.members, &request->members);
     }
-    c->acceptor = next;
+    controller->acceptor = next;
     return ERROR_NONE;
 }
 
-/* The acceptor's reply to a request; its members belong to the acceptor. Returns 0, and no reply, on a disk error. */
-static int acceptor_answer(struct controller *c, const struct ballot *request, struct ballot_reply *to)
+/* Handles a request as an acceptor and fills in the reply, whose members stay owned by the acceptor. Returns 0 on a
+ * disk error: no reply must be sent then. */
+static int acceptor_reply(struct controller *controller, const struct ballot *request, struct ballot_reply *to)
 {
-    struct acceptor *a = &c->acceptor;
+    struct acceptor *acceptor = &controller->acceptor;
     int rc = ERROR_NONE;
-    if (request->ballot > a->promised && request->phase == BALLOT_PREPARE)
-        rc = persist(c, 0, request);
-    else if (request->ballot >= a->promised && request->phase == BALLOT_ACCEPT && request->ballot != a->accepted)
-        rc = persist(c, 1, request);
+    if (request->ballot > acceptor->promised && request->phase == BALLOT_PREPARE)
+        rc = update_acceptor(controller, 0, request);
+    else if (request->ballot >= acceptor->promised && request->phase == BALLOT_ACCEPT &&
+             request->ballot != acceptor->accepted)
+        rc = update_acceptor(controller, 1, request);
     *to = (struct ballot_reply){.ballot = request->ballot,
                                 .phase = request->phase,
-                                .promised = a->promised,
-                                .accepted = a->accepted,
-                                .log_exists = ballot_over(c),
-                                .members = a->members};
+                                .promised = acceptor->promised,
+                                .accepted = acceptor->accepted,
+                                .log_exists = ballot_finished(controller),
+                                .members = acceptor->members};
     return !rc;
 }
 
 /* --- proposer ------------------------------------------------------------------- */
 
-static void give_up(struct controller *c, int64_t wait_ms)
+static void abandon_ballot(struct controller *controller, int64_t wait_ms)
 {
-    struct proposer *p = &c->proposer;
-    int64_t start_ms = world_ms(c->w) + wait_ms;
-    p->ballot = p->phase = p->best_accepted = 0;
-    p->start_ms = start_ms > p->start_ms ? start_ms : p->start_ms;
-    schema_free(&log_members_schema, &p->members);
-    p->members = (struct log_members){0};
+    struct proposer *proposer = &controller->proposer;
+    int64_t start_ms = world_ms(controller->w) + wait_ms;
+    proposer->ballot = proposer->phase = proposer->best_accepted = 0;
+    proposer->start_ms = start_ms > proposer->start_ms ? start_ms : proposer->start_ms;
+    schema_free(&log_members_schema, &proposer->members);
+    proposer->members = (struct log_members){0};
 }
 
-static void on_reply(struct controller *c, int64_t from, const struct ballot_reply *reply);
+static void on_reply(struct controller *controller, int64_t from, const struct ballot_reply *reply);
 
-/* Sends the request of the current phase to all acceptors; the local one first, which persists the ballot so that it is
- * never used twice. */
-static void send_ballot(struct controller *c)
+/* Sends the request of the current phase to all acceptors, first to the local one: it saves the ballot, so that the
+ * ballot is never used twice. */
+static void send_ballot(struct controller *controller)
 {
-    struct proposer *p = &c->proposer;
-    struct ballot m = {.ballot = p->ballot, .phase = p->phase};
-    int64_t self = (int64_t)c->w->self, phase = p->phase;
+    struct proposer *proposer = &controller->proposer;
+    struct ballot message = {.ballot = proposer->ballot, .phase = proposer->phase};
+    int64_t self = (int64_t)controller->w->self, phase = proposer->phase;
     struct ballot_reply reply;
     if (phase == BALLOT_ACCEPT)
-        m.members = p->members;
-    if (!(p->answered >> rank_of(c, self) & 1)) {
-        if (!acceptor_answer(c, &m, &reply))
+        message.members = proposer->members;
+    if (!(proposer->answered >> rank_of(controller, self) & 1)) {
+        if (!acceptor_reply(controller, &message, &reply))
             return;
-        on_reply(c, self, &reply);
+        on_reply(controller, self, &reply);
     }
-    for (int64_t i = 0; i < c->acceptor.n_seeds && p->ballot == m.ballot && p->phase == phase; i++)
-        if (c->acceptor.seeds[i] != self) /* also those that replied: it keeps them from proposing */
-            controller_send(c, c->acceptor.seeds[i], FRAME_BALLOT, &ballot_schema, &m);
+    for (int64_t i = 0;
+         i < controller->acceptor.n_seeds && proposer->ballot == message.ballot && proposer->phase == phase; i++)
+        if (controller->acceptor.seeds[i] != self) /* also to those that replied: it keeps them from proposing */
+            controller_send(controller, controller->acceptor.seeds[i], FRAME_BALLOT, &ballot_schema, &message);
 }
 
-static int majority_answered(const struct controller *c)
+static int majority_agreed(const struct controller *controller)
 {
-    return __builtin_popcountll((unsigned long long)c->proposer.answered) > c->acceptor.n_seeds / 2;
+    return __builtin_popcountll((unsigned long long)controller->proposer.answered) > controller->acceptor.n_seeds / 2;
 }
 
-/* After promises of a majority: proposes the list accepted under the highest ballot, else a list of its own choice. */
-static void begin_accept(struct controller *c)
+/* Called after a majority has promised: proposes the list that was accepted under the highest ballot, or else a list of
+ * its own choice. */
+static void begin_accept(struct controller *controller)
 {
-    struct proposer *p = &c->proposer;
-    if (!p->members.n)
-        bootstrap_pick(c, &p->members);
-    if (!p->members.n)
+    struct proposer *proposer = &controller->proposer;
+    if (!proposer->members.n)
+        bootstrap_pick(controller, &proposer->members);
+    if (!proposer->members.n)
         return;
-    p->phase = BALLOT_ACCEPT;
-    p->answered = 0;
-    send_ballot(c);
+    proposer->phase = BALLOT_ACCEPT;
+    proposer->answered = 0;
+    send_ballot(controller);
 }
 
-static void on_reply(struct controller *c, int64_t from, const struct ballot_reply *reply)
+static void on_reply(struct controller *controller, int64_t from, const struct ballot_reply *reply)
 {
-    struct proposer *p = &c->proposer;
-    int64_t rank = rank_of(c, from);
+    struct proposer *proposer = &controller->proposer;
+    int64_t rank = rank_of(controller, from);
     if (rank < 0)
         return;
-    if (reply->promised > p->highest_promised)
-        p->highest_promised = reply->promised;
-    if (!p->ballot || reply->ballot != p->ballot || reply->phase != p->phase)
+    if (reply->promised > proposer->highest_promised)
+        proposer->highest_promised = reply->promised;
+    if (!proposer->ballot || reply->ballot != proposer->ballot || reply->phase != proposer->phase)
         return;
-    if (reply->log_exists || reply->promised > p->ballot) {
-        give_up(c, reply->log_exists ? AGAIN_MS : RETRY_MS + (int64_t)(world_random(c->w) % RETRY_MS));
+    if (reply->log_exists || reply->promised > proposer->ballot) {
+        abandon_ballot(controller, reply->log_exists ? RESTART_WAIT_MS
+                                                     : RETRY_MS + (int64_t)(world_random(controller->w) % RETRY_MS));
         return;
     }
-    p->answered |= 1LL << rank;
-    if (p->phase == BALLOT_PREPARE && reply->accepted > p->best_accepted) {
-        p->best_accepted = reply->accepted;
-        schema_free(&log_members_schema, &p->members);
-        schema_copy(&log_members_schema, &p->members, &reply->members);
+    proposer->answered |= 1LL << rank;
+    if (proposer->phase == BALLOT_PREPARE && reply->accepted > proposer->best_accepted) {
+        proposer->best_accepted = reply->accepted;
+        schema_free(&log_members_schema, &proposer->members);
+        schema_copy(&log_members_schema, &proposer->members, &reply->members);
     }
-    if (!majority_answered(c))
+    if (!majority_agreed(controller))
         return;
-    if (p->phase == BALLOT_ACCEPT)
-        bootstrap_chosen(c, &p->members);
-    else if (p->best_accepted)
-        begin_accept(c);
+    if (proposer->phase == BALLOT_ACCEPT)
+        bootstrap_chosen(controller, &proposer->members);
+    else if (proposer->best_accepted)
+        begin_accept(controller);
 }
 
-void ballot_on_timer(struct controller *c)
+void ballot_on_timer(struct controller *controller)
 {
-    struct proposer *p = &c->proposer;
-    int64_t now_ms = world_ms(c->w), rank = rank_of(c, (int64_t)c->w->self), top = p->highest_promised;
-    if (!p->ballot) {
-        int64_t since_ms = p->heard_ms > p->start_ms ? p->heard_ms : p->start_ms;
+    struct proposer *proposer = &controller->proposer;
+    int64_t now_ms = world_ms(controller->w), rank = rank_of(controller, (int64_t)controller->w->self),
+            highest = proposer->highest_promised;
+    if (!proposer->ballot) {
+        int64_t since_ms = proposer->heard_ms > proposer->start_ms ? proposer->heard_ms : proposer->start_ms;
         if (now_ms < since_ms + rank * TAKE_OVER_MS || rank >= RANKS)
             return;
-        if (c->acceptor.promised > top)
-            top = c->acceptor.promised;
-        int64_t round = top / RANKS / RANDOM + 1;
-        p->ballot = (round * RANDOM + (int64_t)(world_random(c->w) % RANDOM)) * RANKS + rank;
-        p->phase = BALLOT_PREPARE;
-        p->answered = 0;
-    } else if (p->phase == BALLOT_PREPARE && majority_answered(c)) {
-        begin_accept(c);
-        if (p->phase != BALLOT_PREPARE)
+        if (controller->acceptor.promised > highest)
+            highest = controller->acceptor.promised;
+        int64_t round = highest / RANKS / RANDOM_RANGE + 1;
+        proposer->ballot =
+            (round * RANDOM_RANGE + (int64_t)(world_random(controller->w) % RANDOM_RANGE)) * RANKS + rank;
+        proposer->phase = BALLOT_PREPARE;
+        proposer->answered = 0;
+    } else if (proposer->phase == BALLOT_PREPARE && majority_agreed(controller)) {
+        begin_accept(controller);
+        if (proposer->phase != BALLOT_PREPARE)
             return;
     }
-    send_ballot(c);
+    send_ballot(controller);
 }
 
-void ballot_take(struct controller *c, const struct frame *frame)
+void ballot_on_frame(struct controller *controller, const struct frame *frame)
 {
     union {
         struct ballot ballot;
         struct ballot_reply reply;
-    } m = {0};
+    } message = {0};
     const struct schema *schema = frame->kind == FRAME_BALLOT ? &ballot_schema : &ballot_reply_schema;
     int64_t from = (int64_t)frame->from;
     struct ballot_reply reply;
-    if (!c->may_bootstrap || c->log.broken || rank_of(c, (int64_t)c->w->self) < 0 || rank_of(c, from) < 0 ||
-        schema_unpack(schema, &m, frame->body, frame->len))
+    if (!controller->may_bootstrap || controller->log.broken || rank_of(controller, (int64_t)controller->w->self) < 0 ||
+        rank_of(controller, from) < 0 || schema_unpack(schema, &message, frame->body, frame->len))
         return;
     if (frame->kind == FRAME_BALLOT_REPLY) {
-        if (!c->chosen_members.n)
-            on_reply(c, from, &m.reply);
-    } else if ((m.ballot.phase == BALLOT_PREPARE || (m.ballot.phase == BALLOT_ACCEPT && m.ballot.members.n)) &&
-               acceptor_answer(c, &m.ballot, &reply)) {
-        if (m.ballot.ballot == c->acceptor.promised)
-            c->proposer.heard_ms = world_ms(c->w);
-        controller_send(c, from, FRAME_BALLOT_REPLY, &ballot_reply_schema, &reply);
+        if (!controller->chosen_members.n)
+            on_reply(controller, from, &message.reply);
+    } else if ((message.ballot.phase == BALLOT_PREPARE ||
+                (message.ballot.phase == BALLOT_ACCEPT && message.ballot.members.n)) &&
+               acceptor_reply(controller, &message.ballot, &reply)) {
+        if (message.ballot.ballot == controller->acceptor.promised)
+            controller->proposer.heard_ms = world_ms(controller->w);
+        controller_send(controller, from, FRAME_BALLOT_REPLY, &ballot_reply_schema, &reply);
     }
-    schema_free(schema, &m);
+    schema_free(schema, &message);
 }
 
-void ballot_end(struct controller *c)
+void ballot_end(struct controller *controller)
 {
-    schema_free(&acceptor_schema, &c->acceptor);
-    schema_free(&log_members_schema, &c->proposer.members);
+    schema_free(&acceptor_schema, &controller->acceptor);
+    schema_free(&log_members_schema, &controller->proposer.members);
 }
--- a/src/controller/bootstrap.c
+++ b/src/controller/bootstrap.c
@@ -1,7 +1,7 @@
-/* Bootstrap of the log. At the first start of a fleet every controller with a disk announces itself to the seeds
- * (FRAME_COLLECT); the seeds agree on a list of voters (ballot.c) and send it to those (FRAME_FOUNDERS), which start
- * the log with it. A voter receives a list only after a majority of the seeds has accepted it, and never takes a
- * second. */
+/* Bootstrap of the log. At the first start of a fleet, each controller with a disk announces itself to the seeds
+ * (FRAME_COLLECT). The seeds agree on a list of voters (ballot.c) and send it to these voters (FRAME_FOUNDERS), which
+ * start the log with it. The list is sent only after a majority of the seeds has accepted it, and a voter never takes a
+ * second list. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -10,88 +10,91 @@
 #include "controller/controller_state.h"
 
 enum {
-    TELL_MS = 200,    /* between two announcements */
-    QUIET_MS = 600,   /* no new candidate for so long: all are probably known */
-    ENOUGH_MS = 1200, /* after the first candidate: enough candidates suffice */
-    LONG_MS = 3000,   /* after the first candidate: any number suffices */
-    VOTERS_LEAST = 3
+    ANNOUNCE_MS = 200,      /* between two announcements */
+    QUIET_MS = 600,         /* time without a new candidate after which all are probably known */
+    ENOUGH_WAIT_MS = 1200,  /* time after the first candidate at which the wanted number of candidates suffices */
+    LONGEST_WAIT_MS = 3000, /* time after the first candidate at which any number of candidates suffices */
+    VOTERS_MIN = 3          /* least number of voters that is wanted */
 };
 
-int64_t controller_voters_wanted(const struct controller *c, int64_t there)
+int64_t controller_voters_wanted(const struct controller *controller, int64_t available)
 {
-    int64_t lost = c->setup.machines_lost > c->setup.zones_lost ? c->setup.machines_lost : c->setup.zones_lost;
-    int64_t want = 2 * lost + 1 > VOTERS_LEAST ? 2 * lost + 1 : VOTERS_LEAST;
-    if (want > there)
-        want = there;
-    return want & 1 ? want : want - 1;
+    int64_t lost = controller->setup.machines_lost > controller->setup.zones_lost ? controller->setup.machines_lost
+                                                                                  : controller->setup.zones_lost;
+    int64_t wanted = 2 * lost + 1 > VOTERS_MIN ? 2 * lost + 1 : VOTERS_MIN;
+    if (wanted > available)
+        wanted = available;
+    return wanted & 1 ? wanted : wanted - 1;
 }
 
-/* Is this identity among the bootstrap members? */
-static int is_bootstrap_voter(const struct controller *c)
+/* Whether this controller's identity is among the bootstrap members. */
+static int is_bootstrap_voter(const struct controller *controller)
 {
-    for (int64_t i = 0; i < c->bootstrap_members.n; i++)
-        if (c->bootstrap_members.members[i].id == c->id)
+    for (int64_t i = 0; i < controller->bootstrap_members.n; i++)
+        if (controller->bootstrap_members.members[i].id == controller->id)
             return 1;
     return 0;
 }
 
-int bootstrap_load(struct controller *c)
+int bootstrap_load(struct controller *controller)
 {
-    int rc = ballot_load(c);
-    if (rc || !c->votes)
+    int rc = ballot_load(controller);
+    if (rc || !controller->votes)
         return rc;
-    rc = log_load_schema(c->w, "founding", &log_members_schema, &c->bootstrap_members);
+    rc = log_load_schema(controller->w, "founding", &log_members_schema, &controller->bootstrap_members);
     if (rc)
         return rc == ERROR_NO_SUCH ? ERROR_NONE : rc;
-    return is_bootstrap_voter(c) && controller_empty(c) ? log_bootstrap(&c->log, &c->bootstrap_members) : ERROR_NONE;
+    return is_bootstrap_voter(controller) && controller_empty(controller)
+               ? log_bootstrap(&controller->log, &controller->bootstrap_members)
+               : ERROR_NONE;
 }
 
-/* Starts the log with the chosen members, synced first. Only an empty disk does so, and only with a list that has its
- * identity, which was created together with that disk. */
-static void take_members(struct controller *c, const struct log_members *members)
+/* Starts the log with the chosen members, after they are synced. Does nothing unless the log is empty and the list has
+ * the identity of this controller, which was created together with its disk. */
+static void start_log(struct controller *controller, const struct log_members *members)
 {
     struct log_members copy = {0};
-    if (!c->votes || c->bootstrap_members.n || !controller_empty(c))
+    if (!controller->votes || controller->bootstrap_members.n || !controller_empty(controller))
         return;
     schema_copy(&log_members_schema, &copy, members);
-    struct log_members old = c->bootstrap_members;
-    c->bootstrap_members = copy;
-    if (!is_bootstrap_voter(c) || log_save_schema(c->w, "founding", &log_members_schema, members)) {
+    struct log_members old = controller->bootstrap_members;
+    controller->bootstrap_members = copy;
+    if (!is_bootstrap_voter(controller) || log_save_schema(controller->w, "founding", &log_members_schema, members)) {
         schema_free(&log_members_schema, &copy);
-        c->bootstrap_members = old;
+        controller->bootstrap_members = old;
         return;
     }
-    c->bootstrapped_ms = world_ms(c->w);
-    log_bootstrap(&c->log, members);
-    world_note(c->w, EV_FOUNDED, "voters=%lld", (long long)members->n);
+    controller->bootstrapped_ms = world_ms(controller->w);
+    log_bootstrap(&controller->log, members);
+    world_note(controller->w, EV_FOUNDED, "voters=%lld", (long long)members->n);
 }
 
 /* --- seeds ------------------------------------------------------------ */
 
-static void on_collect(struct controller *c, const struct collect *announced)
+static void on_collect(struct controller *controller, const struct collect *announced)
 {
     struct bootstrap_candidate *at = NULL;
-    int64_t now_ms = world_ms(c->w);
-    for (int64_t i = 0; i < c->n_candidates && !at; i++)
-        if (c->candidates[i].announced.addr == announced->addr)
-            at = &c->candidates[i];
+    int64_t now_ms = world_ms(controller->w);
+    for (int64_t i = 0; i < controller->n_candidates && !at; i++)
+        if (controller->candidates[i].announced.addr == announced->addr)
+            at = &controller->candidates[i];
     if (!at) {
-        if (c->n_candidates == CANDIDATES_MAX)
+        if (controller->n_candidates == CANDIDATES_MAX)
             return;
-        at = list_more(c->candidates, c->n_candidates);
-        c->last_new_ms = now_ms;
-        if (!c->first_heard_ms)
-            c->first_heard_ms = now_ms;
+        at = list_more(controller->candidates, controller->n_candidates);
+        controller->last_new_ms = now_ms;
+        if (!controller->first_heard_ms)
+            controller->first_heard_ms = now_ms;
     }
     schema_free(&collect_schema, &at->announced);
     schema_copy(&collect_schema, &at->announced, announced);
     at->heard_ms = now_ms;
 }
 
-/* Only candidates heard lately become voters; a silent one would have to be replaced at once. */
-static int is_heard(const struct controller *c, const struct bootstrap_candidate *one)
+/* Only candidates heard recently become voters: a silent one would have to be replaced at once. */
+static int heard_recently(const struct controller *controller, const struct bootstrap_candidate *candidate)
 {
-    return world_ms(c->w) - one->heard_ms <= QUIET_MS;
+    return world_ms(controller->w) - candidate->heard_ms <= QUIET_MS;
 }
 
 static int by_zone(const void *a, const void *b)
@@ -101,7 +104,7 @@
     return zones ? zones : x->announced.addr < y->announced.addr ? -1 : x->announced.addr > y->announced.addr;
 }
 
-static int64_t in_zone(const struct log_members *members, const char *zone)
+static int64_t voters_in_zone(const struct log_members *members, const char *zone)
 {
     int64_t n = 0;
     for (int64_t i = 0; i < members->n; i++)
@@ -109,142 +112,147 @@
     return n;
 }
 
-/* Adds up to want voters to the list, one at a time, each from the zone that has the fewest so far. */
-static void pick(struct controller *c, struct log_members *to, int64_t want)
+/* Adds voters to the list until it has the wanted number, each from the zone that has the fewest voters so far. */
+static void pick_voters(struct controller *controller, struct log_members *to, int64_t wanted)
 {
-    char *taken = must_alloc((size_t)c->n_candidates + 1);
-    qsort(c->candidates, (size_t)c->n_candidates, sizeof *c->candidates, by_zone);
-    while (to->n < want) {
+    char *taken = must_alloc((size_t)controller->n_candidates + 1);
+    qsort(controller->candidates, (size_t)controller->n_candidates, sizeof *controller->candidates, by_zone);
+    while (to->n < wanted) {
         int64_t best = -1;
-        for (int64_t i = 0; i < c->n_candidates; i++) {
-            const struct collect *announced = &c->candidates[i].announced;
-            if (!taken[i] && announced->empty && is_heard(c, &c->candidates[i]) &&
-                (best < 0 || in_zone(to, announced->zone) < in_zone(to, c->candidates[best].announced.zone)))
+        for (int64_t i = 0; i < controller->n_candidates; i++) {
+            const struct collect *announced = &controller->candidates[i].announced;
+            if (!taken[i] && announced->empty && heard_recently(controller, &controller->candidates[i]) &&
+                (best < 0 ||
+                 voters_in_zone(to, announced->zone) < voters_in_zone(to, controller->candidates[best].announced.zone)))
                 best = i;
         }
         if (best < 0)
             break;
         taken[best] = 1;
-        const struct collect *announced = &c->candidates[best].announced;
+        const struct collect *announced = &controller->candidates[best].announced;
         *list_more(to->members, to->n) = (struct log_member){
             .id = announced->id, .addr = announced->addr, .voter = VOTES, .zone = must_dup(announced->zone)};
     }
     free(taken);
 }
 
-void bootstrap_pick(struct controller *c, struct log_members *to)
+void bootstrap_pick(struct controller *controller, struct log_members *to)
 {
-    int64_t now_ms = world_ms(c->w), empty = 0, since_ms = now_ms - c->first_heard_ms;
-    if (!c->first_heard_ms || c->directory.term)
+    int64_t now_ms = world_ms(controller->w), empty = 0, since_ms = now_ms - controller->first_heard_ms;
+    if (!controller->first_heard_ms || controller->directory.term)
         return;
-    for (int64_t i = 0; i < c->n_candidates; i++) {
-        const struct collect *announced = &c->candidates[i].announced;
+    for (int64_t i = 0; i < controller->n_candidates; i++) {
+        const struct collect *announced = &controller->candidates[i].announced;
         if (announced->members.n) {
-            schema_copy(&log_members_schema, to, &announced->members); /* it took a list, so that list was chosen */
+            schema_copy(&log_members_schema, to, &announced->members); /* a log is started only with the chosen list */
             return;
         }
-        empty += is_heard(c, &c->candidates[i]) && announced->empty;
+        empty += heard_recently(controller, &controller->candidates[i]) && announced->empty;
     }
-    int enough = empty >= controller_voters_wanted(c, INT64_MAX) &&
-                 ((since_ms >= QUIET_MS && now_ms - c->last_new_ms >= QUIET_MS) || since_ms >= ENOUGH_MS);
-    if (empty && (enough || since_ms >= LONG_MS))
-        pick(c, to, controller_voters_wanted(c, empty));
+    int enough = empty >= controller_voters_wanted(controller, INT64_MAX) &&
+                 ((since_ms >= QUIET_MS && now_ms - controller->last_new_ms >= QUIET_MS) || since_ms >= ENOUGH_WAIT_MS);
+    if (empty && (enough || since_ms >= LONGEST_WAIT_MS))
+        pick_voters(controller, to, controller_voters_wanted(controller, empty));
 }
 
-/* Sends the chosen list to each of its voters that has not announced yet that it took it. */
-static void tell_chosen(struct controller *c)
+/* Sends the chosen list to those of its voters that have not yet announced that their log was started with it. */
+static void send_chosen(struct controller *controller)
 {
-    for (int64_t i = 0; i < c->chosen_members.n; i++) {
-        const struct log_member *m = &c->chosen_members.members[i];
+    for (int64_t i = 0; i < controller->chosen_members.n; i++) {
+        const struct log_member *member = &controller->chosen_members.members[i];
         int accepted = 0;
-        for (int64_t k = 0; k < c->n_candidates; k++)
-            accepted |= c->candidates[k].announced.id == m->id && c->candidates[k].announced.members.n > 0;
+        for (int64_t k = 0; k < controller->n_candidates; k++)
+            accepted |= controller->candidates[k].announced.id == member->id &&
+                        controller->candidates[k].announced.members.n > 0;
         if (accepted)
             continue;
-        if (m->addr == (int64_t)c->w->self)
-            take_members(c, &c->chosen_members);
+        if (member->addr == (int64_t)controller->w->self)
+            start_log(controller, &controller->chosen_members);
         else
-            controller_send(c, m->addr, FRAME_FOUNDERS, &log_members_schema, &c->chosen_members);
+            controller_send(controller, member->addr, FRAME_FOUNDERS, &log_members_schema, &controller->chosen_members);
     }
 }
 
-void bootstrap_chosen(struct controller *c, const struct log_members *members)
+void bootstrap_chosen(struct controller *controller, const struct log_members *members)
 {
-    if (c->chosen_members.n)
+    if (controller->chosen_members.n)
         return;
-    schema_copy(&log_members_schema, &c->chosen_members, members);
-    tell_chosen(c);
+    schema_copy(&log_members_schema, &controller->chosen_members, members);
+    send_chosen(controller);
 }
 
 /* --- all controllers ---------------------------------------------------------------------------- */
 
-/* Does this controller announce itself? Until it is certain that the log is running. */
-static int announces(const struct controller *c)
+/* Whether this controller announces itself: it does so until it is certain that the log is running. */
+static int must_announce(const struct controller *controller)
 {
-    int recently = c->bootstrapped_ms && world_ms(c->w) - c->bootstrapped_ms < 2LL * LONG_MS;
-    return c->votes && c->may_bootstrap && (c->bootstrap_members.n ? recently || !c->log.commit : controller_empty(c));
+    int recently =
+        controller->bootstrapped_ms && world_ms(controller->w) - controller->bootstrapped_ms < 2LL * LONGEST_WAIT_MS;
+    return controller->votes && controller->may_bootstrap &&
+           (controller->bootstrap_members.n ? recently || !controller->log.commit : controller_empty(controller));
 }
 
-static int is_seed(const struct controller *c, int64_t addr)
+static int is_seed(const struct controller *controller, int64_t addr)
 {
-    for (int64_t i = 0; i < c->acceptor.n_seeds; i++)
-        if (c->acceptor.seeds[i] == addr)
+    for (int64_t i = 0; i < controller->acceptor.n_seeds; i++)
+        if (controller->acceptor.seeds[i] == addr)
             return 1;
     return 0;
 }
 
-void bootstrap_on_timer(struct controller *c)
+void bootstrap_on_timer(struct controller *controller)
 {
-    int64_t now_ms = world_ms(c->w), self = (int64_t)c->w->self;
-    if (!c->may_bootstrap || now_ms < c->bootstrap_ms)
+    int64_t now_ms = world_ms(controller->w), self = (int64_t)controller->w->self;
+    if (!controller->may_bootstrap || now_ms < controller->bootstrap_ms)
         return;
-    c->bootstrap_ms = now_ms + TELL_MS;
-    if (announces(c)) {
-        struct collect announced = {.id = c->id,
+    controller->bootstrap_ms = now_ms + ANNOUNCE_MS;
+    if (must_announce(controller)) {
+        struct collect announced = {.id = controller->id,
                                     .addr = self,
-                                    .zone = c->zone,
-                                    .empty = !c->bootstrap_members.n,
-                                    .members = c->bootstrap_members};
-        for (int64_t i = 0; i < c->acceptor.n_seeds; i++) {
-            if (c->acceptor.seeds[i] == self)
-                on_collect(c, &announced);
+                                    .zone = controller->zone,
+                                    .empty = !controller->bootstrap_members.n,
+                                    .members = controller->bootstrap_members};
+        for (int64_t i = 0; i < controller->acceptor.n_seeds; i++) {
+            if (controller->acceptor.seeds[i] == self)
+                on_collect(controller, &announced);
             else
-                controller_send(c, c->acceptor.seeds[i], FRAME_COLLECT, &collect_schema, &announced);
+                controller_send(controller, controller->acceptor.seeds[i], FRAME_COLLECT, &collect_schema, &announced);
         }
     }
-    if (!is_seed(c, self) || ballot_over(c))
+    if (!is_seed(controller, self) || ballot_finished(controller))
         return;
-    if (c->chosen_members.n)
-        tell_chosen(c);
+    if (controller->chosen_members.n)
+        send_chosen(controller);
     else
-        ballot_on_timer(c);
+        ballot_on_timer(controller);
 }
 
-void bootstrap_take(struct controller *c, const struct frame *frame)
+void bootstrap_take(struct controller *controller, const struct frame *frame)
 {
     if (frame->kind == FRAME_BALLOT || frame->kind == FRAME_BALLOT_REPLY) {
-        ballot_take(c, frame);
+        ballot_on_frame(controller, frame);
         return;
     }
     if (frame->kind == FRAME_COLLECT) {
         struct collect announced = {0};
-        if (c->may_bootstrap && !schema_unpack(&collect_schema, &announced, frame->body, frame->len) && announced.zone)
-            on_collect(c, &announced);
+        if (controller->may_bootstrap && !schema_unpack(&collect_schema, &announced, frame->body, frame->len) &&
+            announced.zone)
+            on_collect(controller, &announced);
         schema_free(&collect_schema, &announced);
         return;
     }
     struct log_members members = {0};
     if (!schema_unpack(&log_members_schema, &members, frame->body, frame->len))
-        take_members(c, &members);
+        start_log(controller, &members);
     schema_free(&log_members_schema, &members);
 }
 
-void bootstrap_end(struct controller *c)
+void bootstrap_end(struct controller *controller)
 {
-    ballot_end(c);
-    for (int64_t i = 0; i < c->n_candidates; i++)
-        schema_free(&collect_schema, &c->candidates[i].announced);
-    free(c->candidates);
-    schema_free(&log_members_schema, &c->bootstrap_members);
-    schema_free(&log_members_schema, &c->chosen_members);
+    ballot_end(controller);
+    for (int64_t i = 0; i < controller->n_candidates; i++)
+        schema_free(&collect_schema, &controller->candidates[i].announced);
+    free(controller->candidates);
+    schema_free(&log_members_schema, &controller->bootstrap_members);
+    schema_free(&log_members_schema, &controller->chosen_members);
 }
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -1,5 +1,5 @@
-/* Life of a controller: connects the log, the record, dispatch and the other modules of this folder, and hands each
- * frame to the module it is for. */
+/* Life cycle of a controller: connects the log, the record, dispatch and the other modules of this folder, and passes
+ * each frame to the module that handles it. */
 #include "controller/controller_state.h"
 
 #include <stdlib.h>
@@ -13,19 +13,19 @@
     ELECTION_MS = 500,
     SNAPSHOT_EVERY = 2000,
     KEEP_ENTRIES = 500,
-    SERVE_ON_MS = 2500,  /* after a request to stop: callers may still have this address */
-    HAND_OVER_MS = 1000, /* a leader steps down if its successor has not been elected by then */
-    REOPEN_MS = 1000     /* after a disk error, until the log is read again */
+    SERVE_WHILE_LEAVING_MS = 2500, /* requests are served this long after a request to stop: callers may still come */
+    HAND_OVER_MS = 1000,           /* a leader that handed over steps down if no successor is elected in this time */
+    REOPEN_MS = 1000               /* time after a disk error until the log is read again */
 };
 
 /* --- state machine of the log: the record --------------------------------------------------- */
 
 static void apply(void *arg, int64_t index, const struct bytes *op, struct bytes *out)
 {
-    struct controller *c = arg;
+    struct controller *controller = arg;
     struct record_result result = {0};
     (void)index;
-    if (record_apply_batch(&c->record, op, out ? &result : NULL))
+    if (record_apply_batch(&controller->record, op, out ? &result : NULL))
         return;
     if (out)
         schema_pack(&record_result_schema, &result, out);
@@ -34,28 +34,29 @@
 
 static void snapshot(void *arg, struct bytes *to) { record_snapshot(&((struct controller *)arg)->record, to); }
 
-/* Replaces the contents of the record by fresh, which it then owns. Its observer stays. */
-static void record_swap(struct record *record, const struct record *fresh)
+/* Replaces the contents of the record by those of fresh, and takes over their ownership. The observer of the record and
+ * its function for patches are kept. */
+static void record_replace(struct record *record, const struct record *fresh)
 {
-    struct record former = *record;
+    struct record previous = *record;
     *record = *fresh;
-    record->changed = former.changed;
-    record->arg = former.arg;
-    record->patch_config = former.patch_config;
-    record_end(&former);
+    record->changed = previous.changed;
+    record->arg = previous.arg;
+    record->patch_config = previous.patch_config;
+    record_end(&previous);
 }
 
 static void record_clear(struct record *record)
 {
     struct record fresh;
     record_start(&fresh);
-    record_swap(record, &fresh);
+    record_replace(record, &fresh);
 }
 
-/* All or nothing: what cannot be read leaves the record as it was. */
+/* Restores the record from a snapshot. A snapshot that cannot be read leaves the record unchanged. */
 static int restore(void *arg, const struct bytes *from)
 {
-    struct controller *c = arg;
+    struct controller *controller = arg;
     struct record fresh;
     record_start(&fresh);
     int rc = record_restore(&fresh, from);
@@ -63,42 +64,45 @@
         record_end(&fresh);
         return rc;
     }
-    if (c->dispatch && dispatch_leads(c->dispatch))
-        dispatch_follow(c->dispatch); /* its belief points into the record */
-    record_swap(&c->record, &fresh);
+    if (controller->dispatch && dispatch_leads(controller->dispatch))
+        dispatch_follow(controller->dispatch); /* the state of a leading dispatch points into the record */
+    record_replace(&controller->record, &fresh);
     return ERROR_NONE;
 }
 
 /* --- calls of dispatch ------------------------------------------------------- */
 
-static void committed(void *arg, int64_t tag, int error, const struct bytes *result)
+static void on_committed(void *arg, int64_t tag, int error, const struct bytes *result)
 {
     dispatch_committed(((struct controller *)arg)->dispatch, tag, error, result);
 }
 
 static void propose(void *arg, const struct bytes *batch, int64_t tag)
 {
-    struct controller *c = arg;
-    if (c->votes)
-        log_propose(&c->log, ENTRY_OP, batch, committed, c, tag);
+    struct controller *controller = arg;
+    if (controller->votes)
+        log_propose(&controller->log, ENTRY_OP, batch, on_committed, controller, tag);
     else
-        dispatch_committed(c->dispatch, tag, ERROR_NOT_LEADER, NULL);
+        dispatch_committed(controller->dispatch, tag, ERROR_NOT_LEADER, NULL);
 }
 
-static void answer(void *arg, int64_t ticket, const struct api_response *answer) { relay_answer(arg, ticket, answer); }
+static void on_dispatch_response(void *arg, int64_t ticket, const struct api_response *response)
+{
+    relay_response(arg, ticket, response);
+}
 
-static void orders(void *arg, int64_t agent, const struct agent_orders *orders)
+static void send_orders(void *arg, int64_t agent, const struct agent_orders *orders)
 {
     controller_send(arg, agent, FRAME_ORDERS, &agent_orders_schema, orders);
 }
 
 static int leads(void *arg)
 {
-    struct controller *c = arg;
-    return c->votes && log_leads(&c->log);
+    struct controller *controller = arg;
+    return controller->votes && log_leads(&controller->log);
 }
 
-static void confirmed(void *arg, int64_t tag, int error, const struct bytes *unused)
+static void on_read_confirmed(void *arg, int64_t tag, int error, const struct bytes *unused)
 {
     (void)unused;
     dispatch_barrier(((struct controller *)arg)->dispatch, tag, error);
@@ -106,140 +110,150 @@
 
 static void barrier(void *arg, int64_t tag)
 {
-    struct controller *c = arg;
-    if (c->votes)
-        log_read(&c->log, confirmed, c, tag);
+    struct controller *controller = arg;
+    if (controller->votes)
+        log_read(&controller->log, on_read_confirmed, controller, tag);
     else
-        dispatch_barrier(c->dispatch, tag, ERROR_NOT_LEADER);
+        dispatch_barrier(controller->dispatch, tag, ERROR_NOT_LEADER);
 }
 
-/* --- life ------------------------------------------------------------------------------ */
+/* --- life cycle ------------------------------------------------------------------------ */
 
-static int open_log(struct controller *c)
+static int open_log(struct controller *controller)
 {
-    const struct log_machine machine = {.arg = c, .apply = apply, .snapshot = snapshot, .restore = restore};
-    log_start(&c->log, c->w, c->cluster, GROUP_JOBS, c->id, &machine);
-    c->log.settings.heartbeat_ms = HEARTBEAT_MS;
-    c->log.settings.election_ms = ELECTION_MS;
-    c->log.settings.snapshot_every = c->setup.log.snapshot_every ? c->setup.log.snapshot_every : SNAPSHOT_EVERY;
-    c->log.settings.keep_entries = c->setup.log.keep_entries ? c->setup.log.keep_entries : KEEP_ENTRIES;
-    if (c->setup.log.segment_bytes)
-        c->log.settings.segment_bytes = c->setup.log.segment_bytes;
-    log_election_reset(&c->log);
-    int rc = log_load(&c->log);
-    if (!rc && !controller_empty(c))
-        c->log.votes_from_ms = world_ms(c->w) + ELECTION_MS;
+    const struct log_machine machine = {.arg = controller, .apply = apply, .snapshot = snapshot, .restore = restore};
+    log_start(&controller->log, controller->w, controller->cluster, GROUP_JOBS, controller->id, &machine);
+    controller->log.settings.heartbeat_ms = HEARTBEAT_MS;
+    controller->log.settings.election_ms = ELECTION_MS;
+    controller->log.settings.snapshot_every =
+        controller->setup.log.snapshot_every ? controller->setup.log.snapshot_every : SNAPSHOT_EVERY;
+    controller->log.settings.keep_entries =
+        controller->setup.log.keep_entries ? controller->setup.log.keep_entries : KEEP_ENTRIES;
+    if (controller->setup.log.segment_bytes)
+        controller->log.settings.segment_bytes = controller->setup.log.segment_bytes;
+    log_election_reset(&controller->log);
+    int rc = log_load(&controller->log);
+    if (!rc && !controller_empty(controller))
+        controller->log.votes_from_ms = world_ms(controller->w) + ELECTION_MS;
     return rc;
 }
 
 struct controller *controller_new(struct world *w, const struct controller_setup *setup)
 {
-    struct controller *c = must_alloc(sizeof *c);
-    const struct dispatch_calls calls = {
-        .propose = propose, .answer = answer, .orders = orders, .leads = leads, .barrier = barrier, .arg = c};
+    struct controller *controller = must_alloc(sizeof *controller);
+    const struct dispatch_calls calls = {.propose = propose,
+                                         .answer = on_dispatch_response,
+                                         .orders = send_orders,
+                                         .leads = leads,
+                                         .barrier = barrier,
+                                         .arg = controller};
     int rc = ERROR_NONE;
-    c->w = w;
-    c->setup = *setup;
-    c->cluster = (uint32_t)hash_text(setup->cluster);
-    c->zone = must_dup(setup->zone);
-    c->votes = setup->disk;
-    record_start(&c->record);
-    c->record.patch_config = setup->codec->patch_config;
-    directory_start(&c->directory, w, c->cluster, NULL, 0, 1, setup->disk, setup->boot);
-    controller_reread(c, setup->seeds, setup->n_seeds);
-    if (c->votes && !(rc = log_identity(w, c->cluster, &c->id)))
-        rc = open_log(c);
+    controller->w = w;
+    controller->setup = *setup;
+    controller->cluster = (uint32_t)hash_text(setup->cluster);
+    controller->zone = must_dup(setup->zone);
+    controller->votes = setup->disk;
+    record_start(&controller->record);
+    controller->record.patch_config = setup->codec->patch_config;
+    directory_start(&controller->directory, w, controller->cluster, NULL, 0, 1, setup->disk, setup->boot);
+    controller_reread(controller, setup->seeds, setup->n_seeds);
+    if (controller->votes && !(rc = log_identity(w, controller->cluster, &controller->id)))
+        rc = open_log(controller);
     if (!rc)
-        rc = bootstrap_load(c);
+        rc = bootstrap_load(controller);
     if (rc) {
-        controller_free(c);
+        controller_free(controller);
         return NULL;
     }
-    c->dispatch = dispatch_new(w, &c->record, &setup->dispatch, &calls);
-    return c;
+    controller->dispatch = dispatch_new(w, &controller->record, &setup->dispatch, &calls);
+    return controller;
 }
 
-void controller_free(struct controller *c)
+void controller_free(struct controller *controller)
 {
-    if (c->dispatch)
-        dispatch_free(c->dispatch);
-    relay_end(c);
-    bootstrap_end(c);
-    members_end(c);
-    if (c->votes)
-        log_end(&c->log);
-    record_end(&c->record);
-    free(c->zone);
-    free(c);
+    if (controller->dispatch)
+        dispatch_free(controller->dispatch);
+    relay_end(controller);
+    bootstrap_end(controller);
+    members_end(controller);
+    if (controller->votes)
+        log_end(&controller->log);
+    record_end(&controller->record);
+    free(controller->zone);
+    free(controller);
 }
 
-void controller_send(struct controller *c, int64_t to, enum frame_kind kind, const struct schema *schema,
+void controller_send(struct controller *controller, int64_t to, enum frame_kind kind, const struct schema *schema,
                      const void *msg)
 {
     struct blob *out = blob_new();
-    frame_build(&out->bytes, kind, c->cluster, c->w->self, schema, msg);
-    c->w->calls->send(c->w, (uint64_t)to, out, 0);
+    frame_build(&out->bytes, kind, controller->cluster, controller->w->self, schema, msg);
+    controller->w->calls->send(controller->w, (uint64_t)to, out, 0);
     blob_drop(out);
 }
 
-int controller_empty(const struct controller *c) { return !c->log.members.n && !log_last(&c->log) && !c->log.term; }
+int controller_empty(const struct controller *controller)
+{
+    return !controller->log.members.n && !log_last(&controller->log) && !controller->log.term;
+}
 
-void controller_reread(struct controller *c, const int64_t *seeds, int64_t n_seeds)
+void controller_reread(struct controller *controller, const int64_t *seeds, int64_t n_seeds)
 {
-    c->n_seeds = 0;
-    for (int64_t i = 0; i < n_seeds && i < COUNT_OF(c->seeds); i++)
-        c->seeds[c->n_seeds++] = seeds[i];
-    directory_seeds(&c->directory, c->seeds, c->n_seeds);
+    controller->n_seeds = 0;
+    for (int64_t i = 0; i < n_seeds && i < COUNT_OF(controller->seeds); i++)
+        controller->seeds[controller->n_seeds++] = seeds[i];
+    directory_seeds(&controller->directory, controller->seeds, controller->n_seeds);
 }
 
-/* After a disk error: reads the log again as after a restart, when only what was synced counts. Until then nothing is
- * sent under this identity. */
-static void reopen_log(struct controller *c)
+/* Reads the log again REOPEN_MS after a disk error, with what was synced only, as after a restart. Until then nothing
+ * is sent under this identity. */
+static void reopen_log(struct controller *controller)
 {
-    int64_t now_ms = world_ms(c->w);
-    if (!c->log.broken)
+    int64_t now_ms = world_ms(controller->w);
+    if (!controller->log.broken)
         return;
-    if (!c->broken_ms)
-        c->broken_ms = now_ms;
-    if (now_ms - c->broken_ms < REOPEN_MS)
+    if (!controller->disk_failed_ms)
+        controller->disk_failed_ms = now_ms;
+    if (now_ms - controller->disk_failed_ms < REOPEN_MS)
         return;
-    c->broken_ms = now_ms;
-    log_on_timer(&c->log); /* fails pending proposals and reads */
-    if (dispatch_leads(c->dispatch))
-        dispatch_follow(c->dispatch);
-    log_end(&c->log);
-    record_clear(&c->record);
-    if (open_log(c))
-        c->log.broken = 1;
+    controller->disk_failed_ms = now_ms;
+    log_on_timer(&controller->log); /* fails pending proposals and reads */
+    if (dispatch_leads(controller->dispatch))
+        dispatch_follow(controller->dispatch);
+    log_end(&controller->log);
+    record_clear(&controller->record);
+    if (open_log(controller))
+        controller->log.broken = 1;
     else
-        c->broken_ms = 0;
-}
-
-/* Starts or stops dispatch, and tells the directory, as the role in the log has changed. */
-static void follow_log(struct controller *c)
-{
-    struct log *log = &c->log;
-    int fit = log->role == LOG_LEADER && !log->broken;
-    if (!fit && dispatch_leads(c->dispatch))
-        dispatch_follow(c->dispatch);
-    /* all that former leaders committed is in the record once an entry of the own term is committed */
-    if (fit && !dispatch_leads(c->dispatch) && log_term_at(log, log->commit) == log->term)
-        dispatch_lead(c->dispatch, log->term);
-    if (fit && log_leads(log))
-        directory_learn(&c->directory, log->term, (int64_t)c->w->self);
-    else if (c->directory.leader == (int64_t)c->w->self)
-        directory_doubt(&c->directory);
-    if (!fit && log->leader_addr && log->leader_addr != (int64_t)c->w->self && log->heard_leader_ms &&
-        world_ms(c->w) - log->heard_leader_ms < 2LL * HEARTBEAT_MS)
-        directory_learn(&c->directory, log->term, log->leader_addr);
-}
-
-/* A voter that leaves lets the others be elected first; but not for longer than one election takes: it may hold
- * entries that they lack, and then none of them can be elected without it standing for election itself. */
-static void let_others_lead(struct controller *c)
-{
-    struct log *log = &c->log;
-    int64_t now_ms = world_ms(c->w), since_ms = c->leave_ms;
+        controller->disk_failed_ms = 0;
+}
+
+/* Starts or stops dispatch and updates the directory to match this controller's role in the log. */
+static void follow_log(struct controller *controller)
+{
+    struct log *log = &controller->log;
+    int is_leader = log->role == LOG_LEADER && !log->broken;
+    if (!is_leader && dispatch_leads(controller->dispatch))
+        dispatch_follow(controller->dispatch);
+    /* the record has all entries committed by earlier leaders once an entry of this leader's term is committed */
+    if (is_leader && !dispatch_leads(controller->dispatch) && log_term_at(log, log->commit) == log->term)
+        dispatch_lead(controller->dispatch, log->term);
+    if (is_leader && log_leads(log))
+        directory_learn(&controller->directory, log->term, (int64_t)controller->w->self);
+    else if (controller->directory.leader == (int64_t)controller->w->self)
+        directory_doubt(&controller->directory);
+    if (!is_leader && log->leader_addr && log->leader_addr != (int64_t)controller->w->self && log->heard_leader_ms &&
+        world_ms(controller->w) - log->heard_leader_ms < 2LL * HEARTBEAT_MS)
+        directory_learn(&controller->directory, log->term, log->leader_addr);
+}
+
+/* Delays the own candidacy of a leaving voter, so that another voter is elected first; but not for longer than an
+ * election takes: if this voter holds entries that the others lack, none of them can be elected, and it must become a
+ * candidate itself. */
+static void let_others_lead(struct controller *controller)
+{
+    struct log *log = &controller->log;
+    int64_t now_ms = world_ms(controller->w), since_ms = controller->leave_ms;
     if (log->heard_leader_ms > since_ms)
         since_ms = log->heard_leader_ms;
     if (log->handed_over_ms > since_ms)
@@ -248,142 +262,146 @@
         log->election_due_ms = now_ms + ELECTION_MS;
 }
 
-/* Planned shutdown: hands leadership over and stands for no election; see also leaving.c. */
-static void leave_on_timer(struct controller *c)
+/* Planned shutdown: hands over leadership and delays the own candidacy; see also leaving.c. */
+static void leave_on_timer(struct controller *controller)
 {
-    struct log *log = &c->log;
-    int64_t now_ms = world_ms(c->w);
+    struct log *log = &controller->log;
+    int64_t now_ms = world_ms(controller->w);
     if (log->role == LOG_LEADER && log->handed_over_ms && now_ms - log->handed_over_ms > HAND_OVER_MS)
         log_follow(log, log->term, 0);
-    if (!c->leaving)
+    if (!controller->leaving)
         return;
-    if (!c->leave_waits && now_ms - c->leave_ms >= SERVE_ON_MS && !leaving_may_end(c)) {
-        c->leave_waits = 1;
-        world_note(c->w, EV_LEAVE_WAITS, "log=%s commit=%lld", log->name, (long long)log->commit);
+    if (!controller->leave_wait_reported && now_ms - controller->leave_ms >= SERVE_WHILE_LEAVING_MS &&
+        !leaving_may_end(controller)) {
+        controller->leave_wait_reported = 1;
+        world_note(controller->w, EV_LEAVE_WAITS, "log=%s commit=%lld", log->name, (long long)log->commit);
     }
-    int in_haste = now_ms - c->leave_ms >= c->setup.grace_ms - 1000 - HAND_OVER_MS;
-    if (log->role == LOG_LEADER && !log->handed_over_ms && now_ms >= c->hand_over_ms &&
-        leaving_may_hand_over(c, in_haste)) {
-        c->hand_over_ms = now_ms + 2LL * HEARTBEAT_MS;
+    int urgent = now_ms - controller->leave_ms >= controller->setup.grace_ms - 1000 - HAND_OVER_MS;
+    if (log->role == LOG_LEADER && !log->handed_over_ms && now_ms >= controller->hand_over_ms &&
+        leaving_may_hand_over(controller, urgent)) {
+        controller->hand_over_ms = now_ms + 2LL * HEARTBEAT_MS;
         log_hand_over(log);
     } else if (log->role == LOG_FOLLOWER) {
-        let_others_lead(c);
+        let_others_lead(controller);
     }
 }
 
-void controller_on_timer(struct controller *c)
+void controller_on_timer(struct controller *controller)
 {
-    if (c->votes) {
-        log_on_timer(&c->log);
-        reopen_log(c);
-        leave_on_timer(c);
-        follow_log(c);
+    if (controller->votes) {
+        log_on_timer(&controller->log);
+        reopen_log(controller);
+        leave_on_timer(controller);
+        follow_log(controller);
     }
-    if (!c->log.broken)
-        bootstrap_on_timer(c);
-    if (c->votes && !c->log.broken) {
-        members_on_timer(c);
-        leaving_on_timer(c);
+    if (!controller->log.broken)
+        bootstrap_on_timer(controller);
+    if (controller->votes && !controller->log.broken) {
+        members_on_timer(controller);
+        leaving_on_timer(controller);
     }
-    directory_on_timer(&c->directory);
-    dispatch_on_timer(c->dispatch);
-    relay_on_timer(c);
-    controller_flush(c);
+    directory_on_timer(&controller->directory);
+    dispatch_on_timer(controller->dispatch);
+    relay_on_timer(controller);
+    controller_flush(controller);
 }
 
-void controller_flush(struct controller *c)
+void controller_flush(struct controller *controller)
 {
-    if (dispatch_leads(c->dispatch))
-        dispatch_flush(c->dispatch);
-    if (c->votes)
-        log_flush(&c->log);
+    if (dispatch_leads(controller->dispatch))
+        dispatch_flush(controller->dispatch);
+    if (controller->votes)
+        log_flush(&controller->log);
 }
 
-static void take_report(struct controller *c, const struct frame *frame)
+static void on_report(struct controller *controller, const struct frame *frame)
 {
     struct agent_report report = {0};
-    if (dispatch_leads(c->dispatch) && !schema_unpack(&agent_report_schema, &report, frame->body, frame->len))
-        dispatch_report(c->dispatch, (int64_t)frame->from, &report);
+    if (dispatch_leads(controller->dispatch) && !schema_unpack(&agent_report_schema, &report, frame->body, frame->len))
+        dispatch_report(controller->dispatch, (int64_t)frame->from, &report);
     schema_free(&agent_report_schema, &report);
 }
 
-static void take_join(struct controller *c, const struct frame *frame)
+static void on_join(struct controller *controller, const struct frame *frame)
 {
     struct join join = {0};
-    if (c->votes && c->log.role == LOG_LEADER && !schema_unpack(&join_schema, &join, frame->body, frame->len))
-        members_on_join(c, &join);
+    if (controller->votes && controller->log.role == LOG_LEADER &&
+        !schema_unpack(&join_schema, &join, frame->body, frame->len))
+        members_on_join(controller, &join);
     schema_free(&join_schema, &join);
 }
 
-static void take_leaving(struct controller *c, const struct frame *frame)
+static void on_leaving(struct controller *controller, const struct frame *frame)
 {
     struct leaving message = {0};
-    if (c->votes && !c->log.broken && !schema_unpack(&leaving_schema, &message, frame->body, frame->len))
-        leaving_take(c, (int64_t)frame->from, &message);
+    if (controller->votes && !controller->log.broken &&
+        !schema_unpack(&leaving_schema, &message, frame->body, frame->len))
+        leaving_take(controller, (int64_t)frame->from, &message);
     schema_free(&leaving_schema, &message);
 }
 
-static int take_log(struct controller *c, const struct frame *frame)
+static int on_log_frame(struct controller *controller, const struct frame *frame)
 {
-    if (!c->votes || c->log.broken)
+    if (!controller->votes || controller->log.broken)
         return ERROR_NONE;
-    int rc = log_take(&c->log, frame);
-    follow_log(c);
+    int rc = log_take(&controller->log, frame);
+    follow_log(controller);
     return rc;
 }
 
-void controller_take(struct controller *c, const uint8_t *at, int64_t len)
+void controller_take(struct controller *controller, const uint8_t *at, int64_t len)
 {
     struct frame frame;
-    int rc = frame_parse(&frame, at, len, c->cluster);
-    if (!rc && !directory_take(&c->directory, &frame)) {
+    int rc = frame_parse(&frame, at, len, controller->cluster);
+    if (!rc && !directory_take(&controller->directory, &frame)) {
         if (frame_of_log(frame.kind))
-            rc = take_log(c, &frame);
+            rc = on_log_frame(controller, &frame);
         else if (frame.kind == FRAME_JOIN)
-            take_join(c, &frame);
+            on_join(controller, &frame);
         else if (frame.kind == FRAME_LEAVING)
-            take_leaving(c, &frame);
+            on_leaving(controller, &frame);
         else if (frame.kind == FRAME_COLLECT || frame.kind == FRAME_FOUNDERS || frame.kind == FRAME_BALLOT ||
                  frame.kind == FRAME_BALLOT_REPLY)
-            bootstrap_take(c, &frame);
+            bootstrap_take(controller, &frame);
         else if (frame.kind == FRAME_REQUEST || frame.kind == FRAME_RESPONSE)
-            relay_take(c, &frame);
+            relay_on_frame(controller, &frame);
         else if (frame.kind == FRAME_REPORT)
-            take_report(c, &frame);
+            on_report(controller, &frame);
         else
             rc = ERROR_BAD_FRAME;
     }
     if (rc)
-        world_note(c->w, EV_FRAME_DROPPED, "from=%s", rc == ERROR_BAD_FRAME ? "?" : addr_text(frame.from));
+        world_note(controller->w, EV_FRAME_DROPPED, "from=%s", rc == ERROR_BAD_FRAME ? "?" : addr_text(frame.from));
 }
 
-void controller_request(struct controller *c, int64_t slot, const struct http_request *request)
+void controller_request(struct controller *controller, int64_t slot, const struct http_request *request)
 {
-    relayed_request(c, slot, request);
+    relay_request(controller, slot, request);
 }
 
-void controller_give_up(struct controller *c) { relay_give_up(c); }
+void controller_give_up(struct controller *controller) { relay_give_up(controller); }
 
-void controller_leave(struct controller *c)
+void controller_leave(struct controller *controller)
 {
-    c->leaving = 1;
-    c->leave_ms = world_ms(c->w);
-    if (c->votes)
-        leave_on_timer(c);
+    controller->leaving = 1;
+    controller->leave_ms = world_ms(controller->w);
+    if (controller->votes)
+        leave_on_timer(controller);
 }
 
-int controller_left(const struct controller *c)
+int controller_left(const struct controller *controller)
 {
-    int64_t gone_ms = world_ms(c->w) - c->leave_ms;
-    return c->leaving && (gone_ms >= c->setup.grace_ms - 1000 ||
-                          (gone_ms >= SERVE_ON_MS && !c->requests.used && !c->served.used && leaving_may_end(c)));
+    int64_t leaving_for_ms = world_ms(controller->w) - controller->leave_ms;
+    return controller->leaving && (leaving_for_ms >= controller->setup.grace_ms - 1000 ||
+                                   (leaving_for_ms >= SERVE_WHILE_LEAVING_MS && !controller->requests.used &&
+                                    !controller->served.used && leaving_may_end(controller)));
 }
 
-const struct record *controller_record(const struct controller *c) { return &c->record; }
+const struct record *controller_record(const struct controller *controller) { return &controller->record; }
 
-int controller_leads(const struct controller *c) { return dispatch_leads(c->dispatch); }
+int controller_leads(const struct controller *controller) { return dispatch_leads(controller->dispatch); }
 
-static uint64_t list_hash(const struct log_members *list)
+static uint64_t members_hash(const struct log_members *list)
 {
     uint64_t hash = list->n ? 1 : 0;
     for (int64_t i = 0; i < list->n; i++)
@@ -391,5 +409,11 @@
     return hash;
 }
 
-uint64_t controller_bootstrap_hash(const struct controller *c) { return list_hash(&c->bootstrap_members); }
-uint64_t controller_chosen_hash(const struct controller *c) { return list_hash(&c->chosen_members); }
+uint64_t controller_bootstrap_hash(const struct controller *controller)
+{
+    return members_hash(&controller->bootstrap_members);
+}
+uint64_t controller_chosen_hash(const struct controller *controller)
+{
+    return members_hash(&controller->chosen_members);
+}
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,6 +1,7 @@
-/* A controller: serves the HTTP API to callers and operators. With a disk it may vote in the replicated log; the leader
- * of the log dispatches. Requests that arrive at any other controller are forwarded to the leader, which answers them
- * from its record. A step function over struct world: it blocks on nothing and starts nothing by itself. */
+/* A controller serves the HTTP API to callers and operators. A controller with a disk may vote in the replicated log;
+ * the leader of the log runs dispatch. The other controllers forward requests to the leader, which answers them from
+ * its record. A controller never blocks and has no threads: it acts only when its functions are called, and uses the
+ * clock and the network through struct world. */
 #ifndef SAGEHITCH_CONTROLLER_H
 #define SAGEHITCH_CONTROLLER_H
 #include "base/slab.h"
@@ -12,8 +13,8 @@
 /* How the log is kept on disk; 0: the default (2000 entries, 500 entries, 4 MiB). */
 struct controller_log_settings {
     int64_t snapshot_every; /* entries applied between two snapshots */
-    int64_t keep_entries;   /* entries kept in memory behind a snapshot */
-    int64_t segment_bytes;  /* a segment file is closed beyond */
+    int64_t keep_entries;   /* entries before a snapshot that are kept in memory */
+    int64_t segment_bytes;  /* size at which a segment file is closed */
 };
 
 /* Configuration of a controller. What it points to must outlive the controller. */
@@ -21,40 +22,39 @@
     const char *cluster, *zone;
     const int64_t *seeds;
     int64_t n_seeds;
-    int64_t disk;                      /* has one: may vote */
-    int64_t first_start;               /* the fleet starts for the first time: may bootstrap the log */
-    int64_t machines_lost, zones_lost; /* losses at once to tolerate; decide the number of voters */
-    int64_t boot;                      /* of this process, from boot_of() */
-    int64_t grace_ms;                  /* from the request to stop until the process is killed */
+    int64_t disk;                      /* the controller has a disk, so it may vote */
+    int64_t first_start;               /* first start of the fleet: the controller may bootstrap the log */
+    int64_t machines_lost, zones_lost; /* simultaneous losses to tolerate; they decide the number of voters */
+    int64_t boot;                      /* identifies this start of the process, from boot_of() */
+    int64_t grace_ms;                  /* time from the request to stop until the process is killed */
     struct dispatch_settings dispatch;
     struct controller_log_settings log;
     const struct api_codec *codec;
 };
 
 struct controller;
-/* A new controller, owned by the caller; NULL: its disk is damaged, so it must not speak under that identity. */
+/* Returns a new controller, owned by the caller. NULL: its disk is damaged, so its identity must not be used. */
 struct controller *controller_new(struct world *w, const struct controller_setup *setup);
-void controller_free(struct controller *c);
-void controller_on_timer(struct controller *c);
-/* Takes one frame of len bytes from another process. */
-void controller_take(struct controller *c, const uint8_t *at, int64_t len);
-/* Syncs and sends what earlier calls have added. */
-void controller_flush(struct controller *c);
-/* Takes one HTTP request, which need not outlive the call; answered once, through world.answer(slot). */
-void controller_request(struct controller *c, int64_t slot, const struct http_request *request);
-/* Asks it to stop: it hands over what it does, and may be freed once controller_left() returns 1. */
-void controller_leave(struct controller *c);
-int controller_left(const struct controller *c);
-/* To be called before the process ends, while answers still go out: answers the requests that wait. One that may have
- * been taken gets no refusal but ERROR_GAVE_UP. */
-void controller_give_up(struct controller *c);
-/* Exchanges the addresses of the seeds. */
-void controller_reread(struct controller *c, const int64_t *seeds, int64_t n_seeds);
+void controller_free(struct controller *controller);
+void controller_on_timer(struct controller *controller);
+/* Handles a frame of len bytes from another process. */
+void controller_take(struct controller *controller, const uint8_t *at, int64_t len);
+/* Syncs and sends the log entries and messages that earlier calls have queued. */
+void controller_flush(struct controller *controller);
+/* Handles an HTTP request, which need not outlive the call. It is answered exactly once, through world.answer(slot). */
+void controller_request(struct controller *controller, int64_t slot, const struct http_request *request);
+/* Starts a planned shutdown: the controller hands over its work, and may be freed once controller_left() returns 1. */
+void controller_leave(struct controller *controller);
+int controller_left(const struct controller *controller);
+/* Answers all waiting requests. Call it before the process ends, while responses can still be sent. A change that the
+ * leader may have accepted is answered with ERROR_GAVE_UP, not with a refusal. */
+void controller_give_up(struct controller *controller);
+/* Replaces the addresses of the seeds. */
+void controller_reread(struct controller *controller, const int64_t *seeds, int64_t n_seeds);
 /* For tests and measurements. */
-const struct record *controller_record(const struct controller *c);
-int controller_leads(const struct controller *c);
-/* Hashes of the voters with which the log was started here, and of those chosen by the seeds as far as is known here;
- * 0: none. */
-uint64_t controller_bootstrap_hash(const struct controller *c);
-uint64_t controller_chosen_hash(const struct controller *c);
+const struct record *controller_record(const struct controller *controller);
+int controller_leads(const struct controller *controller);
+/* Hashes of the voters with which the log was started here, and of the voters that the seeds chose; 0: not known. */
+uint64_t controller_bootstrap_hash(const struct controller *controller);
+uint64_t controller_chosen_hash(const struct controller *controller);
 #endif
--- a/src/controller/controller_state.h
+++ b/src/controller/controller_state.h
@@ -4,23 +4,25 @@
 #include "controller/controller.h"
 #include "log/log_identity.h"
 
-/* A caller's request until it is answered. slot: its HTTP connection; number: its handle in controller.requests.
- * born_ms, due_ms: when it came, and when it is given up. sends: how often it was sent to a leader; sent_ms: the last
- * time; sent_to: address of the leader whose response is awaited, 0: none. Answered exactly once, then freed. A
- * controller that refused it since it does not lead gets it again after hold_ms, which grows, but at once under another
- * term than sent_term. */
+/* A caller's request until it is answered; answered exactly once, then freed.
+ * slot: its HTTP connection. number: its handle in controller.requests. received_ms: time of arrival. deadline_ms: time
+ * at which it is answered with an error. sends: number of times it was sent to a leader. sent_ms: time of the last
+ * send. sent_to: address of the leader whose response is awaited, 0: none.
+ * If a controller refuses the request because it is not the leader, the request is not sent again before
+ * resend_after_ms, unless the term has changed since sent_term. resend_delay_ms grows with each such refusal. */
 struct relayed_request {
     int64_t slot, number;
     struct api_request request;
-    int64_t born_ms, due_ms, sent_ms, sent_to, sends;
-    int64_t sent_term, hold_ms, held_until_ms;
+    int64_t received_ms, deadline_ms, sent_ms, sent_to, sends;
+    int64_t sent_term, resend_delay_ms, resend_after_ms;
 };
-/* A request forwarded by another controller, while this leader serves it; names it at the sender. */
+/* A request that another controller forwarded to this leader, until it is answered. from: address of the sender. boot,
+ * ticket: identify the request at the sender. */
 struct served_request {
     int64_t from, boot, ticket;
 };
-/* FRAME_REQUEST, FRAME_RESPONSE: a request on its way between controllers. boot and ticket identify it at the sender;
- * a leader of another term than the given one refuses it. */
+/* FRAME_REQUEST, FRAME_RESPONSE: a request that is forwarded to the leader, and its response. boot and ticket identify
+ * the request at the sender. term: the leader refuses the request if its own term differs. */
 struct forwarded_request {
     int64_t boot, ticket, term;
     struct api_request request;
@@ -31,155 +33,166 @@
 };
 extern const struct schema forwarded_request_schema, forwarded_response_schema;
 
-/* FRAME_COLLECT: how a controller with a disk announces itself to the seeds. empty: it has no log yet. */
+/* FRAME_COLLECT: a controller with a disk announces itself to the seeds. empty: it has no log yet. */
 struct collect {
     int64_t id, addr, empty;
     char *zone;
-    struct log_members members; /* with which its log was started; n 0: none */
+    struct log_members members; /* the bootstrap members of its log; n 0: its log was not started */
 };
 extern const struct schema collect_schema;
 
-/* FRAME_BALLOT: a proposer's request to the seeds, see ballot.c. */
+/* FRAME_BALLOT: a proposer's request to the acceptors, see ballot.c. */
 enum ballot_phase { BALLOT_NONE, BALLOT_PREPARE, BALLOT_ACCEPT };
 struct ballot {
     int64_t ballot, phase;
-    struct log_members members; /* of BALLOT_ACCEPT: the proposed voters */
+    struct log_members members; /* BALLOT_ACCEPT: the proposed voters */
 };
-/* FRAME_BALLOT_REPLY. ballot and phase of the request; promised above ballot: refused. log_exists: nothing is left to
- * decide. accepted: the ballot under which members were accepted, 0: none. */
+/* FRAME_BALLOT_REPLY. ballot, phase: as in the request. promised: the acceptor's promise; the request is refused if
+ * this is higher than ballot. log_exists: the acceptor knows of a running log, so there is nothing to decide. accepted:
+ * the ballot under which the acceptor accepted members, 0: none. */
 struct ballot_reply {
     int64_t ballot, phase, promised, accepted, log_exists;
     struct log_members members;
 };
-/* Durable state of an acceptor, synced before any reply that follows from it. promised, accepted: ballots, 0: none;
- * members: accepted under the latter; seeds: addresses of all acceptors, as configured at the first start. */
+/* Durable state of an acceptor, synced before any reply that depends on it. promised: the highest ballot promised, 0:
+ * none. accepted: the ballot under which members were accepted, 0: none. seeds: addresses of all acceptors, as
+ * configured at the first start. */
 struct acceptor {
     int64_t promised, accepted;
     struct log_members members;
     int64_t *seeds, n_seeds;
 };
 extern const struct schema ballot_schema, ballot_reply_schema, acceptor_schema;
-/* State of a proposer, not durable. ballot 0: it proposes nothing now. answered: a bit for each acceptor, by rank, that
- * agreed in this phase. best_accepted: the highest ballot under which one of them had accepted a list, which is members
- * then. highest_promised: the highest ballot seen in a reply. heard_ms: newest request of another proposer; start_ms:
- * it proposes nothing before. */
+/* State of a proposer, not durable. ballot 0: no proposal is running. answered: bit set, by rank, of the acceptors that
+ * agreed in this phase. best_accepted: the highest ballot under which any of them had accepted a list; members is then
+ * that list. highest_promised: the highest promise seen in any reply. heard_ms: time of the newest request of another
+ * proposer. start_ms: earliest time of the next proposal. */
 struct proposer {
     int64_t ballot, phase, answered, best_accepted, highest_promised, heard_ms, start_ms;
     struct log_members members;
 };
 
-/* FRAME_LEAVING. may_end 0: the voter id requests to end; 1: the leader permits it. */
+/* FRAME_LEAVING. may_end 0: the voter with this id asks for permission to end; 1: the leader grants it. */
 struct leaving {
     int64_t id, may_end;
 };
 extern const struct schema leaving_schema;
 
-/* At the leader: the voter that requests to end. id 0: none. commit: the commit index at its first request, which all
- * other voters must hold; newer entries are committed without it. Times: of the first request, of the newest, and of
- * the newest permission (0: none yet). */
+/* At the leader: the voter that asks for permission to end. id 0: none. commit: the commit index at its first request;
+ * all other voters must hold the log up to there, and newer entries are committed without its acknowledgement.
+ * since_ms, asked_ms: times of its first and its newest request. granted_ms: time of the newest permission, 0: none. */
 struct leaver {
     int64_t id, commit, since_ms, asked_ms, granted_ms;
 };
 
-/* A controller that announced itself, and when it did so last. */
+/* A controller that announced itself to this seed. heard_ms: time of its newest announcement. */
 struct bootstrap_candidate {
     struct collect announced;
     int64_t heard_ms;
 };
-/* A controller with a disk that asks to become a member (FRAME_JOIN), and when it did so last. */
+/* A request of a controller with a disk to become a member (FRAME_JOIN). heard_ms: time at which it last arrived. */
 struct joiner {
     struct join join;
     int64_t heard_ms;
 };
 
-/* Something that a membership change waits for. number identifies it, 0: nothing; told: event 2016 was raised. */
+/* Something that keeps a membership change waiting. number: identifies it, 0: nothing. since_ms: start of the wait.
+ * reported: event 2016 was raised. */
 struct repair_wait {
-    int64_t number, since_ms, told;
+    int64_t number, since_ms, reported;
 };
 
-enum { CANDIDATES_MAX = 64, JOINERS_MAX = 32 };
+enum { CANDIDATES_MAX = 64, JOIN_REQUESTS_MAX = 32 };
 
-/* A controller. votes: it has a disk, so it may become a voter; without, id and log are not used. id: its identity,
- * synced before it is used. leaving, leave_ms: it was asked to stop, and when. broken_ms: when its disk failed last;
- * hand_over_ms: next attempt to hand leadership over. Times are of the steady clock. */
+/* A controller. votes: it has a disk, so it may become a voter; id and log are used only then. id: its identity, synced
+ * before it is first used. leaving, leave_ms: whether and when it was asked to stop. disk_failed_ms: time of the last
+ * disk error, 0: the disk works. hand_over_ms: time of the next attempt to hand over leadership. All times are of the
+ * monotonic clock. */
 struct controller {
     struct world *w;
     struct controller_setup setup;
     uint32_t cluster;
     char *zone;
     int64_t seeds[8], n_seeds;
-    int64_t votes, id, leaving, leave_ms, broken_ms, hand_over_ms;
+    int64_t votes, id, leaving, leave_ms, disk_failed_ms, hand_over_ms;
     struct log log;
     struct record record;
     struct directory directory;
     struct dispatch *dispatch;
     /* relay.c */
     struct slab requests, served;
-    int64_t relay_ms;
+    int64_t next_relay_ms;
     /* bootstrap.c */
-    struct log_members bootstrap_members; /* with which the log was started here; n 0: it was not */
-    struct log_members chosen_members;    /* accepted by a majority of the seeds; never changes once it is set */
+    struct log_members bootstrap_members; /* the members with which the log was started here; n 0: not started */
+    struct log_members chosen_members;    /* accepted by a majority of the seeds; never changes once set */
     struct bootstrap_candidate *candidates;
-    int64_t n_candidates, first_heard_ms, last_new_ms; /* last_new_ms: a candidate was heard for the first time */
-    int64_t bootstrap_ms, bootstrapped_ms;             /* next turn due; when the log was started here */
-    int64_t may_bootstrap; /* takes part: it did so at the first start, and its acceptor's state is not lost */
+    int64_t n_candidates, first_heard_ms, last_new_ms; /* when the first and the newest candidate became known */
+    int64_t bootstrap_ms, bootstrapped_ms;             /* time of the next step; when the log was started here */
+    int64_t may_bootstrap; /* may take part in the bootstrap: the acceptor's state of the first start is not lost */
     /* ballot.c */
     struct acceptor acceptor;
     struct proposer proposer;
     /* members.c */
-    struct joiner joiners[JOINERS_MAX];
-    int64_t n_joiners, join_ms, step_ms; /* next request to join, next membership step due */
-    int64_t timer_ms, awake_ms;          /* the timer ran last; it has run without a gap since */
-    struct repair_wait waits_learner;    /* no learner can replace a voter; number: identity of that voter */
-    struct repair_wait waits_commit;     /* a change is not committed; number: its index */
+    struct joiner joiners[JOIN_REQUESTS_MAX];
+    int64_t n_joiners, join_ms, step_ms;     /* times of the next request to join and the next membership step */
+    int64_t last_timer_ms, running_since_ms; /* last run of the timer; end of its last long gap */
+    struct repair_wait learner_wait;         /* for a learner that can replace a voter; number: the voter's identity */
+    struct repair_wait commit_wait;          /* for the commit of a membership change; number: its log index */
     /* leaving.c */
     struct leaver leaver;
-    int64_t leaving_ms, may_end_ms, leave_waits; /* next request due; newest permission; event 2014 raised */
+    /* leaving_ms, may_end_ms: times of the next request to end and of the newest permission; leave_wait_reported: event
+     * 2014 was raised */
+    int64_t leaving_ms, may_end_ms, leave_wait_reported;
 };
 
-/* Sends a frame to the process at address to. */
-void controller_send(struct controller *c, int64_t to, enum frame_kind kind, const struct schema *schema,
+/* Sends a frame to the process at the address to. */
+void controller_send(struct controller *controller, int64_t to, enum frame_kind kind, const struct schema *schema,
                      const void *msg);
-/* How many voters there should be to tolerate the configured losses, if so many controllers with a disk are there. */
-int64_t controller_voters_wanted(const struct controller *c, int64_t there);
-int controller_empty(const struct controller *c); /* the log was never started here */
+/* Number of voters needed to tolerate the configured losses, limited to the available controllers with a disk; odd. */
+int64_t controller_voters_wanted(const struct controller *controller, int64_t available);
+/* Whether the log was never started on this controller. */
+int controller_empty(const struct controller *controller);
 
 /* relay.c */
-/* Takes an HTTP request; it is answered under its slot once. */
-void relayed_request(struct controller *c, int64_t slot, const struct http_request *web);
-/* The response of the local dispatch to the request that was given to it as ticket. */
-void relay_answer(struct controller *c, int64_t ticket, const struct api_response *answer);
-void relay_take(struct controller *c, const struct frame *frame); /* FRAME_REQUEST, FRAME_RESPONSE */
-void relay_on_timer(struct controller *c);
-void relay_give_up(struct controller *c); /* answers all that wait, as after their time-out */
-void relay_end(struct controller *c);
+/* Handles an HTTP request. It is answered exactly once, under its slot. */
+void relay_request(struct controller *controller, int64_t slot, const struct http_request *web);
+/* Handles the response of the local dispatch to the request with this ticket. */
+void relay_response(struct controller *controller, int64_t ticket, const struct api_response *response);
+void relay_on_frame(struct controller *controller, const struct frame *frame); /* FRAME_REQUEST, FRAME_RESPONSE */
+void relay_on_timer(struct controller *controller);
+void relay_give_up(struct controller *controller); /* answers all waiting requests as if their deadline had passed */
+void relay_end(struct controller *controller);
 
 /* bootstrap.c */
-int bootstrap_load(struct controller *c); /* also starts the log if that was cut short by a restart */
-void bootstrap_on_timer(struct controller *c);
-void bootstrap_take(struct controller *c, const struct frame *frame);
-void bootstrap_end(struct controller *c);
-/* The list of voters to propose; n 0: too few candidates so far. Owned by the caller. */
-void bootstrap_pick(struct controller *c, struct log_members *to);
-/* A majority of the seeds has accepted members. */
-void bootstrap_chosen(struct controller *c, const struct log_members *members);
+/* Loads the state of the bootstrap. Starts the log if a restart had interrupted that. */
+int bootstrap_load(struct controller *controller);
+void bootstrap_on_timer(struct controller *controller);
+void bootstrap_take(struct controller *controller, const struct frame *frame);
+void bootstrap_end(struct controller *controller);
+/* Fills to with the list of voters to propose; n 0: too few candidates so far. The caller owns the list. */
+void bootstrap_pick(struct controller *controller, struct log_members *to);
+/* Called when a majority of the seeds has accepted members. */
+void bootstrap_chosen(struct controller *controller, const struct log_members *members);
 
 /* ballot.c */
-int ballot_load(struct controller *c);
-int ballot_over(const struct controller *c); /* a log exists, so nothing is left to decide */
-void ballot_on_timer(struct controller *c);
-void ballot_take(struct controller *c, const struct frame *frame);
-void ballot_end(struct controller *c);
+int ballot_load(struct controller *controller);
+int ballot_finished(const struct controller *controller); /* whether a log exists, so there is nothing to decide */
+void ballot_on_timer(struct controller *controller);
+void ballot_on_frame(struct controller *controller, const struct frame *frame);
+void ballot_end(struct controller *controller);
 
 /* members.c */
-void members_on_timer(struct controller *c);
-void members_on_join(struct controller *c, const struct join *join);
-void members_end(struct controller *c);
+void members_on_timer(struct controller *controller);
+void members_on_join(struct controller *controller, const struct join *join);
+void members_end(struct controller *controller);
 
 /* leaving.c */
-void leaving_take(struct controller *c, int64_t from, const struct leaving *message); /* from: the sender's address */
-void leaving_on_timer(struct controller *c);
-int leaving_may_end(const struct controller *c); /* by the leader's permission, or because no vote is lost by it */
-/* Whether a leader that leaves may hand over: no voter is missing, or, in haste, a majority is there without it. */
-int leaving_may_hand_over(struct controller *c, int in_haste);
+/* from: the sender's address */
+void leaving_take(struct controller *controller, int64_t from, const struct leaving *message);
+void leaving_on_timer(struct controller *controller);
+/* Whether this controller may end: the leader permitted it, or the log loses no vote. */
+int leaving_may_end(const struct controller *controller);
+/* Whether a leaving leader may hand over: no membership change is uncommitted, and all other voters are heard and
+ * caught up. urgent: it suffices that a majority is heard without this controller. */
+int leaving_may_hand_over(struct controller *controller, int urgent);
 #endif
--- a/src/controller/directory.c
+++ b/src/controller/directory.c
@@ -1,215 +1,222 @@
-/* See directory.h. While no leader is known the directory queries every controller in turn. */
+/* See directory.h. While no leader is known, the directory queries all controllers in turn. */
 #include "controller/directory.h"
 
 #include <string.h>
 
 enum {
-    LEADER_REQUEST_MS = 500, /* between two queries to the known leader */
-    SEARCH_MS = 150,         /* between two rounds of queries while none is known, */
-    SEARCH_LONG_MS = 300,    /* and once that has lasted for 3 s */
-    SEARCH_AT_ONCE = 8,
-    TELL_AT_ONCE = 4,
-    TELL_MS = 2000,    /* a leader queries a controller that has not queried it for so long */
-    HEARD_MS = 1200,   /* a leader unheard for longer is no longer known */
-    LIVING_MS = 10000, /* controllers heard within so long are listed in replies */
-    FORGET_MS = 60000  /* others than seeds are dropped after such a silence */
+    LEADER_QUERY_MS = 500, /* between two queries to the known leader */
+    SEARCH_MS = 150,       /* between two rounds of queries while no leader is known */
+    SEARCH_SLOW_MS = 300,  /* the same, after a search of 3 s */
+    SEARCH_AT_ONCE = 8,    /* queries in a round of the search */
+    ANNOUNCE_AT_ONCE = 4,  /* queries of the leader in a round */
+    ANNOUNCE_MS = 2000,    /* silence after which the leader queries a controller */
+    HEARD_MS = 1200,       /* silence after which the leader counts as unknown */
+    LISTED_MS = 10000,     /* replies list the controllers heard within this time */
+    FORGET_MS = 60000      /* silence after which an entry is dropped, unless it is a seed */
 };
 
-static struct directory_entry *entry_of(struct directory *d, int64_t addr)
+static struct directory_entry *find_entry(struct directory *directory, int64_t addr)
 {
-    for (int64_t i = 0; i < d->n; i++)
-        if (d->entries[i].addr == addr)
-            return &d->entries[i];
+    for (int64_t i = 0; i < directory->n; i++)
+        if (directory->entries[i].addr == addr)
+            return &directory->entries[i];
     return NULL;
 }
 
-static struct directory_entry *entry_add(struct directory *d, int64_t addr)
+static struct directory_entry *add_entry(struct directory *directory, int64_t addr)
 {
-    struct directory_entry *e = entry_of(d, addr);
-    if (e || addr <= 0 || addr == (int64_t)d->w->self)
-        return e;
-    if (d->n < COUNT_OF(d->entries)) {
-        e = &d->entries[d->n++];
+    struct directory_entry *entry = find_entry(directory, addr);
+    if (entry || addr <= 0 || addr == (int64_t)directory->w->self)
+        return entry;
+    if (directory->n < COUNT_OF(directory->entries)) {
+        entry = &directory->entries[directory->n++];
     } else {
-        for (int64_t i = 0; i < d->n; i++)
-            if (!d->entries[i].seed && (!e || d->entries[i].heard_ms < e->heard_ms))
-                e = &d->entries[i];
-        if (!e)
+        for (int64_t i = 0; i < directory->n; i++)
+            if (!directory->entries[i].seed && (!entry || directory->entries[i].heard_ms < entry->heard_ms))
+                entry = &directory->entries[i];
+        if (!entry)
             return NULL;
     }
-    *e = (struct directory_entry){.addr = addr, .heard_ms = world_ms(d->w)};
-    return e;
+    *entry = (struct directory_entry){.addr = addr, .heard_ms = world_ms(directory->w)};
+    return entry;
 }
 
-void directory_seeds(struct directory *d, const int64_t *seeds, int64_t n_seeds)
+void directory_seeds(struct directory *directory, const int64_t *seeds, int64_t n_seeds)
 {
-    for (int64_t i = 0; i < d->n; i++)
-        d->entries[i].seed = 0;
+    for (int64_t i = 0; i < directory->n; i++)
+        directory->entries[i].seed = 0;
     for (int64_t i = 0; i < n_seeds; i++) {
-        struct directory_entry *e = entry_add(d, seeds[i]);
-        if (e)
-            e->seed = e->controller = 1;
+        struct directory_entry *entry = add_entry(directory, seeds[i]);
+        if (entry)
+            entry->seed = entry->controller = 1;
     }
 }
 
 int64_t boot_of(int64_t wall_ms, uint64_t random) { return (wall_ms << 12) | (int64_t)(random & 4095); }
 
-void directory_start(struct directory *d, struct world *w, uint32_t cluster, const int64_t *seeds, int64_t n_seeds,
-                     int64_t controller, int64_t disk, int64_t boot)
+void directory_start(struct directory *directory, struct world *w, uint32_t cluster, const int64_t *seeds,
+                     int64_t n_seeds, int64_t controller, int64_t disk, int64_t boot)
 {
-    *d = (struct directory){.w = w, .cluster = cluster, .controller = controller, .disk = disk, .boot = boot};
-    directory_seeds(d, seeds, n_seeds);
-    d->search_ms = world_ms(w);
+    *directory = (struct directory){.w = w, .cluster = cluster, .controller = controller, .disk = disk, .boot = boot};
+    directory_seeds(directory, seeds, n_seeds);
+    directory->search_start_ms = world_ms(w);
 }
 
-static void send_frame(struct directory *d, int64_t to, enum frame_kind kind, const struct schema *schema,
+static void send_frame(struct directory *directory, int64_t to, enum frame_kind kind, const struct schema *schema,
                        const void *msg)
 {
     struct blob *out = blob_new();
-    frame_build(&out->bytes, kind, d->cluster, d->w->self, schema, msg);
-    d->w->calls->send(d->w, (uint64_t)to, out, 1);
+    frame_build(&out->bytes, kind, directory->cluster, directory->w->self, schema, msg);
+    directory->w->calls->send(directory->w, (uint64_t)to, out, 1);
     blob_drop(out);
 }
 
-static void send_query(struct directory *d, int64_t to)
+static void send_query(struct directory *directory, int64_t to)
 {
-    struct leader_query m = {
-        .addr = (int64_t)d->w->self, .controller = d->controller, .disk = d->disk, .boot = d->boot};
-    send_frame(d, to, FRAME_LEADER_QUERY, &leader_query_schema, &m);
+    struct leader_query message = {.addr = (int64_t)directory->w->self,
+                                   .controller = directory->controller,
+                                   .disk = directory->disk,
+                                   .boot = directory->boot};
+    send_frame(directory, to, FRAME_LEADER_QUERY, &leader_query_schema, &message);
 }
 
-static void forget(struct directory *d)
+static void drop_silent_entries(struct directory *directory)
 {
-    int64_t now_ms = world_ms(d->w);
-    for (int64_t i = 0; i < d->n; i++)
-        if (!d->entries[i].seed && now_ms - d->entries[i].heard_ms > FORGET_MS)
-            d->entries[i--] = d->entries[--d->n];
+    int64_t now_ms = world_ms(directory->w);
+    for (int64_t i = 0; i < directory->n; i++)
+        if (!directory->entries[i].seed && now_ms - directory->entries[i].heard_ms > FORGET_MS)
+            directory->entries[i--] = directory->entries[--directory->n];
 }
 
-int64_t directory_leader(const struct directory *d)
+int64_t directory_leader(const struct directory *directory)
 {
-    if (d->doubted || (d->leader != (int64_t)d->w->self && world_ms(d->w) - d->leader_heard_ms > HEARD_MS))
+    if (directory->doubted || (directory->leader != (int64_t)directory->w->self &&
+                               world_ms(directory->w) - directory->leader_heard_ms > HEARD_MS))
         return 0;
-    return d->leader;
+    return directory->leader;
 }
 
-int directory_heard(const struct directory *d, int64_t addr, int64_t within_ms)
+int directory_heard(const struct directory *directory, int64_t addr, int64_t within_ms)
 {
-    for (int64_t i = 0; i < d->n; i++)
-        if (d->entries[i].addr == addr)
-            return d->entries[i].direct_ms && world_ms(d->w) - d->entries[i].direct_ms <= within_ms;
+    for (int64_t i = 0; i < directory->n; i++)
+        if (directory->entries[i].addr == addr)
+            return directory->entries[i].direct_ms &&
+                   world_ms(directory->w) - directory->entries[i].direct_ms <= within_ms;
     return 0;
 }
 
-/* A leader queries controllers that do not query it: seeds that were all restarted would not find it otherwise. */
-static void announce_leader(struct directory *d)
+/* The leader queries controllers that do not query it. Otherwise seeds that were all restarted could not find it. */
+static void announce_leader(struct directory *directory)
 {
-    int64_t now_ms = world_ms(d->w), told = 0;
-    for (int64_t i = 0; i < d->n && told < TELL_AT_ONCE; i++) {
-        const struct directory_entry *e = &d->entries[d->turn++ % d->n];
-        if (e->direct_ms && now_ms - e->direct_ms < TELL_MS)
+    int64_t now_ms = world_ms(directory->w), queried = 0;
+    for (int64_t i = 0; i < directory->n && queried < ANNOUNCE_AT_ONCE; i++) {
+        const struct directory_entry *entry = &directory->entries[directory->next_entry++ % directory->n];
+        if (entry->direct_ms && now_ms - entry->direct_ms < ANNOUNCE_MS)
             continue;
-        send_query(d, e->addr);
-        told++;
+        send_query(directory, entry->addr);
+        queried++;
     }
 }
 
-void directory_on_timer(struct directory *d)
+void directory_on_timer(struct directory *directory)
 {
-    int64_t now_ms = world_ms(d->w), leader = directory_leader(d);
+    int64_t now_ms = world_ms(directory->w), leader = directory_leader(directory);
     if (leader)
-        d->search_ms = now_ms;
-    if (now_ms < d->request_due_ms)
+        directory->search_start_ms = now_ms;
+    if (now_ms < directory->next_query_ms)
         return;
     if (leader) {
-        d->request_due_ms = now_ms + LEADER_REQUEST_MS;
-        if (leader != (int64_t)d->w->self)
-            send_query(d, leader);
+        directory->next_query_ms = now_ms + LEADER_QUERY_MS;
+        if (leader != (int64_t)directory->w->self)
+            send_query(directory, leader);
         else
-            announce_leader(d);
-        forget(d);
+            announce_leader(directory);
+        drop_silent_entries(directory);
         return;
     }
-    d->request_due_ms = now_ms + (now_ms - d->search_ms > 3000 ? SEARCH_LONG_MS : SEARCH_MS);
-    for (int64_t i = 0; i < d->n && i < SEARCH_AT_ONCE; i++)
-        send_query(d, d->entries[d->turn++ % d->n].addr);
+    directory->next_query_ms = now_ms + (now_ms - directory->search_start_ms > 3000 ? SEARCH_SLOW_MS : SEARCH_MS);
+    for (int64_t i = 0; i < directory->n && i < SEARCH_AT_ONCE; i++)
+        send_query(directory, directory->entries[directory->next_entry++ % directory->n].addr);
 }
 
-static void set_leader(struct directory *d, int64_t term, int64_t leader)
+static void set_leader(struct directory *directory, int64_t term, int64_t leader)
 {
-    if (d->doubted || term != d->term || leader != d->leader)
-        d->request_due_ms = world_ms(d->w);
-    d->term = term;
-    d->leader = leader;
-    d->leader_heard_ms = world_ms(d->w);
-    d->doubted = 0;
+    if (directory->doubted || term != directory->term || leader != directory->leader)
+        directory->next_query_ms = world_ms(directory->w);
+    directory->term = term;
+    directory->leader = leader;
+    directory->leader_heard_ms = world_ms(directory->w);
+    directory->doubted = 0;
 }
 
-void directory_learn(struct directory *d, int64_t term, int64_t leader)
+void directory_learn(struct directory *directory, int64_t term, int64_t leader)
 {
-    if (term >= d->term && leader)
-        set_leader(d, term, leader);
+    if (term >= directory->term && leader)
+        set_leader(directory, term, leader);
 }
 
-void directory_doubt(struct directory *d)
+void directory_doubt(struct directory *directory)
 {
-    if (d->doubted)
+    if (directory->doubted)
         return;
-    d->doubted = 1;
-    d->request_due_ms = world_ms(d->w);
+    directory->doubted = 1;
+    directory->next_query_ms = world_ms(directory->w);
 }
 
-static void on_query(struct directory *d, int64_t from, const struct leader_query *m)
+static void on_query(struct directory *directory, int64_t from, const struct leader_query *message)
 {
-    int64_t now_ms = world_ms(d->w), list[COUNT_OF(d->entries)];
-    struct leader_reply reply = {.term = d->term, .leader = directory_leader(d), .controllers = list};
-    struct directory_entry *e = m->controller ? entry_add(d, from) : NULL;
-    if (e) {
-        e->controller = 1;
-        e->heard_ms = e->direct_ms = now_ms;
+    int64_t now_ms = world_ms(directory->w), controllers[COUNT_OF(directory->entries)];
+    struct leader_reply reply = {
+        .term = directory->term, .leader = directory_leader(directory), .controllers = controllers};
+    struct directory_entry *entry = message->controller ? add_entry(directory, from) : NULL;
+    if (entry) {
+        entry->controller = 1;
+        entry->heard_ms = entry->direct_ms = now_ms;
     }
-    for (int64_t i = 0; i < d->n; i++)
-        if (d->entries[i].controller && d->entries[i].direct_ms && now_ms - d->entries[i].direct_ms < LIVING_MS)
-            list[reply.n++] = d->entries[i].addr;
-    send_frame(d, from, FRAME_LEADER_REPLY, &leader_reply_schema, &reply);
+    for (int64_t i = 0; i < directory->n; i++)
+        if (directory->entries[i].controller && directory->entries[i].direct_ms &&
+            now_ms - directory->entries[i].direct_ms < LISTED_MS)
+            controllers[reply.n++] = directory->entries[i].addr;
+    send_frame(directory, from, FRAME_LEADER_REPLY, &leader_reply_schema, &reply);
 }
 
-static void on_reply(struct directory *d, int64_t from, const struct leader_reply *m)
+static void on_reply(struct directory *directory, int64_t from, const struct leader_reply *message)
 {
-    struct directory_entry *e = entry_add(d, from);
-    int64_t now_ms = world_ms(d->w);
-    if (e) {
-        e->controller = 1;
-        e->heard_ms = e->direct_ms = now_ms;
+    struct directory_entry *entry = add_entry(directory, from);
+    int64_t now_ms = world_ms(directory->w);
+    if (entry) {
+        entry->controller = 1;
+        entry->heard_ms = entry->direct_ms = now_ms;
     }
-    for (int64_t i = 0; i < m->n; i++)
-        if ((e = entry_add(d, m->controllers[i]))) {
-            e->controller = 1;
-            e->heard_ms = now_ms;
+    for (int64_t i = 0; i < message->n; i++)
+        if ((entry = add_entry(directory, message->controllers[i]))) {
+            entry->controller = 1;
+            entry->heard_ms = now_ms;
         }
-    if (m->leader == from) {
-        directory_learn(d, m->term, from);
-    } else if (m->leader && (m->term > d->term || (m->term == d->term && !d->leader))) {
-        set_leader(d, m->term, m->leader);
-    } else if (from == d->leader && m->term >= d->term) {
-        d->doubted = 1; /* it does not lead any more */
+    if (message->leader == from) {
+        directory_learn(directory, message->term, from);
+    } else if (message->leader &&
+               (message->term > directory->term || (message->term == directory->term && !directory->leader))) {
+        set_leader(directory, message->term, message->leader);
+    } else if (from == directory->leader && message->term >= directory->term) {
+        directory->doubted = 1; /* it has stepped down */
     }
 }
 
-int directory_take(struct directory *d, const struct frame *frame)
+int directory_take(struct directory *directory, const struct frame *frame)
 {
     if (frame->kind == FRAME_LEADER_QUERY) {
-        struct leader_query m = {0};
-        if (!schema_unpack(&leader_query_schema, &m, frame->body, frame->len))
-            on_query(d, (int64_t)frame->from, &m);
-        schema_free(&leader_query_schema, &m);
+        struct leader_query message = {0};
+        if (!schema_unpack(&leader_query_schema, &message, frame->body, frame->len))
+            on_query(directory, (int64_t)frame->from, &message);
+        schema_free(&leader_query_schema, &message);
         return 1;
     }
     if (frame->kind == FRAME_LEADER_REPLY) {
-        struct leader_reply m = {0};
-        if (!schema_unpack(&leader_reply_schema, &m, frame->body, frame->len))
-            on_reply(d, (int64_t)frame->from, &m);
-        schema_free(&leader_reply_schema, &m);
+        struct leader_reply message = {0};
+        if (!schema_unpack(&leader_reply_schema, &message, frame->body, frame->len))
+            on_reply(directory, (int64_t)frame->from, &message);
+        schema_free(&leader_reply_schema, &message);
         return 1;
     }
     return 0;
--- a/src/controller/leaving.c
+++ b/src/controller/leaving.c
@@ -1,148 +1,156 @@
-/* Planned shutdown of a voter (FRAME_LEAVING). A voter that is asked to stop requests permission from the leader every
- * LEAVING_MS; the leader grants it to one voter at a time, once every other voter is heard and holds all committed
- * entries. From the first request on the leader commits nothing by the acknowledgement of the leaving voter
- * (log_discount()), so that no committed entry depends on a disk that is about to go away. */
+/* Planned shutdown of a voter (FRAME_LEAVING). A voter that is asked to stop requests permission to end from the leader
+ * every REQUEST_MS. The leader grants it to one voter at a time, once each other voter is heard and holds all entries
+ * that were committed at the first request. After that first request the leader does not count acknowledgements of the
+ * leaving voter for commits (log_discount()), so that no committed entry depends on a disk that is about to be
+ * removed. */
 #include "controller/controller_state.h"
 
 enum {
-    HEARD_MS = 500,  /* a voter that was heard so lately is there */
-    TURN_MS = 1200,  /* by then a voter that may end has ended, or its permission is void; then others may ask */
-    LEAVING_MS = 200 /* between two requests; a permission holds for twice that */
+    HEARD_MS = 500,  /* a voter that was heard within this time counts as running */
+    TURN_MS = 1200,  /* time for a permitted voter to end; then the permission is void and another voter may ask */
+    REQUEST_MS = 200 /* between two requests; a permission is valid for twice this time */
 };
 
 /* --- the leader -------------------------------------------------------------------- */
 
-/* Calls check for every voter but the leaving one and this leader. Returns 1 if all pass. */
-static int others_pass(struct controller *c, int64_t id,
-                       int (*check)(struct controller *c, const struct log_peer *peer))
+/* Calls check for each voter except the leaving one (id) and this leader. Returns 1 if all pass. */
+static int others_pass(struct controller *controller, int64_t id,
+                       int (*check)(struct controller *controller, const struct log_peer *peer))
 {
-    struct log *log = &c->log;
+    struct log *log = &controller->log;
     for (int64_t i = 0; i < log->members.n; i++) {
-        const struct log_member *m = &log->members.members[i];
-        const struct log_peer *peer = log_peer(log, m->id);
-        if (log_votes(m) && m->id != id && m->id != c->id && (!peer || !check(c, peer)))
+        const struct log_member *member = &log->members.members[i];
+        const struct log_peer *peer = log_peer(log, member->id);
+        if (log_votes(member) && member->id != id && member->id != controller->id &&
+            (!peer || !check(controller, peer)))
             return 0;
     }
     return 1;
 }
 
-static int is_heard(struct controller *c, const struct log_peer *peer)
+static int heard_recently(struct controller *controller, const struct log_peer *peer)
 {
-    return world_ms(c->w) - peer->heard_ms <= HEARD_MS;
+    return world_ms(controller->w) - peer->heard_ms <= HEARD_MS;
 }
 
-static int holds_committed(struct controller *c, const struct log_peer *peer)
+static int holds_committed(struct controller *controller, const struct log_peer *peer)
 {
-    return peer->match >= c->leaver.commit;
+    return peer->match >= controller->leaver.commit;
 }
 
-static int is_caught_up(struct controller *c, const struct log_peer *peer) { return log_caught_up(&c->log, peer->id); }
+static int is_caught_up(struct controller *controller, const struct log_peer *peer)
+{
+    return log_caught_up(&controller->log, peer->id);
+}
 
-static int64_t others_heard(struct controller *c)
+static int64_t count_others_heard(struct controller *controller)
 {
     int64_t heard = 0;
-    for (int64_t i = 0; i < c->log.members.n; i++) {
-        const struct log_member *m = &c->log.members.members[i];
-        const struct log_peer *peer = log_peer(&c->log, m->id);
-        heard += log_votes(m) && m->id != c->id && peer && is_heard(c, peer);
+    for (int64_t i = 0; i < controller->log.members.n; i++) {
+        const struct log_member *member = &controller->log.members.members[i];
+        const struct log_peer *peer = log_peer(&controller->log, member->id);
+        heard += log_votes(member) && member->id != controller->id && peer && heard_recently(controller, peer);
     }
     return heard;
 }
 
-/* While a voter is missing the leader goes on leading: a repair is done sooner, and a successor that lacks an entry
- * of ours could not be elected without the one that is missing. */
-int leaving_may_hand_over(struct controller *c, int in_haste)
+/* A leader does not hand over while a voter is missing: the repair is done sooner by this leader, and a successor that
+ * lacks one of its entries might not be elected without the missing voter. */
+int leaving_may_hand_over(struct controller *controller, int urgent)
 {
-    const struct log *log = &c->log;
-    int whole =
-        log->members_index <= log->commit && others_pass(c, c->id, is_heard) && others_pass(c, c->id, is_caught_up);
-    return whole || (in_haste && others_heard(c) >= log_majority(log));
+    const struct log *log = &controller->log;
+    int all_ready = log->members_index <= log->commit && others_pass(controller, controller->id, heard_recently) &&
+                    others_pass(controller, controller->id, is_caught_up);
+    return all_ready || (urgent && count_others_heard(controller) >= log_majority(log));
 }
 
-/* May another voter take the place of the one that asked before it? */
-static int turn_is_over(const struct controller *c)
+/* Whether another voter may ask for permission to end now. */
+static int turn_is_over(const struct controller *controller)
 {
-    const struct leaver *leaver = &c->leaver;
-    int64_t from_ms = leaver->granted_ms ? leaver->granted_ms : leaver->since_ms;
-    return !leaver->id || world_ms(c->w) - from_ms >= TURN_MS;
+    const struct leaver *leaver = &controller->leaver;
+    int64_t turn_start_ms = leaver->granted_ms ? leaver->granted_ms : leaver->since_ms;
+    return !leaver->id || world_ms(controller->w) - turn_start_ms >= TURN_MS;
 }
 
-static void forget_leaver(struct controller *c)
+static void forget_leaver(struct controller *controller)
 {
-    c->leaver = (struct leaver){0};
-    log_discount(&c->log, 0);
+    controller->leaver = (struct leaver){0};
+    log_discount(&controller->log, 0);
 }
 
-/* Weighed: a leaver's vote passed on at once; but most that are asked to stop are back within a second, disk and all.
- * Weighed: no grant while any other voter's match is below commit; under steady writes a slower voter's always is. */
-static void on_request(struct controller *c, int64_t from, int64_t id)
+/* Handles a request for permission to end.
+ * The vote of the leaver is not passed on to a learner: most controllers that are asked to stop are restarted with
+ * their disk within a second. The other voters must hold the entries up to the commit index of the first request, not
+ * up to the current one, which a slower voter never reaches under steady writes. */
+static void on_request(struct controller *controller, int64_t from, int64_t id)
 {
-    struct log *log = &c->log;
+    struct log *log = &controller->log;
     struct leaving reply = {.id = id, .may_end = 1};
-    int64_t now_ms = world_ms(c->w);
-    /* what former leaders committed is known to be committed once an entry of the own term is */
-    if (!log_leads(log) || log_term_at(log, log->commit) != log->term || !others_pass(c, id, is_heard))
+    int64_t now_ms = world_ms(controller->w);
+    /* entries of earlier terms are known to be committed only once an entry of this leader's term is committed */
+    if (!log_leads(log) || log_term_at(log, log->commit) != log->term || !others_pass(controller, id, heard_recently))
         return;
-    if (c->leaver.id != id) {
-        if (!turn_is_over(c))
+    if (controller->leaver.id != id) {
+        if (!turn_is_over(controller))
             return;
-        c->leaver = (struct leaver){.id = id, .commit = log->commit, .since_ms = now_ms};
+        controller->leaver = (struct leaver){.id = id, .commit = log->commit, .since_ms = now_ms};
         log_discount(log, id);
     }
-    c->leaver.asked_ms = now_ms;
-    if (log->members_index > log->commit || !others_pass(c, id, holds_committed))
+    controller->leaver.asked_ms = now_ms;
+    if (log->members_index > log->commit || !others_pass(controller, id, holds_committed))
         return;
-    c->leaver.granted_ms = now_ms;
-    controller_send(c, from, FRAME_LEAVING, &leaving_schema, &reply);
+    controller->leaver.granted_ms = now_ms;
+    controller_send(controller, from, FRAME_LEAVING, &leaving_schema, &reply);
 }
 
-/* Until the leaver has ended, or cannot: it asks no more, or another voter is missing and the log needs it. */
-static void leaver_on_timer(struct controller *c)
+/* Forgets the leaver when this controller is not the leader any more, or when the leaver has no valid permission and
+ * either has stopped asking or cannot be spared because another voter is missing. */
+static void leaver_on_timer(struct controller *controller)
 {
-    const struct leaver *leaver = &c->leaver;
-    int64_t now_ms = world_ms(c->w);
+    const struct leaver *leaver = &controller->leaver;
+    int64_t now_ms = world_ms(controller->w);
     if (!leaver->id)
         return;
     int granted = leaver->granted_ms && now_ms - leaver->granted_ms < TURN_MS;
-    int waits = now_ms - leaver->asked_ms < TURN_MS && others_pass(c, leaver->id, is_heard);
-    if (c->log.role != LOG_LEADER || (!granted && !waits))
-        forget_leaver(c);
+    int waits = now_ms - leaver->asked_ms < TURN_MS && others_pass(controller, leaver->id, heard_recently);
+    if (controller->log.role != LOG_LEADER || (!granted && !waits))
+        forget_leaver(controller);
 }
 
 /* --- the voter that is asked to stop ------------------------------------------------ */
 
-static void send_request(struct controller *c)
+static void send_request(struct controller *controller)
 {
-    struct leaving request = {.id = c->id};
-    int64_t leader = directory_leader(&c->directory), now_ms = world_ms(c->w);
-    if (now_ms < c->leaving_ms || !log_voter(&c->log, c->id))
+    struct leaving request = {.id = controller->id};
+    int64_t leader = directory_leader(&controller->directory), now_ms = world_ms(controller->w);
+    if (now_ms < controller->leaving_ms || !log_voter(&controller->log, controller->id))
         return;
-    c->leaving_ms = now_ms + LEAVING_MS;
-    if (leader && leader != (int64_t)c->w->self)
-        controller_send(c, leader, FRAME_LEAVING, &leaving_schema, &request);
+    controller->leaving_ms = now_ms + REQUEST_MS;
+    if (leader && leader != (int64_t)controller->w->self)
+        controller_send(controller, leader, FRAME_LEAVING, &leaving_schema, &request);
 }
 
-int leaving_may_end(const struct controller *c)
+int leaving_may_end(const struct controller *controller)
 {
-    const struct log *log = &c->log;
-    if (!c->votes || log->broken || !log_voter(log, c->id) || log_majority(log) < 2)
+    const struct log *log = &controller->log;
+    if (!controller->votes || log->broken || !log_voter(log, controller->id) || log_majority(log) < 2)
         return 1;
-    return c->may_end_ms && world_ms(c->w) - c->may_end_ms < 2LL * LEAVING_MS;
+    return controller->may_end_ms && world_ms(controller->w) - controller->may_end_ms < 2LL * REQUEST_MS;
 }
 
 /* --- both --------------------------------------------------------------------------- */
 
-void leaving_take(struct controller *c, int64_t from, const struct leaving *message)
+void leaving_take(struct controller *controller, int64_t from, const struct leaving *message)
 {
     if (!message->may_end)
-        on_request(c, from, message->id);
-    else if (message->id == c->id)
-        c->may_end_ms = world_ms(c->w);
+        on_request(controller, from, message->id);
+    else if (message->id == controller->id)
+        controller->may_end_ms = world_ms(controller->w);
 }
 
-void leaving_on_timer(struct controller *c)
+void leaving_on_timer(struct controller *controller)
 {
-    leaver_on_timer(c);
-    if (c->leaving)
-        send_request(c);
+    leaver_on_timer(controller);
+    if (controller->leaving)
+        send_request(controller);
 }
--- a/src/controller/members.c
+++ b/src/controller/members.c
@@ -1,5 +1,6 @@
-/* Membership of the log after the bootstrap. Controllers with a disk ask to join (FRAME_JOIN) and become learners; the
- * leader makes a learner a voter once it is caught up and a voter is gone or missing. One change at a time. */
+/* Membership of the log after the bootstrap. Controllers with a disk ask to join (FRAME_JOIN) and become learners. The
+ * leader makes a caught-up learner a voter when a voter has failed or there are too few voters. It makes one change at
+ * a time. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -8,248 +9,260 @@
 #include "controller/controller_state.h"
 
 enum {
-    GONE_MS = 2500,        /* silence after which a member counts as gone */
-    STEP_MS = 200,         /* between two membership steps of the leader */
-    JOIN_MS = 300,         /* between two requests to join */
-    UNLED_MS = 1500,       /* a member that has heard no leader for so long asks to join again */
-    SLEPT_MS = 500,        /* a longer gap between two timers: the process was suspended or its disk blocked it */
-    REPAIR_LATE_MS = 3000, /* a membership change that waits for longer raises event 2016 */
-    LEARNERS = 2           /* spare learners kept, not counting those at the address of a voter */
+    FAILED_AFTER_MS = 2500, /* silence after which a member counts as failed */
+    STEP_MS = 200,          /* between two membership steps of the leader */
+    JOIN_MS = 300,          /* between two requests to join */
+    NO_LEADER_MS = 1500,    /* time without a leader after which a member asks to join again */
+    SUSPENDED_MS = 500,     /* a longer gap between two timers means that the process was suspended or blocked by I/O */
+    REPAIR_LATE_MS = 3000,  /* event 2016 is raised for a membership change that waits longer than this */
+    SPARE_LEARNERS = 2      /* number of spare learners, not counting learners at the address of a voter */
 };
 
-/* Notes a request to join, at the leader. When the table is full the requester unheard for longest makes room. */
-void members_on_join(struct controller *c, const struct join *join)
+/* Records a request to join, at the leader. If the table is full, the oldest request is replaced. */
+void members_on_join(struct controller *controller, const struct join *join)
 {
-    struct joiner *at = NULL, *oldest = &c->joiners[0];
+    struct joiner *at = NULL, *oldest = &controller->joiners[0];
     if (!join->zone)
         return;
-    for (int64_t i = 0; i < c->n_joiners; i++) {
-        if (c->joiners[i].heard_ms < oldest->heard_ms)
-            oldest = &c->joiners[i];
-        if (c->joiners[i].join.addr == join->addr)
-            at = &c->joiners[i];
+    for (int64_t i = 0; i < controller->n_joiners; i++) {
+        if (controller->joiners[i].heard_ms < oldest->heard_ms)
+            oldest = &controller->joiners[i];
+        if (controller->joiners[i].join.addr == join->addr)
+            at = &controller->joiners[i];
     }
     if (!at)
-        at = c->n_joiners < JOINERS_MAX ? &c->joiners[c->n_joiners++] : oldest;
+        at = controller->n_joiners < JOIN_REQUESTS_MAX ? &controller->joiners[controller->n_joiners++] : oldest;
     schema_free(&join_schema, &at->join);
     schema_copy(&join_schema, &at->join, join);
-    at->heard_ms = world_ms(c->w);
+    at->heard_ms = world_ms(controller->w);
 }
 
-/* Has a process with another identity, so with another disk, asked to join from the member's address since the member
- * itself was last heard? */
-static int same_place(struct controller *c, const struct log_member *member)
+/* Whether a process with another identity, which means another disk, has asked to join from the member's address since
+ * the member itself was last heard. */
+static int is_replaced_at_address(struct controller *controller, const struct log_member *member)
 {
-    const struct log_peer *s = log_peer(&c->log, member->id);
-    for (int64_t i = 0; s && i < c->n_joiners; i++) {
-        const struct joiner *j = &c->joiners[i];
-        if (j->join.addr == member->addr && j->join.id != member->id && j->heard_ms > s->heard_ms)
+    const struct log_peer *peer = log_peer(&controller->log, member->id);
+    for (int64_t i = 0; peer && i < controller->n_joiners; i++) {
+        const struct joiner *request = &controller->joiners[i];
+        if (request->join.addr == member->addr && request->join.id != member->id && request->heard_ms > peer->heard_ms)
             return 1;
     }
     return 0;
 }
 
-/* Its acknowledgement is late, but it may still be receiving: heartbeats wait behind a large entry on a slow link, and
- * the queries that its directory sends meanwhile show that it runs. */
-static int is_receiving(const struct controller *c, const struct log_member *member, const struct log_peer *peer)
+/* Whether a member whose acknowledgement is late may still be receiving entries. Heartbeats wait behind a large entry
+ * on a slow link; the queries that the member's directory sends meanwhile show that the member is running. */
+static int is_receiving(const struct controller *controller, const struct log_member *member,
+                        const struct log_peer *peer)
 {
-    return directory_heard(&c->directory, member->addr, GONE_MS) &&
-           world_ms(c->w) - peer->heard_ms <= GONE_MS + log_transit_ms(&c->log, peer);
+    return directory_heard(&controller->directory, member->addr, FAILED_AFTER_MS) &&
+           world_ms(controller->w) - peer->heard_ms <= FAILED_AFTER_MS + log_transit_ms(&controller->log, peer);
 }
 
-/* Does the member count as lost, so that another takes its vote? */
-static int is_gone(struct controller *c, const struct log_member *member)
+/* Whether the member counts as failed, so that a learner takes over its vote. */
+static int is_failed(struct controller *controller, const struct log_member *member)
 {
-    if (member->id == c->id)
+    if (member->id == controller->id)
         return 0;
-    if (same_place(c, member))
+    if (is_replaced_at_address(controller, member))
         return 1;
-    const struct log_peer *peer = log_peer(&c->log, member->id);
-    return peer && world_ms(c->w) - peer->heard_ms > GONE_MS && !is_receiving(c, member, peer);
+    const struct log_peer *peer = log_peer(&controller->log, member->id);
+    return peer && world_ms(controller->w) - peer->heard_ms > FAILED_AFTER_MS &&
+           !is_receiving(controller, member, peer);
 }
 
-static int caught_up(struct controller *c, const struct log_member *member)
+static int is_caught_up(struct controller *controller, const struct log_member *member)
 {
-    return log_caught_up(&c->log, member->id);
+    return log_caught_up(&controller->log, member->id);
 }
 
-/* Number of voters in a zone, not counting one of them. */
-static int64_t voters_in(const struct controller *c, const char *zone, const struct log_member *without)
+/* Number of voters in a zone, not counting without (may be NULL). */
+static int64_t voters_in_zone(const struct controller *controller, const char *zone, const struct log_member *without)
 {
     int64_t n = 0;
-    for (int64_t i = 0; i < c->log.members.n; i++) {
-        const struct log_member *m = &c->log.members.members[i];
-        n += m != without && log_votes(m) && !strcmp(m->zone, zone);
+    for (int64_t i = 0; i < controller->log.members.n; i++) {
+        const struct log_member *member = &controller->log.members.members[i];
+        n += member != without && log_votes(member) && !strcmp(member->zone, zone);
     }
     return n;
 }
 
-/* May the learner vote in place of gone? At most so many voters stand in one zone that the loss of the configured
- * number of zones leaves a majority. */
-static int zone_allows(const struct controller *c, const struct log_member *learner, const struct log_member *gone)
+/* Whether the learner's zone has room for a voter that replaces failed. The number of voters in a zone is limited so
+ * that a majority survives the loss of the configured number of zones. */
+static int zone_allows(const struct controller *controller, const struct log_member *learner,
+                       const struct log_member *failed)
 {
-    int64_t want = controller_voters_wanted(c, INT64_MAX);
-    int64_t most = c->setup.zones_lost ? (want - 1) / 2 / c->setup.zones_lost : want;
-    return voters_in(c, learner->zone, gone) < most;
+    int64_t wanted = controller_voters_wanted(controller, INT64_MAX);
+    int64_t voters_max = controller->setup.zones_lost ? (wanted - 1) / 2 / controller->setup.zones_lost : wanted;
+    return voters_in_zone(controller, learner->zone, failed) < voters_max;
 }
 
-/* The learner that should vote next, in place of gone unless that is NULL; from the zone with the fewest voters. */
-static const struct log_member *best_learner(struct controller *c, const struct log_member *gone)
+/* Returns the learner that should become a voter next, from the zone with the fewest voters; NULL: none. failed: the
+ * voter that it replaces, or NULL. */
+static const struct log_member *best_learner(struct controller *controller, const struct log_member *failed)
 {
     const struct log_member *best = NULL;
-    for (int64_t i = 0; i < c->log.members.n; i++) {
-        const struct log_member *m = &c->log.members.members[i];
-        if (m->voter || is_gone(c, m) || !caught_up(c, m) || !zone_allows(c, m, gone))
+    for (int64_t i = 0; i < controller->log.members.n; i++) {
+        const struct log_member *member = &controller->log.members.members[i];
+        if (member->voter || is_failed(controller, member) || !is_caught_up(controller, member) ||
+            !zone_allows(controller, member, failed))
             continue;
-        if (!best || voters_in(c, m->zone, gone) < voters_in(c, best->zone, gone))
-            best = m;
+        if (!best || voters_in_zone(controller, member->zone, failed) < voters_in_zone(controller, best->zone, failed))
+            best = member;
     }
     return best;
 }
 
-/* Passes the vote of gone to a learner at the same address. Always by an exchange: the old disk may come back, as on a
- * machine that once started without it. Returns 1 if the change was proposed. */
-static int replaced_in_place(struct controller *c, const struct log_member *gone)
+/* Passes the vote of failed to a learner at the same address. Uses an exchange, since the old disk may come back, as on
+ * a machine that was once started without it. Returns 1 if the change was proposed. */
+static int replace_at_address(struct controller *controller, const struct log_member *failed)
 {
-    for (int64_t i = 0; i < c->log.members.n; i++) {
-        const struct log_member *m = &c->log.members.members[i];
-        if (!m->voter && m->addr == gone->addr && m->id != gone->id && !is_gone(c, m) && caught_up(c, m))
-            return !log_exchange(&c->log, gone->id, m->id);
+    for (int64_t i = 0; i < controller->log.members.n; i++) {
+        const struct log_member *member = &controller->log.members.members[i];
+        if (!member->voter && member->addr == failed->addr && member->id != failed->id &&
+            !is_failed(controller, member) && is_caught_up(controller, member))
+            return !log_exchange(&controller->log, failed->id, member->id);
     }
     return 0;
 }
 
-/* Adds one controller that asked to join as a learner. */
-static void learn_next(struct controller *c, int settled)
+/* Adds one of the controllers that asked to join, as a learner. */
+static void add_learner(struct controller *controller, int detects_failures)
 {
-    struct log *log = &c->log;
-    int64_t learners = 0, now_ms = world_ms(c->w);
+    struct log *log = &controller->log;
+    int64_t learners = 0, now_ms = world_ms(controller->w);
     for (int64_t i = 0; i < log->members.n; i++)
         learners += !log->members.members[i].voter;
-    for (int64_t i = 0; i < c->n_joiners; i++) {
-        const struct join *j = &c->joiners[i].join;
-        int at_voter = 0;
+    for (int64_t i = 0; i < controller->n_joiners; i++) {
+        const struct join *request = &controller->joiners[i].join;
+        int at_voter_address = 0;
         for (int64_t k = 0; k < log->members.n; k++)
-            at_voter |= log_votes(&log->members.members[k]) && log->members.members[k].addr == j->addr;
-        if (log_member(log, j->id) || now_ms - c->joiners[i].heard_ms > GONE_MS ||
-            ((learners >= LEARNERS || !settled) && !at_voter))
+            at_voter_address |= log_votes(&log->members.members[k]) && log->members.members[k].addr == request->addr;
+        if (log_member(log, request->id) || now_ms - controller->joiners[i].heard_ms > FAILED_AFTER_MS ||
+            ((learners >= SPARE_LEARNERS || !detects_failures) && !at_voter_address))
             continue;
-        log_change(log, j->id, j->addr, j->zone, VOTES_NOT, 0);
+        log_change(log, request->id, request->addr, request->zone, VOTES_NOT, 0);
         return;
     }
 }
 
-/* The voter to replace first, NULL: none is gone. *lost: set to a learner that is gone, if there is one. */
-static const struct log_member *gone_voter(struct controller *c, int settled, const struct log_member **lost)
+/* Returns the failed voter to replace first; NULL: no voter has failed. *failed_learner is set to a failed learner, if
+ * there is one. */
+static const struct log_member *failed_voter(struct controller *controller, int detects_failures,
+                                             const struct log_member **failed_learner)
 {
-    const struct log_member *gone = NULL;
-    for (int64_t i = 0; i < c->log.members.n; i++) {
-        const struct log_member *m = &c->log.members.members[i];
-        int away = settled ? is_gone(c, m) : same_place(c, m);
-        if (log_votes(m) && away && (!gone || same_place(c, m)))
-            gone = m;
-        else if (settled && !m->voter && away)
-            *lost = m;
+    const struct log_member *failed = NULL;
+    for (int64_t i = 0; i < controller->log.members.n; i++) {
+        const struct log_member *member = &controller->log.members.members[i];
+        int member_failed =
+            detects_failures ? is_failed(controller, member) : is_replaced_at_address(controller, member);
+        if (log_votes(member) && member_failed && (!failed || is_replaced_at_address(controller, member)))
+            failed = member;
+        else if (detects_failures && !member->voter && member_failed)
+            *failed_learner = member;
     }
-    return gone;
+    return failed;
 }
 
-/* Returns 1 once, when the wait for the thing called number exceeds REPAIR_LATE_MS. number 0: nothing is waited for. */
-static int overdue(struct repair_wait *wait, int64_t number, int64_t now_ms)
+/* Returns 1 once, when the wait identified by number exceeds REPAIR_LATE_MS. number 0: nothing is waited for. */
+static int becomes_overdue(struct repair_wait *wait, int64_t number, int64_t now_ms)
 {
     if (wait->number != number)
         *wait = (struct repair_wait){.number = number, .since_ms = now_ms};
-    if (!number || wait->told || now_ms - wait->since_ms < REPAIR_LATE_MS)
+    if (!number || wait->reported || now_ms - wait->since_ms < REPAIR_LATE_MS)
         return 0;
-    wait->told = 1;
+    wait->reported = 1;
     return 1;
 }
 
-/* Raises event 2016 for a change that is not committed or a voter that nobody can replace. */
-static void tell_waits(struct controller *c, int settled)
+/* Raises event 2016 for a membership change that is not committed, or for a failed voter that no learner can replace.
+ */
+static void report_waits(struct controller *controller, int detects_failures)
 {
-    struct log *log = &c->log;
-    const struct log_member *lost = NULL, *gone = gone_voter(c, settled, &lost);
-    int64_t now_ms = world_ms(c->w), uncommitted = log->members_index > log->commit ? log->members_index : 0;
-    if (overdue(&c->waits_commit, uncommitted, now_ms))
-        world_note(c->w, EV_REPAIR_WAITS, "log=%s uncommitted=%lld", log->name, (long long)uncommitted);
-    if (overdue(&c->waits_learner, gone ? gone->id : 0, now_ms))
-        world_note(c->w, EV_REPAIR_WAITS, "log=%s gone=%s", log->name, addr_text((uint64_t)gone->addr));
+    struct log *log = &controller->log;
+    const struct log_member *failed_learner = NULL,
+                            *failed = failed_voter(controller, detects_failures, &failed_learner);
+    int64_t now_ms = world_ms(controller->w), uncommitted = log->members_index > log->commit ? log->members_index : 0;
+    if (becomes_overdue(&controller->commit_wait, uncommitted, now_ms))
+        world_note(controller->w, EV_REPAIR_WAITS, "log=%s uncommitted=%lld", log->name, (long long)uncommitted);
+    if (becomes_overdue(&controller->learner_wait, failed ? failed->id : 0, now_ms))
+        world_note(controller->w, EV_REPAIR_WAITS, "log=%s gone=%s", log->name, addr_text((uint64_t)failed->addr));
 }
 
-/* Proposes at most one membership change. settled 0: this leader was elected or resumed too recently to judge others by
- * their silence, so only voters whose address has another identity by now are replaced. */
-static void step(struct controller *c, int settled)
+/* Proposes at most one membership change. detects_failures 0: this leader was elected or resumed too recently to detect
+ * failures by silence, so it replaces only voters whose address is used by another identity now. */
+static void change_membership(struct controller *controller, int detects_failures)
 {
-    struct log *log = &c->log;
-    const struct log_member *lost = NULL, *gone, *learner;
-    int64_t voters = 0, want = controller_voters_wanted(c, INT64_MAX);
+    struct log *log = &controller->log;
+    const struct log_member *failed_learner = NULL, *failed, *learner;
+    int64_t voters = 0, wanted = controller_voters_wanted(controller, INT64_MAX);
     if (log_settle(log) != ERROR_NO_SUCH)
         return;
-    gone = gone_voter(c, settled, &lost);
+    failed = failed_voter(controller, detects_failures, &failed_learner);
     for (int64_t i = 0; i < log->members.n; i++)
         voters += log_votes(&log->members.members[i]);
-    if (lost) {
-        log_change(log, lost->id, lost->addr, NULL, 0, 1);
+    if (failed_learner) {
+        log_change(log, failed_learner->id, failed_learner->addr, NULL, 0, 1);
         return;
     }
-    if (gone && replaced_in_place(c, gone))
+    if (failed && replace_at_address(controller, failed))
         return;
-    if (!settled) {
-        learn_next(c, settled);
+    if (!detects_failures) {
+        add_learner(controller, detects_failures);
         return;
     }
-    learner = best_learner(c, gone);
-    if (gone && learner && voters <= want) {
-        log_exchange(log, gone->id, learner->id);
+    learner = best_learner(controller, failed);
+    if (failed && learner && voters <= wanted) {
+        log_exchange(log, failed->id, learner->id);
         return;
     }
-    if (!gone && learner && voters < want) {
+    if (!failed && learner && voters < wanted) {
         log_change(log, learner->id, learner->addr, learner->zone, VOTES, 0);
         return;
     }
-    if (gone && voters > want) {
-        log_change(log, gone->id, gone->addr, NULL, 0, 1);
+    if (failed && voters > wanted) {
+        log_change(log, failed->id, failed->addr, NULL, 0, 1);
         return;
     }
-    learn_next(c, settled);
+    add_learner(controller, detects_failures);
 }
 
-/* Asks the leader to become a member, unless this controller is one that is led. */
-static void request_to_join(struct controller *c)
+/* Asks the leader to become a member, unless this controller is a member and has a leader. */
+static void request_to_join(struct controller *controller)
 {
-    int64_t now_ms = world_ms(c->w);
-    int led = c->log.role == LOG_LEADER || now_ms - c->log.heard_leader_ms < UNLED_MS;
-    struct join join = {.id = c->id, .addr = (int64_t)c->w->self, .zone = c->zone};
-    if ((log_member(&c->log, c->id) && led) || now_ms < c->join_ms)
+    int64_t now_ms = world_ms(controller->w);
+    int has_leader = controller->log.role == LOG_LEADER || now_ms - controller->log.heard_leader_ms < NO_LEADER_MS;
+    struct join join = {.id = controller->id, .addr = (int64_t)controller->w->self, .zone = controller->zone};
+    if ((log_member(&controller->log, controller->id) && has_leader) || now_ms < controller->join_ms)
         return;
-    c->join_ms = now_ms + JOIN_MS;
-    int64_t leader = directory_leader(&c->directory);
+    controller->join_ms = now_ms + JOIN_MS;
+    int64_t leader = directory_leader(&controller->directory);
     if (leader && leader != join.addr)
-        controller_send(c, leader, FRAME_JOIN, &join_schema, &join);
+        controller_send(controller, leader, FRAME_JOIN, &join_schema, &join);
 }
 
-void members_on_timer(struct controller *c)
+void members_on_timer(struct controller *controller)
 {
-    int64_t now_ms = world_ms(c->w);
-    /* a suspended process hears nobody: silence counts from when it resumed */
-    if (now_ms - c->timer_ms > SLEPT_MS)
-        c->awake_ms = now_ms;
-    c->timer_ms = now_ms;
-    request_to_join(c);
-    if (c->log.role != LOG_LEADER)
-        c->waits_learner = c->waits_commit = (struct repair_wait){0};
-    if (c->log.role != LOG_LEADER || now_ms < c->step_ms)
+    int64_t now_ms = world_ms(controller->w);
+    /* a suspended process receives nothing, so silence is measured from when it resumed */
+    if (now_ms - controller->last_timer_ms > SUSPENDED_MS)
+        controller->running_since_ms = now_ms;
+    controller->last_timer_ms = now_ms;
+    request_to_join(controller);
+    if (controller->log.role != LOG_LEADER)
+        controller->learner_wait = controller->commit_wait = (struct repair_wait){0};
+    if (controller->log.role != LOG_LEADER || now_ms < controller->step_ms)
         return;
-    c->step_ms = now_ms + STEP_MS;
-    int settled = now_ms - c->log.leader_since_ms > GONE_MS && now_ms - c->awake_ms > GONE_MS;
-    if (!c->log.handed_over_ms)
-        step(c, settled);
-    tell_waits(c, settled);
+    controller->step_ms = now_ms + STEP_MS;
+    int detects_failures = now_ms - controller->log.leader_since_ms > FAILED_AFTER_MS &&
+                           now_ms - controller->running_since_ms > FAILED_AFTER_MS;
+    if (!controller->log.handed_over_ms)
+        change_membership(controller, detects_failures);
+    report_waits(controller, detects_failures);
 }
 
-void members_end(struct controller *c)
+void members_end(struct controller *controller)
 {
-    for (int64_t i = 0; i < c->n_joiners; i++)
-        schema_free(&join_schema, &c->joiners[i].join);
+    for (int64_t i = 0; i < controller->n_joiners; i++)
+        schema_free(&join_schema, &controller->joiners[i].join);
 }
--- a/tests/unit/api_message_test.cc
+++ b/tests/unit/api_message_test.cc
@@ -1,4 +1,4 @@
-// Messages of the api: only what the kind has can be read.
+// Messages of the api: only the members of a message's own kind can be read.
 #include <gtest/gtest.h>
 
 #include <cstring>
@@ -19,10 +19,10 @@
     ~Request() { schema_free(&api_request_schema, &request); }
 };
 
-using Make = void (*)(api_request *);
+using Constructor = void (*)(api_request *);
 
 // One of each kind.
-const std::map<int64_t, Make> makers = {
+const std::map<int64_t, Constructor> constructors = {
     {REQUEST_JOB, [](api_request *r) { api_request_make_job(r); }},
     {REQUEST_STATE, [](api_request *r) { api_request_make_state(r, 7); }},
     {REQUEST_CANCEL, [](api_request *r) { api_request_make_cancel(r, 7); }},
@@ -37,14 +37,14 @@
     {REQUEST_RULES_GET, [](api_request *r) { api_request_make_rules_get(r, "north"); }},
     {REQUEST_RULES_JOB, [](api_request *r) { api_request_make_rules_job(r, 7); }}};
 
-// The accessor works on requests of these kinds, and ends the process on all others.
-void readable(const std::set<int64_t> &kinds, const std::function<void(api_request *)> &read)
+// Expects that the accessor works on requests of these kinds and aborts the process on all others.
+void expect_readable_only_for(const std::set<int64_t> &kinds, const std::function<void(api_request *)> &read)
 {
     Request none;
     EXPECT_DEATH(read(&none.request), "");
-    for (const auto &[kind, make] : makers) {
+    for (const auto &[kind, construct] : constructors) {
         Request r;
-        make(&r.request);
+        construct(&r.request);
         EXPECT_EQ(r.request.kind, kind);
         if (kinds.count(kind))
             read(&r.request);
@@ -59,21 +59,22 @@
 
 TEST(ApiMessageDeathTest, RequestMembersOfOtherKinds)
 {
-    readable({REQUEST_JOB}, [](api_request *r) { api_request_job(r); });
-    readable({REQUEST_STATE, REQUEST_CANCEL, REQUEST_WHY, REQUEST_RULES_JOB},
-             [](api_request *r) { EXPECT_EQ(api_request_job_id(r), 7); });
-    readable({REQUEST_CONFIG_PUT, REQUEST_CONFIG_PATCH}, [](api_request *r) { api_request_config(r); });
-    readable({REQUEST_BEAT}, [](api_request *r) { api_request_beat(r); });
-    readable({REQUEST_RULES_PUT}, [](api_request *r) { EXPECT_STREQ(api_request_rules(r)->outlet, "north"); });
-    readable({REQUEST_RULES_GET}, [](api_request *r) { EXPECT_STREQ(api_request_outlet(r), "north"); });
+    expect_readable_only_for({REQUEST_JOB}, [](api_request *r) { api_request_job(r); });
+    expect_readable_only_for({REQUEST_STATE, REQUEST_CANCEL, REQUEST_WHY, REQUEST_RULES_JOB},
+                             [](api_request *r) { EXPECT_EQ(api_request_job_id(r), 7); });
+    expect_readable_only_for({REQUEST_CONFIG_PUT, REQUEST_CONFIG_PATCH}, [](api_request *r) { api_request_config(r); });
+    expect_readable_only_for({REQUEST_BEAT}, [](api_request *r) { api_request_beat(r); });
+    expect_readable_only_for({REQUEST_RULES_PUT},
+                             [](api_request *r) { EXPECT_STREQ(api_request_rules(r)->outlet, "north"); });
+    expect_readable_only_for({REQUEST_RULES_GET}, [](api_request *r) { EXPECT_STREQ(api_request_outlet(r), "north"); });
 }
 
-TEST(ApiMessageDeathTest, ARequestIsMadeOnce)
+TEST(ApiMessageDeathTest, RequestIsConstructedOnce)
 {
-    for (const auto &[kind, make] : makers) {
+    for (const auto &[kind, construct] : constructors) {
         Request r;
-        make(&r.request);
-        EXPECT_DEATH(makers.at(kind)(&r.request), "") << kind;
+        construct(&r.request);
+        EXPECT_DEATH(constructors.at(kind)(&r.request), "") << kind;
     }
 }
 
@@ -82,7 +83,7 @@
     bytes text = {};
     bytes_printf(&text, "text");
     std::map<int64_t, api_response> responses;
-    for (const auto &[kind, make] : makers)
+    for (const auto &[kind, construct] : constructors)
         responses[kind] = api_response_done(kind);
     responses[REQUEST_STATE] = api_response_make_state(JOB_FAILED);
     responses[REQUEST_COUNT_WAITING] = api_response_make_count(31);
@@ -116,8 +117,8 @@
     bytes_free(&text);
 }
 
-// Whatever kind a frame names, what was read can be packed again and freed.
-TEST(ApiMessage, KindsThatNobodyKnowsHaveNoMembers)
+// A request of an unknown kind, as a frame may have, can be packed, unpacked and freed.
+TEST(ApiMessage, UnknownKindsHaveNoMembers)
 {
     for (int64_t kind : unknown_kinds) {
         Request r, again;
--- a/tests/unit/directory_test.cc
+++ b/tests/unit/directory_test.cc
@@ -1,4 +1,4 @@
-// Who leads, and whom to ask: several directories on one hand-moved clock.
+// How directories find the leader and the other controllers: several directories with a simulated clock.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -20,36 +20,36 @@
     frame_kind kind;
 };
 
-// All processes of a test, and what passes between them at once, unless one is silent.
-struct Net {
+// All processes of a test and the network between them, which delivers at once. Frames of silent processes are lost.
+struct Network {
     struct Process : world {
-        Net *net;
+        Network *net;
         directory d = {};
     };
-    std::map<int64_t, Process *> all;
+    std::map<int64_t, Process *> processes;
     std::set<int64_t> silent;
     std::vector<Sent> sent;
-    std::vector<std::pair<int64_t, std::vector<uint8_t>>> under;
+    std::vector<std::pair<int64_t, std::vector<uint8_t>>> in_flight;
     int64_t now_ms = 1000;
     world_calls calls = {};
 
     static int64_t mono(world *w) { return static_cast<Process *>(w)->net->now_ms; }
     static void send(world *w, uint64_t to, blob *b, int)
     {
-        Net *net = static_cast<Process *>(w)->net;
+        Network *net = static_cast<Process *>(w)->net;
         net->sent.push_back({(int64_t)w->self, (int64_t)to, net->now_ms, (frame_kind)b->bytes.at[3]});
         if (!net->silent.count((int64_t)w->self))
-            net->under.push_back({(int64_t)to, {b->bytes.at, b->bytes.at + b->bytes.len}});
+            net->in_flight.push_back({(int64_t)to, {b->bytes.at, b->bytes.at + b->bytes.len}});
     }
 
-    Net()
+    Network()
     {
         calls.mono_ms = mono;
         calls.send = send;
     }
-    ~Net()
+    ~Network()
     {
-        for (auto &p : all)
+        for (auto &p : processes)
             delete p.second;
     }
     directory *add(int64_t addr, std::vector<int64_t> seeds, bool controller = true)
@@ -58,34 +58,34 @@
         p->calls = &calls;
         p->self = (uint64_t)addr;
         p->net = this;
-        all[addr] = p;
+        processes[addr] = p;
         directory_start(&p->d, p, FLEET, seeds.data(), (int64_t)seeds.size(), controller, 0, 1);
         return &p->d;
     }
     void deliver()
     {
-        while (!under.empty()) {
-            auto one = under.front();
-            under.erase(under.begin());
+        while (!in_flight.empty()) {
+            auto one = in_flight.front();
+            in_flight.erase(in_flight.begin());
             frame f;
-            if (!all.count(one.first) || silent.count(one.first))
+            if (!processes.count(one.first) || silent.count(one.first))
                 continue;
             ASSERT_EQ(frame_parse(&f, one.second.data(), (int64_t)one.second.size(), FLEET), 0);
-            EXPECT_EQ(directory_take(&all[one.first]->d, &f), 1);
+            EXPECT_EQ(directory_take(&processes[one.first]->d, &f), 1);
         }
     }
-    // leader: says so itself on every tick, as a controller does
+    // leader: learns on every tick that it is the leader, as a leading controller does
     void run(int64_t ms, int64_t leader = 0, int64_t term = 0)
     {
         for (int64_t end = now_ms + ms; now_ms < end; now_ms += 10)
-            for (auto &p : all) {
+            for (auto &p : processes) {
                 if (leader && p.first == leader)
                     directory_learn(&p.second->d, term, leader);
                 directory_on_timer(&p.second->d);
                 deliver();
             }
     }
-    int64_t asked(int64_t from, int64_t to, int64_t since_ms)
+    int64_t count_queries(int64_t from, int64_t to, int64_t since_ms)
     {
         return std::count_if(sent.begin(), sent.end(), [&](const Sent &s) {
             return s.from == from && (!to || s.to == to) && s.kind == FRAME_LEADER_QUERY && s.at_ms >= since_ms;
@@ -94,14 +94,14 @@
     frame_kind last() const { return sent.back().kind; }
 };
 
-bool knows(const directory *d, int64_t addr)
+bool has_entry(const directory *d, int64_t addr)
 {
     return std::any_of(d->entries, d->entries + d->n, [&](const directory_entry &e) { return e.addr == addr; });
 }
 
 TEST(Directory, FindsTheLeaderThroughAnySeed)
 {
-    Net net;
+    Network net;
     net.add(1, {1, 2, 3});
     net.add(2, {1, 2, 3});
     net.add(4, {1, 2, 3});
@@ -109,39 +109,39 @@
     net.run(400, 4, 5);
     EXPECT_EQ(directory_leader(agent), 4);
     EXPECT_EQ(agent->term, 5);
-    EXPECT_FALSE(knows(&net.all[2]->d, 9)) << "an agent is asked by nobody";
+    EXPECT_FALSE(has_entry(&net.processes[2]->d, 9)) << "no process queries an agent";
 }
 
-TEST(Directory, SeedsThatBeginAnewHearOfALeaderThatIsNone)
+TEST(Directory, RestartedSeedsLearnOfALeaderThatIsNoSeed)
 {
-    Net net;
+    Network net;
     net.add(4, {1, 2});
     net.run(1000, 4, 5);
     net.add(1, {1, 2});
     net.add(2, {1, 2});
     net.run(1500, 4, 5);
-    EXPECT_EQ(directory_leader(&net.all[1]->d), 4);
-    EXPECT_EQ(directory_leader(&net.all[2]->d), 4);
+    EXPECT_EQ(directory_leader(&net.processes[1]->d), 4);
+    EXPECT_EQ(directory_leader(&net.processes[2]->d), 4);
 }
 
-TEST(Directory, AsksTheLeaderAloneWhileItIsHeard)
+TEST(Directory, QueriesOnlyTheLeaderWhileItIsHeard)
 {
-    Net net;
+    Network net;
     net.add(1, {1, 2});
     net.add(2, {1, 2});
     directory *d = net.add(3, {1, 2});
     net.run(1000, 1, 5);
     int64_t since_ms = net.now_ms;
     net.run(5000, 1, 5);
-    EXPECT_EQ(net.asked(3, 2, since_ms), 0);
-    EXPECT_GE(net.asked(3, 1, since_ms), 9);
-    EXPECT_LE(net.asked(3, 0, since_ms), 11);
+    EXPECT_EQ(net.count_queries(3, 2, since_ms), 0);
+    EXPECT_GE(net.count_queries(3, 1, since_ms), 9);
+    EXPECT_LE(net.count_queries(3, 0, since_ms), 11);
     EXPECT_EQ(directory_leader(d), 1);
 }
 
-TEST(Directory, ATermNeverFalls)
+TEST(Directory, TermNeverDecreases)
 {
-    Net net;
+    Network net;
     directory *d = net.add(3, {1, 2});
     directory_learn(d, 7, 1);
     directory_learn(d, 6, 2);
@@ -153,9 +153,9 @@
     EXPECT_NE(directory_leader(d), 2);
 }
 
-TEST(Directory, ASilentLeaderIsLookedForAmongAll)
+TEST(Directory, SilentLeaderIsSearchedAmongAllControllers)
 {
-    Net net;
+    Network net;
     net.add(1, {1, 2});
     net.add(2, {1, 2});
     directory *d = net.add(3, {1, 2});
@@ -165,91 +165,91 @@
     EXPECT_EQ(directory_leader(d), 0);
     int64_t since_ms = net.now_ms;
     net.run(1000);
-    EXPECT_GE(net.asked(3, 2, since_ms), 5);
+    EXPECT_GE(net.count_queries(3, 2, since_ms), 5);
     net.run(400, 2, 6);
     EXPECT_EQ(directory_leader(d), 2);
 }
 
-// 1 leads term 5 and falls silent; 3 doubts it, 2 does not.
-struct NetOfDoubtedLeader : Net {
-    directory *other, *doubting;
-    NetOfDoubtedLeader()
+// 1 is the leader of term 5 and falls silent; 3 suspects it, 2 does not.
+struct NetworkWithSuspectedLeader : Network {
+    directory *other, *suspecting;
+    NetworkWithSuspectedLeader()
     {
         add(1, {1, 2});
         other = add(2, {1, 2});
-        doubting = add(3, {1, 2});
+        suspecting = add(3, {1, 2});
         run(1000, 1, 5);
         silent.insert(1);
-        directory_doubt(doubting);
+        directory_doubt(suspecting);
     }
 };
 
-TEST(Directory, ADoubtedLeaderIsTakenFromItselfAlone)
+TEST(Directory, SuspectedLeaderIsConfirmedOnlyByItself)
 {
-    NetOfDoubtedLeader net;
-    directory *other = net.other, *d = net.doubting;
+    NetworkWithSuspectedLeader net;
+    directory *other = net.other, *d = net.suspecting;
     EXPECT_EQ(directory_leader(d), 0);
     net.run(300);
     EXPECT_EQ(directory_leader(other), 1) << "it has not noticed yet";
-    EXPECT_EQ(directory_leader(d), 0) << "hearsay of the same term does not count";
+    EXPECT_EQ(directory_leader(d), 0) << "a reply of another process for the same term does not count";
     net.silent.clear();
     net.run(400, 1, 5);
     EXPECT_EQ(directory_leader(d), 1);
 }
 
-TEST(Directory, ADoubtedLeaderYieldsToAHigherTermFromAnybody)
+TEST(Directory, SuspectedLeaderIsReplacedByAHigherTermFromAnyProcess)
 {
-    NetOfDoubtedLeader net;
-    directory *other = net.other, *d = net.doubting;
+    NetworkWithSuspectedLeader net;
+    directory *other = net.other, *d = net.suspecting;
     directory_learn(other, 6, 4);
     net.run(200);
     EXPECT_EQ(directory_leader(d), 4);
 }
 
-TEST(Directory, ALeaderThatSaysItLeadsNoMoreIsDoubted)
+TEST(Directory, LeaderThatStepsDownIsSuspected)
 {
-    Net net;
-    directory *was = net.add(1, {1});
+    Network net;
+    directory *former_leader = net.add(1, {1});
     directory *d = net.add(3, {1});
     net.run(1000, 1, 5);
     ASSERT_EQ(directory_leader(d), 1);
-    directory_doubt(was);
+    directory_doubt(former_leader);
     net.run(700);
     EXPECT_EQ(directory_leader(d), 0);
 }
 
-TEST(Directory, ControllersHearOfOneAnotherAndAreForgotten)
+TEST(Directory, ControllersLearnOfEachOtherAndAreDropped)
 {
-    Net net;
+    Network net;
     net.add(1, {1});
     directory *a = net.add(2, {1});
     directory *b = net.add(3, {1});
     net.run(2000, 1, 5);
-    EXPECT_TRUE(knows(a, 3));
-    EXPECT_TRUE(knows(b, 2));
+    EXPECT_TRUE(has_entry(a, 3));
+    EXPECT_TRUE(has_entry(b, 2));
     net.silent.insert(3);
     net.run(75000, 1, 5);
-    EXPECT_FALSE(knows(a, 3));
-    EXPECT_TRUE(knows(a, 1)) << "seeds stay";
+    EXPECT_FALSE(has_entry(a, 3));
+    EXPECT_TRUE(has_entry(a, 1)) << "seeds are kept";
 }
 
-TEST(Directory, HearsayAloneKeepsNobodyAlive)
+TEST(Directory, ListingsOfOthersAloneDoNotKeepAnEntry)
 {
-    Net net;
+    Network net;
     net.add(1, {1, 2});
     net.add(2, {1, 2});
     directory *a = net.add(4, {1, 2});
     net.add(3, {1, 2});
     net.run(2000, 1, 5);
-    ASSERT_TRUE(knows(a, 3));
+    ASSERT_TRUE(has_entry(a, 3));
     net.silent.insert(3);
-    net.run(75000); // nobody leads: all ask all
-    EXPECT_FALSE(knows(a, 3));
+    net.run(75000); // there is no leader, so each process queries all others
+    EXPECT_FALSE(has_entry(a, 3));
 }
 
-TEST(Directory, SeedsMayBeExchanged)
+TEST(Directory, SeedsCanBeReplaced)
 {
-    Net net;
+    Network net;
     net.add(5, {5});
     directory *d = net.add(3, {1, 2});
     net.run(1000, 5, 2);
@@ -259,13 +259,13 @@
     net.run(1000, 5, 2);
     EXPECT_EQ(directory_leader(d), 5);
     net.run(65000, 5, 2);
-    EXPECT_FALSE(knows(d, 1));
-    EXPECT_TRUE(knows(d, 5));
+    EXPECT_FALSE(has_entry(d, 1));
+    EXPECT_TRUE(has_entry(d, 5));
 }
 
-TEST(Directory, HoldsSoManyAndKeepsItsSeeds)
+TEST(Directory, TableIsLimitedAndKeepsItsSeeds)
 {
-    Net net;
+    Network net;
     directory *d = net.add(1, {2, 3});
     for (int64_t addr = 100; addr < 300; addr++) {
         blob *b = blob_new();
@@ -280,21 +280,21 @@
         blob_drop(b);
     }
     EXPECT_EQ(d->n, 64);
-    EXPECT_TRUE(knows(d, 2) && knows(d, 3) && knows(d, 299));
-    EXPECT_FALSE(knows(d, 1)) << "itself";
+    EXPECT_TRUE(has_entry(d, 2) && has_entry(d, 3) && has_entry(d, 299));
+    EXPECT_FALSE(has_entry(d, 1)) << "itself";
     ASSERT_EQ(net.last(), FRAME_LEADER_REPLY);
 }
 
-// By its own queries and replies only, not by what others say of it, and only as lately as asked for.
-TEST(Directory, HeardIsWhoSpokeItself)
+// Only queries and replies of the process itself count, not those of others that list it, and only recent ones.
+TEST(Directory, HeardFromCountsOnlyOwnFrames)
 {
-    Net net;
+    Network net;
     directory *leader = net.add(1, {1, 2, 3});
     net.add(2, {1, 2, 3});
     net.add(3, {1, 2, 3});
     net.run(2000, 1, 5);
     EXPECT_TRUE(directory_heard(leader, 3, 1000));
-    EXPECT_FALSE(directory_heard(leader, 4, 1000)) << "it was never there";
+    EXPECT_FALSE(directory_heard(leader, 4, 1000)) << "it was never started";
     net.silent.insert(3);
     net.run(4000, 1, 5);
     EXPECT_TRUE(directory_heard(leader, 2, 1000));
@@ -302,9 +302,9 @@
     EXPECT_TRUE(directory_heard(leader, 3, 60000));
 }
 
-TEST(Directory, TakesNothingBroken)
+TEST(Directory, IgnoresBrokenFrames)
 {
-    Net net;
+    Network net;
     directory *d = net.add(1, {2});
     const uint8_t junk[] = {0xff, 0x01, 0x02};
     frame f = {};
--- a/tests/unit/relay_resend_test.cc
+++ b/tests/unit/relay_resend_test.cc
@@ -1,4 +1,4 @@
-// How often a request is sent to a controller that others name as the leader while it says that it does not lead.
+// How often a request is sent to a controller that is named as the leader but refuses it as not the leader.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -15,12 +15,12 @@
 constexpr int64_t SEED = 100, SELF = 200;
 constexpr const char *CLUSTER = "test";
 
-// A controller without a disk and one other controller, which is played by the test.
+// A controller without a disk, and one seed, whose part the test plays.
 struct Rig : world {
     int64_t time_ms = 1000, term = 5;
     world_calls table = {};
-    std::vector<std::vector<uint8_t>> arriving; // at the controller, in a millisecond
-    int64_t requests = 0;                       // FRAME_REQUEST to the seed
+    std::vector<std::vector<uint8_t>> arriving; // frames that reach the controller in the next millisecond
+    int64_t requests = 0;                       // number of FRAME_REQUEST sent to the seed
     int64_t status = 0;
     api_codec codec = {};
     controller *c = nullptr;
@@ -31,7 +31,7 @@
         table.mono_ms = [](world *w) { return of(w)->time_ms; };
         table.wall_ms = [](world *w) { return of(w)->time_ms; };
         table.random = [](world *) { return (uint64_t)7; };
-        table.send = [](world *w, uint64_t, blob *frame, int) { of(w)->seed_takes(frame); };
+        table.send = [](world *w, uint64_t, blob *frame, int) { of(w)->seed_receives(frame); };
         table.answer = [](world *w, int64_t, int code, int64_t, const char *) { of(w)->status = code; };
         table.note = [](world *, int, const char *) {};
         codec.read = [](api_request *request, const http_request *, validation_error *) {
@@ -66,8 +66,8 @@
         arriving.emplace_back(frame.at, frame.at + frame.len);
         bytes_free(&frame);
     }
-    // The seed names itself as the leader, and refuses every request.
-    void seed_takes(blob *sent)
+    // The seed names itself as the leader, but refuses every request.
+    void seed_receives(blob *sent)
     {
         frame f;
         ASSERT_EQ(frame_parse(&f, sent->bytes.at, sent->bytes.len, (uint32_t)hash_text(CLUSTER)), 0);
@@ -112,7 +112,7 @@
 
 } // namespace
 
-TEST(RelayResend, RefusedAgainAndAgainIsSentEverMoreSeldom)
+TEST(RelayResend, RepeatedRefusalsDelayResends)
 {
     Rig rig;
     rig.run(1000);
@@ -124,7 +124,7 @@
     EXPECT_LE(rig.requests, 7);
 }
 
-TEST(RelayResend, ANewTermIsTriedAtOnce)
+TEST(RelayResend, NewTermResendsAtOnce)
 {
     Rig rig;
     rig.run(1000);
