--- a/tests/platform/api_test.cc
+++ b/tests/platform/api_test.cc
@@ -1,4 +1,4 @@
-// What the door makes of jobs, questions, configurations and beats, and what it answers.
+// The platform's api: requests about jobs, configurations and heartbeats as they are read, and the responses.
 #include "platform_test.h"
 
 #include <functional>
@@ -6,7 +6,7 @@
 namespace
 {
 
-std::string with(std::string text, const std::string &from, const std::string &to)
+std::string replaced_text(std::string text, const std::string &from, const std::string &to)
 {
     auto at = text.find(from);
     EXPECT_NE(at, std::string::npos) << from;
@@ -15,22 +15,22 @@
 
 std::string stages(const std::string &step) { return R"({"spec":"a","stages":[)" + step + "]}"; }
 
-void refused(const Request &request, int error, const std::string &path)
+void expect_refused(const Request &request, int error, const std::string &path)
 {
-    Read read(request);
-    EXPECT_EQ(read.error, error) << request.body.substr(0, 200);
-    EXPECT_EQ(read.validation_error.error, error);
-    EXPECT_EQ(read.validation_error.path, path) << request.body.substr(0, 200);
-    EXPECT_TRUE(read.empty());
+    ParsedRequest parsed(request);
+    EXPECT_EQ(parsed.error, error) << request.body.substr(0, 200);
+    EXPECT_EQ(parsed.validation_error.error, error);
+    EXPECT_EQ(parsed.validation_error.path, path) << request.body.substr(0, 200);
+    EXPECT_TRUE(parsed.empty());
 }
 
-struct Answer {
+struct HttpResponse {
     int status = 0;
     std::string body;
-    explicit Answer(const api_response &answer)
+    explicit HttpResponse(const api_response &response)
     {
         char *text = nullptr;
-        platform_api.write(&answer, &status, &text);
+        platform_api.write(&response, &status, &text);
         body = text;
         free(text);
     }
@@ -38,11 +38,11 @@
 
 } // namespace
 
-TEST(Door, Job)
+TEST(PlatformApi, Job)
 {
-    Read read(job_request(job_body));
-    ASSERT_EQ(read.error, 0) << read.validation_error.path << ": " << read.validation_error.expected;
-    const api_request &request = read.request;
+    ParsedRequest parsed(job_request(job_body));
+    ASSERT_EQ(parsed.error, 0) << parsed.validation_error.path << ": " << parsed.validation_error.expected;
+    const api_request &request = parsed.request;
     EXPECT_EQ(request.kind, REQUEST_JOB);
     EXPECT_STREQ(request.host, "mill.example");
     EXPECT_STREQ(request.path, "/mill/q7/00c0ffee12345678");
@@ -73,116 +73,123 @@
     EXPECT_TRUE(steps[2].duplicates && steps[2].lasting);
 }
 
-TEST(Door, JobNames)
+TEST(PlatformApi, JobNames)
 {
     std::string body = stages(R"({"taskCount":1})");
-    Read top(job_request(body, "/p/FEDCBA9876543210?x=/1"));
+    ParsedRequest top(job_request(body, "/p/FEDCBA9876543210?x=/1"));
     EXPECT_EQ(top.error, 0);
     EXPECT_EQ((uint64_t)api_request_job(&top.request)->id, 0xfedcba9876543210u);
     EXPECT_STREQ(top.request.path, "/p/FEDCBA9876543210");
     for (const char *path : {"/p/fedcba987654321", "/p/fedcba98765432100", "/p/fedcba987654321g", "/p/", "", "x"}) {
-        refused(job_request(body, path), ERROR_BAD_FIELD, "path");
+        expect_refused(job_request(body, path), ERROR_BAD_FIELD, "path");
         if (strcmp(path, "/p/"))
-            refused({ENTRY_CALLERS, "GET", path, "", {}}, ERROR_GONE, "path");
-        refused({ENTRY_CALLERS, "DELETE", path, "", {}}, ERROR_GONE, "path");
+            expect_refused({ENTRY_CALLERS, "GET", path, "", {}}, ERROR_GONE, "path");
+        expect_refused({ENTRY_CALLERS, "DELETE", path, "", {}}, ERROR_GONE, "path");
     }
-    refused({ENTRY_CALLERS, "PUT", "/p/fedcba9876543210", body, {}}, ERROR_BAD_METHOD, "method");
+    expect_refused({ENTRY_CALLERS, "PUT", "/p/fedcba9876543210", body, {}}, ERROR_BAD_METHOD, "method");
 }
 
-TEST(Door, BadJobs)
+TEST(PlatformApi, BadJobs)
 {
     std::string body = job_body;
     std::string twice = R"({"spec":"a","spec":"b","stages":[{"taskCount":1}]})";
     for (const std::string &text :
          {body.substr(0, body.size() - 1), std::string(), std::string("[]"), std::string("null"), body + "x", twice})
-        refused(job_request(text), ERROR_BAD_JSON, "");
-    refused(job_request(with(body, "\"grind", "7,\"y\":\"")), ERROR_BAD_FIELD, "spec");
-    refused(job_request(R"({"spec":"a"})"), ERROR_BAD_FIELD, "stages");
-    refused(job_request(R"({"spec":"a","stages":{}})"), ERROR_BAD_FIELD, "stages");
-    refused(job_request(stages("7")), ERROR_BAD_FIELD, "stages[0].");
-    refused(job_request(with(body, "\"vcpus\":750", "\"vcpus\":\"750\"")), ERROR_BAD_FIELD, "stages[0].vcpus");
-    refused(job_request(with(body, "\"vcpus\":750", "\"vcpus\":-1")), ERROR_BAD_FIELD, "stages[0].vcpus");
-    refused(job_request(with(body, "\"vcpus\":750", "\"vcpus\":7.5")), ERROR_BAD_FIELD, "stages[0].vcpus");
-    refused(job_request(with(body, "\"gpus\":1", "\"gpus\":9223372036854775807")), ERROR_BAD_FIELD, "stages[0].gpus");
-    refused(job_request(with(body, "\"gpus\":1", "\"gpus\":9223372036854775808")), ERROR_BAD_JSON, "");
-    refused(job_request(with(body, "1200.5", "1e300")), ERROR_BAD_FIELD, "stages[0].estimatedRuntimeMs");
-    refused(job_request(with(body, "\"checkpoints\":true", "\"checkpoints\":1")), ERROR_BAD_FIELD,
-            "stages[1].checkpoints");
-    refused(job_request(with(body, "[0,1]", "[0,\"1\"]")), ERROR_BAD_FIELD, "stages[2].dependsOn");
-    refused(job_request(with(body, "[0,1]", "0")), ERROR_BAD_FIELD, "stages[2].dependsOn");
-    refused(job_request(with(body, "[0,1]", "[64]")), ERROR_BAD_STEPS, "stages[2].dependsOn");
-    refused(job_request(with(body, "\"requirements\":\"fast\"", "\"requirements\":[\"a\",\"b\"]")), ERROR_BAD_FIELD,
-            "stages[0].requirements");
-    refused(job_request(with(body, "\"repeatCount\":4", "\"repeatCount\":true")), ERROR_BAD_FIELD, "repeatCount");
-    refused(job_request(with(body, "1790000000000", "-1")), ERROR_BAD_FIELD, "startTimeMs");
+        expect_refused(job_request(text), ERROR_BAD_JSON, "");
+    expect_refused(job_request(replaced_text(body, "\"grind", "7,\"y\":\"")), ERROR_BAD_FIELD, "spec");
+    expect_refused(job_request(R"({"spec":"a"})"), ERROR_BAD_FIELD, "stages");
+    expect_refused(job_request(R"({"spec":"a","stages":{}})"), ERROR_BAD_FIELD, "stages");
+    expect_refused(job_request(stages("7")), ERROR_BAD_FIELD, "stages[0].");
+    expect_refused(job_request(replaced_text(body, "\"vcpus\":750", "\"vcpus\":\"750\"")), ERROR_BAD_FIELD,
+                   "stages[0].vcpus");
+    expect_refused(job_request(replaced_text(body, "\"vcpus\":750", "\"vcpus\":-1")), ERROR_BAD_FIELD,
+                   "stages[0].vcpus");
+    expect_refused(job_request(replaced_text(body, "\"vcpus\":750", "\"vcpus\":7.5")), ERROR_BAD_FIELD,
+                   "stages[0].vcpus");
+    expect_refused(job_request(replaced_text(body, "\"gpus\":1", "\"gpus\":9223372036854775807")), ERROR_BAD_FIELD,
+                   "stages[0].gpus");
+    expect_refused(job_request(replaced_text(body, "\"gpus\":1", "\"gpus\":9223372036854775808")), ERROR_BAD_JSON, "");
+    expect_refused(job_request(replaced_text(body, "1200.5", "1e300")), ERROR_BAD_FIELD,
+                   "stages[0].estimatedRuntimeMs");
+    expect_refused(job_request(replaced_text(body, "\"checkpoints\":true", "\"checkpoints\":1")), ERROR_BAD_FIELD,
+                   "stages[1].checkpoints");
+    expect_refused(job_request(replaced_text(body, "[0,1]", "[0,\"1\"]")), ERROR_BAD_FIELD, "stages[2].dependsOn");
+    expect_refused(job_request(replaced_text(body, "[0,1]", "0")), ERROR_BAD_FIELD, "stages[2].dependsOn");
+    expect_refused(job_request(replaced_text(body, "[0,1]", "[64]")), ERROR_BAD_STEPS, "stages[2].dependsOn");
+    expect_refused(job_request(replaced_text(body, "\"requirements\":\"fast\"", "\"requirements\":[\"a\",\"b\"]")),
+                   ERROR_BAD_FIELD, "stages[0].requirements");
+    expect_refused(job_request(replaced_text(body, "\"repeatCount\":4", "\"repeatCount\":true")), ERROR_BAD_FIELD,
+                   "repeatCount");
+    expect_refused(job_request(replaced_text(body, "1790000000000", "-1")), ERROR_BAD_FIELD, "startTimeMs");
 }
 
-TEST(Door, JobBounds)
+TEST(PlatformApi, JobBounds)
 {
     std::string step = R"({"taskCount":1})", many = step;
     for (int i = 1; i < STEPS_MAX; i++)
         many += "," + step;
-    EXPECT_EQ(Read(job_request(stages(many))).error, 0);
-    refused(job_request(stages(many + "," + step)), ERROR_TOO_LARGE, "stages");
+    EXPECT_EQ(ParsedRequest(job_request(stages(many))).error, 0);
+    expect_refused(job_request(stages(many + "," + step)), ERROR_TOO_LARGE, "stages");
     auto text = [&](int len) { return R"({"stages":[{"taskCount":1}],"spec":")" + std::string(len, 'a') + "\"}"; };
-    EXPECT_EQ(Read(job_request(text(SPEC_MAX))).error, 0);
-    refused(job_request(text(SPEC_MAX + 1)), ERROR_TOO_LARGE, "spec");
-    // what job_spec_check() says, whatever its words: refused, nothing left
+    EXPECT_EQ(ParsedRequest(job_request(text(SPEC_MAX))).error, 0);
+    expect_refused(job_request(text(SPEC_MAX + 1)), ERROR_TOO_LARGE, "spec");
+    // errors of job_spec_check(), whatever their path: the job is refused and the request is empty
     for (const char *bad : {R"({"taskCount":0})", R"({})", R"({"taskCount":1000000})",
                             R"({"taskCount":1,"dependsOn":[0]})", R"({"taskCount":1,"dependsOn":[5]})"}) {
-        Read read(job_request(stages(bad)));
-        EXPECT_NE(read.error, 0) << bad;
-        EXPECT_TRUE(read.empty());
+        ParsedRequest parsed(job_request(stages(bad)));
+        EXPECT_NE(parsed.error, 0) << bad;
+        EXPECT_TRUE(parsed.empty());
     }
-    EXPECT_NE(Read(job_request(R"({"spec":"a","stages":[]})")).error, 0);
+    EXPECT_NE(ParsedRequest(job_request(R"({"spec":"a","stages":[]})")).error, 0);
 }
 
-TEST(Door, JobFieldsThatMayBeAbsent)
+TEST(PlatformApi, JobFieldsThatMayBeAbsent)
 {
-    Read read(job_request(R"({"stages":[{"taskCount":1,"requirements":["big"],"affinity":"","gpus":null},)"
-                          R"({"taskCount":1,"requirements":[]}]})"));
-    ASSERT_EQ(read.error, 0) << read.validation_error.path;
-    EXPECT_STREQ(api_request_job(&read.request)->text, "");
-    EXPECT_STREQ(api_request_job(&read.request)->steps[0].label, "big");
-    EXPECT_EQ(api_request_job(&read.request)->steps[0].rack, nullptr);
-    EXPECT_EQ(api_request_job(&read.request)->steps[1].label, nullptr);
-    EXPECT_EQ(api_request_job(&read.request)->repeats, 0);
+    ParsedRequest parsed(job_request(R"({"stages":[{"taskCount":1,"requirements":["big"],"affinity":"","gpus":null},)"
+                                     R"({"taskCount":1,"requirements":[]}]})"));
+    ASSERT_EQ(parsed.error, 0) << parsed.validation_error.path;
+    EXPECT_STREQ(api_request_job(&parsed.request)->text, "");
+    EXPECT_STREQ(api_request_job(&parsed.request)->steps[0].label, "big");
+    EXPECT_EQ(api_request_job(&parsed.request)->steps[0].rack, nullptr);
+    EXPECT_EQ(api_request_job(&parsed.request)->steps[1].label, nullptr);
+    EXPECT_EQ(api_request_job(&parsed.request)->repeats, 0);
 }
 
-TEST(Door, Questions)
+TEST(PlatformApi, ReadAndCancelRequests)
 {
-    Read state({ENTRY_CALLERS, "GET", "/p/8000000000000001", "", {{"Host", "H"}, {"Deadline-Ms", "x"}}});
+    ParsedRequest state({ENTRY_CALLERS, "GET", "/p/8000000000000001", "", {{"Host", "H"}, {"Deadline-Ms", "x"}}});
     EXPECT_EQ(state.request.kind, REQUEST_STATE);
     EXPECT_EQ((uint64_t)api_request_job_id(&state.request), 0x8000000000000001u);
     EXPECT_STREQ(state.request.host, "h");
     EXPECT_EQ(state.request.wait_ms, 0);
-    Read cancel({ENTRY_CALLERS, "DELETE", "/p/0000000000000002", "", {}});
+    ParsedRequest cancel({ENTRY_CALLERS, "DELETE", "/p/0000000000000002", "", {}});
     EXPECT_EQ(cancel.request.kind, REQUEST_CANCEL);
     EXPECT_EQ(api_request_job_id(&cancel.request), 2);
     EXPECT_STREQ(cancel.request.host, "");
-    Read count({ENTRY_CALLERS, "GET", "/p/q/?a", "", {}});
+    ParsedRequest count({ENTRY_CALLERS, "GET", "/p/q/?a", "", {}});
     EXPECT_EQ(count.request.kind, REQUEST_COUNT_WAITING);
     EXPECT_STREQ(count.request.path, "/p/q/");
-    Read ready({ENTRY_READINESS, "GET", "/sagehitch/readiness", "", {}});
+    ParsedRequest ready({ENTRY_READINESS, "GET", "/sagehitch/readiness", "", {}});
     EXPECT_EQ(ready.request.kind, REQUEST_READY);
-    refused({ENTRY_READINESS, "GET", "/", "", {}}, ERROR_NO_SUCH, "path");
-    refused({ENTRY_READINESS, "POST", "/sagehitch/readiness", "", {}}, ERROR_BAD_METHOD, "method");
-    Read why({ENTRY_OPERATORS, "GET", "/why/00000000000000ff", "", {}});
+    expect_refused({ENTRY_READINESS, "GET", "/", "", {}}, ERROR_NO_SUCH, "path");
+    expect_refused({ENTRY_READINESS, "POST", "/sagehitch/readiness", "", {}}, ERROR_BAD_METHOD, "method");
+    ParsedRequest why({ENTRY_OPERATORS, "GET", "/why/00000000000000ff", "", {}});
     EXPECT_EQ(why.request.kind, REQUEST_WHY);
     EXPECT_EQ(api_request_job_id(&why.request), 255);
-    refused({ENTRY_OPERATORS, "GET", "/why/ff", "", {}}, ERROR_GONE, "path");
-    refused({ENTRY_OPERATORS, "GET", "/other", "", {}}, ERROR_NO_SUCH, "path");
-    refused({ENTRY_OPERATORS, "POST", "/sagehitch/configuration", "", {}}, ERROR_BAD_METHOD, "method");
-    EXPECT_EQ(Read({ENTRY_OPERATORS, "GET", "/sagehitch/configuration", "", {}}).request.kind, REQUEST_CONFIG_GET);
+    expect_refused({ENTRY_OPERATORS, "GET", "/why/ff", "", {}}, ERROR_GONE, "path");
+    expect_refused({ENTRY_OPERATORS, "GET", "/other", "", {}}, ERROR_NO_SUCH, "path");
+    expect_refused({ENTRY_OPERATORS, "POST", "/sagehitch/configuration", "", {}}, ERROR_BAD_METHOD, "method");
+    EXPECT_EQ(ParsedRequest({ENTRY_OPERATORS, "GET", "/sagehitch/configuration", "", {}}).request.kind,
+              REQUEST_CONFIG_GET);
 }
 
-TEST(Door, Configuration)
+TEST(PlatformApi, Configuration)
 {
-    Read read(config_request(config_body));
-    ASSERT_EQ(read.error, 0) << read.validation_error.path << ": " << read.validation_error.expected;
-    const config &c = api_request_config(&read.request)->config;
-    EXPECT_EQ(read.request.kind, REQUEST_CONFIG_PUT);
-    EXPECT_EQ(api_request_config(&read.request)->base, 41);
+    ParsedRequest parsed(config_request(config_body));
+    ASSERT_EQ(parsed.error, 0) << parsed.validation_error.path << ": " << parsed.validation_error.expected;
+    const config &c = api_request_config(&parsed.request)->config;
+    EXPECT_EQ(parsed.request.kind, REQUEST_CONFIG_PUT);
+    EXPECT_EQ(api_request_config(&parsed.request)->base, 41);
     EXPECT_EQ(c.version, 45);
     EXPECT_EQ(std::string((const char *)c.raw.at, (size_t)c.raw.len), config_body);
     ASSERT_EQ(c.n_queues, 2);
@@ -199,17 +206,18 @@
     EXPECT_STREQ(c.services[0].health_path, "/up");
     EXPECT_TRUE(c.services[0].guards);
     EXPECT_FALSE(c.services[1].guards);
-    EXPECT_EQ(Read(config_request(config_body, " \"0\" ")).error, 0);
+    EXPECT_EQ(ParsedRequest(config_request(config_body, " \"0\" ")).error, 0);
 }
 
-// 4 MiB are read, whether they are one long value that nobody knows or as many routes as go in.
-TEST(Door, ConfigurationsOfFourMiB)
+// A configuration of 4 MiB is accepted, whether it has one long unknown value or very many routes.
+TEST(PlatformApi, ConfigurationsOfFourMiB)
 {
     const size_t size = 4u << 20;
     std::string body = config_body;
-    std::string wide = with(body, "\"extra\":[]", "\"extra\":\"" + std::string(size - body.size(), 'x') + "\"");
+    std::string wide =
+        replaced_text(body, "\"extra\":[]", "\"extra\":\"" + std::string(size - body.size(), 'x') + "\"");
     ASSERT_GE(wide.size(), size);
-    Read one(config_request(wide));
+    ParsedRequest one(config_request(wide));
     ASSERT_EQ(one.error, 0) << one.validation_error.path;
     EXPECT_EQ(api_request_config(&one.request)->config.raw.len, (int64_t)wide.size());
     EXPECT_EQ(api_request_config(&one.request)->config.n_queues, 2);
@@ -221,47 +229,49 @@
                   "/\",\"routeType\":\"non_idempotent\",\"timeoutMs\":3000,\"targetLatencyMs\":1000,\"priority\":1,"
                   "\"service\":\"s-mill\",\"maxAttempts\":4,\"extension\":2.2,\"filler\":\"................\"},";
     }
-    Read many(config_request(with(body, "{\"name\":\"q-a\"", routes + "{\"name\":\"q-a\"")));
+    ParsedRequest many(config_request(replaced_text(body, "{\"name\":\"q-a\"", routes + "{\"name\":\"q-a\"")));
     ASSERT_EQ(many.error, 0) << many.validation_error.path;
     EXPECT_EQ(api_request_config(&many.request)->config.n_queues, n + 2);
-    refused(config_request(wide.substr(0, size / 2)), ERROR_BAD_JSON, "");
+    expect_refused(config_request(wide.substr(0, size / 2)), ERROR_BAD_JSON, "");
 }
 
-TEST(Door, BadConfigurations)
+TEST(PlatformApi, BadConfigurations)
 {
     std::string body = config_body;
     Request bare = config_request(body);
     bare.headers.clear();
-    refused(bare, ERROR_BAD_FIELD, "If-Match");
+    expect_refused(bare, ERROR_BAD_FIELD, "If-Match");
     for (const char *base : {"", "x", "-1", "4x", "\"4", "1e3", "99999999999999999999", "9223372036854775807",
                              "9223372036854775808", "18446744073709551657"})
-        refused(config_request(body, base), ERROR_BAD_FIELD, "If-Match");
-    refused(config_request(with(body, "45", "9223372036854775808")), ERROR_BAD_JSON, "");
-    refused(config_request(with(body, "45", "9223372036854775807")), ERROR_BAD_FIELD, "revision");
-    refused(config_request(body.substr(0, body.size() - 2)), ERROR_BAD_JSON, "");
-    refused(config_request(with(body, "45", "0")), ERROR_BAD_FIELD, "revision");
-    refused(config_request(with(body, "45", "\"45\"")), ERROR_BAD_FIELD, "revision");
-    refused(config_request(with(body, "2200", "0")), ERROR_BAD_FIELD, "routes[0].timeoutMs");
-    refused(config_request(with(body, "\"timeoutMs\":900,", "")), ERROR_BAD_FIELD, "routes[1].timeoutMs");
-    refused(config_request(with(body, "2.25", "\"2\"")), ERROR_BAD_FIELD, "routes[0].extension");
-    refused(config_request(with(body, "\"host\":\"mill.example\",", "")), ERROR_BAD_FIELD, "routes[1].host");
-    refused(config_request(with(body, "\"routes\"", "\"rotes\"")), ERROR_BAD_FIELD, "routes");
-    refused(config_request(with(body, "\"services\"", "\"serves\"")), ERROR_BAD_FIELD, "services");
-    // of config_check(): unknown service; two of one host (in any case) and prefix
-    for (const std::string &text :
-         {with(body, "\"service\":\"s-kiln\"", "\"service\":\"s-none\""), with(body, "\"/mill/\"", "\"/mill/q7/\"")}) {
-        Read read(config_request(text));
-        EXPECT_EQ(read.error, ERROR_BAD_FIELD);
-        EXPECT_TRUE(read.empty());
+        expect_refused(config_request(body, base), ERROR_BAD_FIELD, "If-Match");
+    expect_refused(config_request(replaced_text(body, "45", "9223372036854775808")), ERROR_BAD_JSON, "");
+    expect_refused(config_request(replaced_text(body, "45", "9223372036854775807")), ERROR_BAD_FIELD, "revision");
+    expect_refused(config_request(body.substr(0, body.size() - 2)), ERROR_BAD_JSON, "");
+    expect_refused(config_request(replaced_text(body, "45", "0")), ERROR_BAD_FIELD, "revision");
+    expect_refused(config_request(replaced_text(body, "45", "\"45\"")), ERROR_BAD_FIELD, "revision");
+    expect_refused(config_request(replaced_text(body, "2200", "0")), ERROR_BAD_FIELD, "routes[0].timeoutMs");
+    expect_refused(config_request(replaced_text(body, "\"timeoutMs\":900,", "")), ERROR_BAD_FIELD,
+                   "routes[1].timeoutMs");
+    expect_refused(config_request(replaced_text(body, "2.25", "\"2\"")), ERROR_BAD_FIELD, "routes[0].extension");
+    expect_refused(config_request(replaced_text(body, "\"host\":\"mill.example\",", "")), ERROR_BAD_FIELD,
+                   "routes[1].host");
+    expect_refused(config_request(replaced_text(body, "\"routes\"", "\"rotes\"")), ERROR_BAD_FIELD, "routes");
+    expect_refused(config_request(replaced_text(body, "\"services\"", "\"serves\"")), ERROR_BAD_FIELD, "services");
+    // errors of config_check(): an unknown service; two routes with the same host (in any case) and prefix
+    for (const std::string &text : {replaced_text(body, "\"service\":\"s-kiln\"", "\"service\":\"s-none\""),
+                                    replaced_text(body, "\"/mill/\"", "\"/mill/q7/\"")}) {
+        ParsedRequest parsed(config_request(text));
+        EXPECT_EQ(parsed.error, ERROR_BAD_FIELD);
+        EXPECT_TRUE(parsed.empty());
     }
 }
 
-TEST(Door, Beats)
+TEST(PlatformApi, Heartbeats)
 {
-    Read read(beat_request(beat_body));
-    ASSERT_EQ(read.error, 0) << read.validation_error.path;
-    const executor_beat &beat = read.beat();
-    EXPECT_EQ(read.request.kind, REQUEST_BEAT);
+    ParsedRequest parsed(beat_request(beat_body));
+    ASSERT_EQ(parsed.error, 0) << parsed.validation_error.path;
+    const executor_beat &beat = parsed.beat();
+    EXPECT_EQ(parsed.request.kind, REQUEST_BEAT);
     EXPECT_EQ(beat.kind, BEAT_ALIVE);
     EXPECT_EQ(beat.seq, 12);
     EXPECT_STREQ(beat.address, "10.9.8.7:8080");
@@ -278,15 +288,16 @@
     EXPECT_EQ(beat.state.departure_ms, 1751);
     EXPECT_EQ(beat.state.warmup_ms, 300);
     std::string body = beat_body;
-    EXPECT_EQ(Read(beat_request(with(body, "1750.5", "-3"))).beat().state.departure_ms, 1);
-    EXPECT_EQ(Read(beat_request(with(body, "\"departureMs\":1750.5,", ""))).beat().state.departure_ms, 0);
-    EXPECT_EQ(Read(beat_request(with(body, "draining", "available"))).beat().state.draining, 0);
+    EXPECT_EQ(ParsedRequest(beat_request(replaced_text(body, "1750.5", "-3"))).beat().state.departure_ms, 1);
+    EXPECT_EQ(ParsedRequest(beat_request(replaced_text(body, "\"departureMs\":1750.5,", ""))).beat().state.departure_ms,
+              0);
+    EXPECT_EQ(ParsedRequest(beat_request(replaced_text(body, "draining", "available"))).beat().state.draining, 0);
     EXPECT_EQ(beat.account.clock_ms, 99);
     EXPECT_EQ(beat.account.lists.n_active + beat.account.lists.n_ended, 0);
-    Read full(beat_request(with(body, "\"clockMs\":99",
-                                R"("clockMs":482113,)"
-                                R"("active":[["5c0e7a21d94b36f8.0.1.17",2,"00000bb87a21d94b",41]],)"
-                                R"("finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""]])")));
+    ParsedRequest full(beat_request(replaced_text(body, "\"clockMs\":99",
+                                                  R"("clockMs":482113,)"
+                                                  R"("active":[["5c0e7a21d94b36f8.0.1.17",2,"00000bb87a21d94b",41]],)"
+                                                  R"("finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""]])")));
     EXPECT_EQ(full.beat().account.clock_ms, 482113);
     const run_lists &account = full.beat().account.lists;
     ASSERT_EQ(account.n_active, 1);
@@ -295,46 +306,47 @@
     ASSERT_EQ(account.n_ended, 1);
     EXPECT_EQ(account.ended[0].seq, 58);
     EXPECT_EQ(account.ended[0].how, END_DONE);
-    Read left({ENTRY_OPERATORS, "DELETE", "/sagehitch/executors/i-19ab", "", {}});
+    ParsedRequest left({ENTRY_OPERATORS, "DELETE", "/sagehitch/executors/i-19ab", "", {}});
     EXPECT_EQ(left.beat().kind, BEAT_LEFT);
     EXPECT_STREQ(left.beat().state.incarnation, "i-19ab");
 }
 
-TEST(Door, BadBeats)
+TEST(PlatformApi, BadHeartbeats)
 {
     std::string body = beat_body;
-    refused(beat_request(body.substr(0, 40)), ERROR_BAD_JSON, "");
-    refused(beat_request(with(body, "\"service\":\"s-mill\",", "")), ERROR_BAD_FIELD, "service");
-    refused(beat_request(with(body, "draining", "asleep")), ERROR_BAD_FIELD, "state");
-    refused(beat_request(with(body, "\"r4-2\"", "4")), ERROR_BAD_FIELD, "labels");
-    refused(beat_request(with(body, "8000", "-1")), ERROR_BAD_FIELD, "freeCapacity.vcpus");
-    refused(beat_request(with(body, "\"callSequence\":12", "\"callSequence\":[]")), ERROR_BAD_FIELD, "callSequence");
-    refused({ENTRY_OPERATORS, "PUT", "/sagehitch/executors/", body, {}}, ERROR_NO_SUCH, "path");
-    refused({ENTRY_OPERATORS, "PUT", "/sagehitch/executors/a/b", body, {}}, ERROR_NO_SUCH, "path");
-    refused({ENTRY_OPERATORS, "PUT", "/sagehitch/executors/a\r\nb", body, {}}, ERROR_BAD_FIELD, "path");
-    refused({ENTRY_OPERATORS, "GET", "/sagehitch/executors/a", body, {}}, ERROR_BAD_METHOD, "method");
+    expect_refused(beat_request(body.substr(0, 40)), ERROR_BAD_JSON, "");
+    expect_refused(beat_request(replaced_text(body, "\"service\":\"s-mill\",", "")), ERROR_BAD_FIELD, "service");
+    expect_refused(beat_request(replaced_text(body, "draining", "asleep")), ERROR_BAD_FIELD, "state");
+    expect_refused(beat_request(replaced_text(body, "\"r4-2\"", "4")), ERROR_BAD_FIELD, "labels");
+    expect_refused(beat_request(replaced_text(body, "8000", "-1")), ERROR_BAD_FIELD, "freeCapacity.vcpus");
+    expect_refused(beat_request(replaced_text(body, "\"callSequence\":12", "\"callSequence\":[]")), ERROR_BAD_FIELD,
+                   "callSequence");
+    expect_refused({ENTRY_OPERATORS, "PUT", "/sagehitch/executors/", body, {}}, ERROR_NO_SUCH, "path");
+    expect_refused({ENTRY_OPERATORS, "PUT", "/sagehitch/executors/a/b", body, {}}, ERROR_NO_SUCH, "path");
+    expect_refused({ENTRY_OPERATORS, "PUT", "/sagehitch/executors/a\r\nb", body, {}}, ERROR_BAD_FIELD, "path");
+    expect_refused({ENTRY_OPERATORS, "GET", "/sagehitch/executors/a", body, {}}, ERROR_BAD_METHOD, "method");
 }
 
-TEST(Door, Answers)
+TEST(PlatformApi, Responses)
 {
     const char *states[] = {"pending", "in_progress", "completed", "failed", "canceled"};
     for (int i = 0; i < 5; i++)
-        EXPECT_EQ(Answer(api_response_make_state(i)).body, std::string("{\"state\":\"") + states[i] + "\"}");
-    EXPECT_EQ(Answer(api_response_make_count(31)).body, R"({"pending":31})");
+        EXPECT_EQ(HttpResponse(api_response_make_state(i)).body, std::string("{\"state\":\"") + states[i] + "\"}");
+    EXPECT_EQ(HttpResponse(api_response_make_count(31)).body, R"({"pending":31})");
     bytes text = {};
     bytes_add(&text, config_body, (int64_t)strlen(config_body));
     api_response config = api_response_make_config(0, &text);
-    EXPECT_EQ(Answer(config).body, config_body);
-    EXPECT_EQ(Answer(config).status, 200);
+    EXPECT_EQ(HttpResponse(config).body, config_body);
+    EXPECT_EQ(HttpResponse(config).status, 200);
     bytes_free(&text);
     for (int kind : {REQUEST_JOB, REQUEST_CANCEL, REQUEST_CONFIG_PUT, REQUEST_READY, REQUEST_BEAT}) {
-        EXPECT_EQ(Answer(api_response_done(kind)).status, 200);
-        EXPECT_EQ(Answer(api_response_done(kind)).body, "{}");
+        EXPECT_EQ(HttpResponse(api_response_done(kind)).status, 200);
+        EXPECT_EQ(HttpResponse(api_response_done(kind)).body, "{}");
     }
-    EXPECT_EQ(Answer(api_response_error(REQUEST_READY, ERROR_NO_SUCH, 0, nullptr)).status, 503);
+    EXPECT_EQ(HttpResponse(api_response_error(REQUEST_READY, ERROR_NO_SUCH, 0, nullptr)).status, 503);
 }
 
-TEST(Door, AnswersToProblems)
+TEST(PlatformApi, ErrorResponses)
 {
     const std::map<int, int> statuses = {
         {ERROR_NO_SUCH, 404},    {ERROR_GONE, 410},       {ERROR_STALE, 412},     {ERROR_UNAVAILABLE, 503},
@@ -343,11 +355,11 @@
         {ERROR_KEY_TAKEN, 409},  {ERROR_BAD_METHOD, 405}, {ERROR_BOUND, 400},     {ERROR_NEVER_FITS, 422}};
     const char *detail = "stages: \"none\"";
     for (int error = 1; error > ERROR_LAST - 2; error--) {
-        api_response answer = api_response_error(REQUEST_JOB, error, 0, detail);
+        api_response response = api_response_error(REQUEST_JOB, error, 0, detail);
         auto found = statuses.find(error);
-        // what has no entry leaves open whether the job was taken
-        EXPECT_EQ(Answer(answer).status, !error ? 200 : found == statuses.end() ? 504 : found->second) << error;
-        json_t *body = json_loads(Answer(answer).body.c_str(), 0, nullptr);
+        // an error without an entry leaves open whether the job was accepted
+        EXPECT_EQ(HttpResponse(response).status, !error ? 200 : found == statuses.end() ? 504 : found->second) << error;
+        json_t *body = json_loads(HttpResponse(response).body.c_str(), 0, nullptr);
         EXPECT_TRUE(json_is_object(body));
         if (error) {
             EXPECT_STREQ(json_string_value(json_object_get(body, "detail")), detail);
--- a/tests/platform/executor_test.cc
+++ b/tests/platform/executor_test.cc
@@ -1,4 +1,4 @@
-// How executors are called, and how their answers are read.
+// The platform's codec for executors: calls, their responses, and the responses to heartbeats.
 #include "platform_test.h"
 
 namespace
@@ -8,16 +8,16 @@
     executor_call call = {};
     ~Call() { schema_free(&executor_call_schema, &call); }
 };
-struct Answered {
-    executor_response answer = {};
+struct ParsedResponse {
+    executor_response response = {};
     int error;
-    Answered(int status, const std::string &body)
+    ParsedResponse(int status, const std::string &body)
     {
-        error = platform_executor.read(&answer, status, body.data(), (int64_t)body.size());
+        error = platform_executor.read(&response, status, body.data(), (int64_t)body.size());
     }
-    ~Answered() { schema_free(&executor_response_schema, &answer); }
-    run_lists &lists() { return *executor_response_lists(&answer); }
-    int64_t refusal() const { return executor_response_refusal(&answer); }
+    ~ParsedResponse() { schema_free(&executor_response_schema, &response); }
+    run_lists &lists() { return *executor_response_lists(&response); }
+    int64_t refusal() const { return executor_response_refusal(&response); }
 };
 
 const int64_t top_job = (int64_t)0xfedcba9876543210u;
@@ -49,9 +49,9 @@
     EXPECT_STREQ(bare.call.body, R"({"taskId":"0000000000000005.0.0.0","attempt":1,"spec":"","fenceToken":1})");
 }
 
-TEST(Executor, StopAndLook)
+TEST(Executor, StopAndPoll)
 {
-    Call stop, poll, still;
+    Call stop, poll, idle;
     run_ref run = {0x10, task_of(0, 1, 2), 4};
     platform_executor.stop(&stop.call, "i-2", &run, 9);
     EXPECT_STREQ(stop.call.path, "/sagehitch/run-stop");
@@ -60,55 +60,56 @@
     platform_executor.poll(&poll.call, "i-2", 9, 57, 4000, 7000);
     EXPECT_STREQ(poll.call.path, "/sagehitch/hold");
     EXPECT_STREQ(poll.call.body, R"({"fenceToken":9,"lastSeen":57,"expiresMs":4000,"queueWaitMs":2000})");
-    platform_executor.poll(&still.call, "i-2", 9, 0, 0, 0);
-    EXPECT_STREQ(still.call.body, R"({"fenceToken":9,"lastSeen":0})");
+    platform_executor.poll(&idle.call, "i-2", 9, 0, 0, 0);
+    EXPECT_STREQ(idle.call.body, R"({"fenceToken":9,"lastSeen":0})");
 }
 
 TEST(Executor, Lists)
 {
-    Answered got(200, R"({"clockMs":7001,)"
-                      R"("active":[["fedcba9876543210.3.1.9",2,"m",41],["00000000000000aa.0.0.0",1,"",0]],)"
-                      R"("finished":[[4,"00000000000000aa.0.0.1",1,"done",""],)"
-                      R"([5,"00000000000000aa.0.0.2",1,"failed","x"],)"
-                      R"([6,"00000000000000aa.0.0.3",1,"stopped",""],[7,"00000000000000aa.0.0.4",1,"lapsed",""],)"
-                      R"([8,"00000000000000aa.0.0.5",1,"broken",""],[9,"00000000000000aa.0.0.6",1,"alone",""]]})");
-    ASSERT_EQ(got.error, 0);
-    EXPECT_EQ(got.answer.clock_ms, 7001);
-    EXPECT_EQ(got.answer.kind, EXECUTOR_ACCEPTED);
-    ASSERT_EQ(got.lists().n_active, 2);
-    EXPECT_EQ(got.lists().active[0].job, top_job);
-    EXPECT_EQ(got.lists().active[0].task, task_of(3, 1, 9));
-    EXPECT_EQ(got.lists().active[0].attempt, 2);
-    EXPECT_EQ(got.lists().active[0].percent, 41);
-    EXPECT_STREQ(got.lists().active[0].saved, "m");
-    EXPECT_EQ(got.lists().active[1].saved, nullptr);
-    ASSERT_EQ(got.lists().n_ended, 6);
-    const int64_t hows[] = {END_DONE, END_FAILED, END_STOPPED, END_LAPSED, END_BROKEN, END_ALONE};
+    ParsedResponse parsed(200,
+                          R"({"clockMs":7001,)"
+                          R"("active":[["fedcba9876543210.3.1.9",2,"m",41],["00000000000000aa.0.0.0",1,"",0]],)"
+                          R"("finished":[[4,"00000000000000aa.0.0.1",1,"done",""],)"
+                          R"([5,"00000000000000aa.0.0.2",1,"failed","x"],)"
+                          R"([6,"00000000000000aa.0.0.3",1,"stopped",""],[7,"00000000000000aa.0.0.4",1,"lapsed",""],)"
+                          R"([8,"00000000000000aa.0.0.5",1,"broken",""],[9,"00000000000000aa.0.0.6",1,"alone",""]]})");
+    ASSERT_EQ(parsed.error, 0);
+    EXPECT_EQ(parsed.response.clock_ms, 7001);
+    EXPECT_EQ(parsed.response.kind, EXECUTOR_ACCEPTED);
+    ASSERT_EQ(parsed.lists().n_active, 2);
+    EXPECT_EQ(parsed.lists().active[0].job, top_job);
+    EXPECT_EQ(parsed.lists().active[0].task, task_of(3, 1, 9));
+    EXPECT_EQ(parsed.lists().active[0].attempt, 2);
+    EXPECT_EQ(parsed.lists().active[0].percent, 41);
+    EXPECT_STREQ(parsed.lists().active[0].saved, "m");
+    EXPECT_EQ(parsed.lists().active[1].saved, nullptr);
+    ASSERT_EQ(parsed.lists().n_ended, 6);
+    const int64_t end_kinds[] = {END_DONE, END_FAILED, END_STOPPED, END_LAPSED, END_BROKEN, END_ALONE};
     for (int i = 0; i < 6; i++) {
-        EXPECT_EQ(got.lists().ended[i].how, hows[i]);
-        EXPECT_EQ(got.lists().ended[i].seq, 4 + i);
-        EXPECT_EQ(got.lists().ended[i].task, task_of(0, 0, 1 + i));
+        EXPECT_EQ(parsed.lists().ended[i].how, end_kinds[i]);
+        EXPECT_EQ(parsed.lists().ended[i].seq, 4 + i);
+        EXPECT_EQ(parsed.lists().ended[i].task, task_of(0, 0, 1 + i));
     }
-    EXPECT_STREQ(got.lists().ended[1].saved, "x");
+    EXPECT_STREQ(parsed.lists().ended[1].saved, "x");
 }
 
 TEST(Executor, ItemsThatCannotBeRead)
 {
-    Answered got(200, R"({"clockMs":1,"active":[7,[],["xyz",1,"",0],["00000000000000aa.0.0",1,"",0],)"
-                      R"(["00000000000000aa.0.0.1x",1,"",0],["00000000000000aa.0.256.1",1,"",0],)"
-                      R"(["00000000000000aa.0.0.16777216",1,"",0],)"
-                      R"(["00000000000000aa.99999999999999999999.0.1",1,"",0],)"
-                      R"(["00000000000000aa.0.0.1",0,"",0],["00000000000000aa.0.0.1","1","",0],)"
-                      R"(["00000000000000aa.0.0.2",1,null,"much"]],)"
-                      R"("finished":[[0,"00000000000000aa.0.0.1",1,"done",""],)"
-                      R"([1,"00000000000000aa.0.0.1",1,"odd","s"],)"
-                      R"({},[2,"00000000000000aa.0.0.1",1,"done"]]})");
-    ASSERT_EQ(got.error, 0);
-    ASSERT_EQ(got.lists().n_active, 1);
-    EXPECT_EQ(got.lists().active[0].task, task_of(0, 0, 2));
-    EXPECT_EQ(got.lists().active[0].percent, 0);
-    ASSERT_EQ(got.lists().n_ended, 1);
-    EXPECT_EQ(got.lists().ended[0].seq, 2);
+    ParsedResponse parsed(200, R"({"clockMs":1,"active":[7,[],["xyz",1,"",0],["00000000000000aa.0.0",1,"",0],)"
+                               R"(["00000000000000aa.0.0.1x",1,"",0],["00000000000000aa.0.256.1",1,"",0],)"
+                               R"(["00000000000000aa.0.0.16777216",1,"",0],)"
+                               R"(["00000000000000aa.99999999999999999999.0.1",1,"",0],)"
+                               R"(["00000000000000aa.0.0.1",0,"",0],["00000000000000aa.0.0.1","1","",0],)"
+                               R"(["00000000000000aa.0.0.2",1,null,"much"]],)"
+                               R"("finished":[[0,"00000000000000aa.0.0.1",1,"done",""],)"
+                               R"([1,"00000000000000aa.0.0.1",1,"odd","s"],)"
+                               R"({},[2,"00000000000000aa.0.0.1",1,"done"]]})");
+    ASSERT_EQ(parsed.error, 0);
+    ASSERT_EQ(parsed.lists().n_active, 1);
+    EXPECT_EQ(parsed.lists().active[0].task, task_of(0, 0, 2));
+    EXPECT_EQ(parsed.lists().active[0].percent, 0);
+    ASSERT_EQ(parsed.lists().n_ended, 1);
+    EXPECT_EQ(parsed.lists().ended[0].seq, 2);
 }
 
 TEST(Executor, Refusals)
@@ -116,36 +117,37 @@
     const std::map<std::string, int> reasons = {
         {"fence", REFUSED_EPOCH}, {"old", REFUSED_OLD}, {"late", REFUSED_LATE}, {"room", REFUSED_ROOM}};
     for (const auto &[name, refusal] : reasons) {
-        Answered got(409, R"({"clockMs":31,"reason":")" + name + "\"}");
-        EXPECT_EQ(got.error, 0);
-        EXPECT_EQ(got.refusal(), refusal);
-        EXPECT_EQ(got.answer.clock_ms, 31);
+        ParsedResponse parsed(409, R"({"clockMs":31,"reason":")" + name + "\"}");
+        EXPECT_EQ(parsed.error, 0);
+        EXPECT_EQ(parsed.refusal(), refusal);
+        EXPECT_EQ(parsed.response.clock_ms, 31);
     }
-    EXPECT_NE(Answered(409, R"({"clockMs":31,"reason":"mood"})").error, 0);
-    EXPECT_NE(Answered(409, "").error, 0);
-    Answered other(421, "");
+    EXPECT_NE(ParsedResponse(409, R"({"clockMs":31,"reason":"mood"})").error, 0);
+    EXPECT_NE(ParsedResponse(409, "").error, 0);
+    ParsedResponse other(421, "");
     EXPECT_EQ(other.error, 0);
-    EXPECT_EQ(other.answer.kind, EXECUTOR_OTHER_INCARNATION);
-    EXPECT_EQ(other.answer.clock_ms, -1);
-    EXPECT_EQ(Answered(400, "no").refusal(), REFUSED_BAD);
-    EXPECT_EQ(Answered(429, "").refusal(), REFUSED_SICK);
-    Answered sick(503, R"({"clockMs":6})");
+    EXPECT_EQ(other.response.kind, EXECUTOR_OTHER_INCARNATION);
+    EXPECT_EQ(other.response.clock_ms, -1);
+    EXPECT_EQ(ParsedResponse(400, "no").refusal(), REFUSED_BAD);
+    EXPECT_EQ(ParsedResponse(429, "").refusal(), REFUSED_SICK);
+    ParsedResponse sick(503, R"({"clockMs":6})");
     EXPECT_EQ(sick.refusal(), REFUSED_SICK);
-    EXPECT_EQ(sick.answer.clock_ms, 6);
+    EXPECT_EQ(sick.response.clock_ms, 6);
 }
 
 TEST(Executor, BodiesThatCannotBeRead)
 {
     for (const char *body : {"", "{", "[]", R"({"clockMs":1,"active":7})", R"({"clockMs":1,"finished":{}})"}) {
-        Answered got(200, body);
-        EXPECT_NE(got.error, 0) << body;
-        EXPECT_TRUE(got.answer.kind == EXECUTOR_RESPONSE_NONE || got.lists().n_active + got.lists().n_ended == 0);
+        ParsedResponse parsed(200, body);
+        EXPECT_NE(parsed.error, 0) << body;
+        EXPECT_TRUE(parsed.response.kind == EXECUTOR_RESPONSE_NONE ||
+                    parsed.lists().n_active + parsed.lists().n_ended == 0);
     }
-    EXPECT_NE(Answered(500, "{}").error, 0);
-    EXPECT_NE(Answered(307, "{}").error, 0);
+    EXPECT_NE(ParsedResponse(500, "{}").error, 0);
+    EXPECT_NE(ParsedResponse(307, "{}").error, 0);
 }
 
-TEST(Executor, BeatAnswers)
+TEST(Executor, HeartbeatResponses)
 {
     char text[] = "a\"b", saved[] = "m1";
     run_start first = {top_job, task_of(6, 2, 4097), 3, text, saved};
--- a/tests/platform/fuzz_test.cc
+++ b/tests/platform/fuzz_test.cc
@@ -1,5 +1,5 @@
-// Valid bodies cut short or with bits flipped: no crash, and whatever is taken
-// holds to the same checks as what came in whole.
+// Valid bodies that are cut short or have flipped bits cause no crash, and whatever is accepted passes the same checks
+// as undamaged input.
 #include "platform_test.h"
 
 #include <random>
@@ -16,7 +16,7 @@
         text.resize(random() % (text.size() + 1));
     for (uint64_t n = random() % 4; n && !text.empty(); n--)
         text[random() % text.size()] ^= (char)(1 << random() % 8);
-    if (random() % 4 == 0 && !text.empty()) { // a piece twice, or out of its place
+    if (random() % 4 == 0 && !text.empty()) { // a piece is repeated, possibly elsewhere
         std::string piece = text.substr(random() % text.size(), random() % 40);
         text.insert(random() % text.size(), piece);
     }
@@ -24,7 +24,7 @@
 }
 
 struct Tally {
-    int taken = 0, refused = 0;
+    int accepted = 0, refused = 0;
 };
 
 template <class Make, class Check> Tally fuzz(const char *whole, uint64_t seed, Make make, Check check)
@@ -32,18 +32,18 @@
     std::mt19937_64 random(seed);
     Tally tally;
     for (int i = 0; i < ROUNDS; i++) {
-        Read read(make(damaged(whole, random)));
-        if (read.error) {
-            EXPECT_TRUE(read.empty()) << "round " << i;
-            EXPECT_EQ(read.validation_error.error, read.error) << "round " << i;
+        ParsedRequest parsed(make(damaged(whole, random)));
+        if (parsed.error) {
+            EXPECT_TRUE(parsed.empty()) << "round " << i;
+            EXPECT_EQ(parsed.validation_error.error, parsed.error) << "round " << i;
             tally.refused++;
         } else {
-            check(read, i);
-            tally.taken++;
+            check(parsed, i);
+            tally.accepted++;
         }
     }
-    // a fuzz that only ever refuses, or only takes, tries nothing
-    EXPECT_GT(tally.taken, ROUNDS / 50);
+    // if all input were refused, or all accepted, the damage would test nothing
+    EXPECT_GT(tally.accepted, ROUNDS / 50);
     EXPECT_GT(tally.refused, ROUNDS / 50);
     return tally;
 }
@@ -54,11 +54,11 @@
 {
     fuzz(
         job_body, 11, [](const std::string &body) { return job_request(body); },
-        [](const Read &read, int i) {
+        [](const ParsedRequest &parsed, int i) {
             struct validation_error validation_error = {};
-            EXPECT_EQ(job_spec_check(api_request_job(&read.request), &validation_error), 0) << "round " << i;
-            EXPECT_NE(api_request_job(&read.request)->text, nullptr);
-            EXPECT_EQ(read.request.kind, REQUEST_JOB);
+            EXPECT_EQ(job_spec_check(api_request_job(&parsed.request), &validation_error), 0) << "round " << i;
+            EXPECT_NE(api_request_job(&parsed.request)->text, nullptr);
+            EXPECT_EQ(parsed.request.kind, REQUEST_JOB);
         });
 }
 
@@ -66,19 +66,20 @@
 {
     fuzz(
         config_body, 12, [](const std::string &body) { return config_request(body); },
-        [](const Read &read, int i) {
+        [](const ParsedRequest &parsed, int i) {
             struct validation_error validation_error = {};
-            EXPECT_EQ(config_check(&api_request_config(&read.request)->config, &validation_error), 0) << "round " << i;
-            EXPECT_GT(api_request_config(&read.request)->config.raw.len, 0);
+            EXPECT_EQ(config_check(&api_request_config(&parsed.request)->config, &validation_error), 0)
+                << "round " << i;
+            EXPECT_GT(api_request_config(&parsed.request)->config.raw.len, 0);
         });
 }
 
-TEST(Fuzz, Beats)
+TEST(Fuzz, Heartbeats)
 {
     fuzz(
         beat_body, 13, [](const std::string &body) { return beat_request(body); },
-        [](const Read &read, int i) {
-            const executor_state &state = read.beat().state;
+        [](const ParsedRequest &parsed, int i) {
+            const executor_state &state = parsed.beat().state;
             EXPECT_TRUE(state.service && *state.service) << "round " << i;
             EXPECT_STREQ(state.incarnation, "i-19ab");
             for (int64_t v : {state.cpu_milli, state.memory_mb, state.gpus, state.departure_ms, state.warmup_ms})
@@ -103,13 +104,13 @@
                            {{"Host", damaged("mill.example:80", random).c_str()},
                             {"If-Match", damaged("\"41\"", random).c_str()},
                             {"Deadline-Ms", damaged("2500", random).c_str()}}};
-        Read read(request);
-        EXPECT_EQ(read.error != 0, read.empty()) << path;
-        EXPECT_GE(read.request.wait_ms, 0);
+        ParsedRequest parsed(request);
+        EXPECT_EQ(parsed.error != 0, parsed.empty()) << path;
+        EXPECT_GE(parsed.request.wait_ms, 0);
     }
 }
 
-TEST(Fuzz, ExecutorAnswers)
+TEST(Fuzz, ExecutorResponses)
 {
     const char *whole =
         R"({"clockMs":7001,"reason":"room",)"
@@ -120,20 +121,20 @@
     for (int i = 0; i < ROUNDS; i++) {
         static const int statuses[] = {200, 200, 200, 409, 421, 400, 429, 503, 500};
         std::string body = damaged(whole, random);
-        executor_response answer = {};
-        int error = platform_executor.read(&answer, statuses[random() % 9], body.data(), (int64_t)body.size());
+        executor_response response = {};
+        int error = platform_executor.read(&response, statuses[random() % 9], body.data(), (int64_t)body.size());
         run_lists none = {};
-        const run_lists &lists = answer.kind == EXECUTOR_ACCEPTED ? *executor_response_lists(&answer) : none;
+        const run_lists &lists = response.kind == EXECUTOR_ACCEPTED ? *executor_response_lists(&response) : none;
         if (error) {
             EXPECT_EQ(lists.n_active + lists.n_ended, 0) << "round " << i;
         }
-        EXPECT_GE(answer.clock_ms, -1);
+        EXPECT_GE(response.clock_ms, -1);
         for (int64_t k = 0; k < lists.n_active; k++)
             EXPECT_GE(lists.active[k].attempt, 1);
         for (int64_t k = 0; k < lists.n_ended; k++)
             EXPECT_TRUE(lists.ended[k].seq > 0 && lists.ended[k].how >= END_DONE && lists.ended[k].how <= END_ALONE);
         listed += lists.n_active + lists.n_ended > 0;
-        schema_free(&executor_response_schema, &answer);
+        schema_free(&executor_response_schema, &response);
     }
     EXPECT_GT(listed, ROUNDS / 50);
 }
@@ -148,20 +149,20 @@
                         "early_ms: 7, status_s: 8, spreadFactor: 1.5, checkpointIntervalS: 2, restoreMs: 6}\n"
                         "commands: invocation\napp: 10.0.0.1:81\n";
     std::mt19937_64 random(16);
-    int taken = 0;
+    int accepted = 0;
     for (int i = 0; i < ROUNDS; i++) {
         std::string text = damaged(whole, random);
         platform_settings settings = {};
-        char *why = nullptr;
-        int error = settings_read_text(&settings, text.data(), (int64_t)text.size(), &why);
-        EXPECT_EQ(error != 0, why != nullptr) << "round " << i;
+        char *reason = nullptr;
+        int error = settings_read_text(&settings, text.data(), (int64_t)text.size(), &reason);
+        EXPECT_EQ(error != 0, reason != nullptr) << "round " << i;
         if (!error) {
             EXPECT_TRUE(settings.zone && settings.first_port >= 1 && settings.last_port >= settings.first_port);
             EXPECT_GE(settings.hold_max_ms, 0);
-            taken++;
+            accepted++;
         }
-        free(why);
+        free(reason);
         settings_free(&settings);
     }
-    EXPECT_GT(taken, ROUNDS / 50);
+    EXPECT_GT(accepted, ROUNDS / 50);
 }
--- a/tests/platform/platform_test.h
+++ b/tests/platform/platform_test.h
@@ -1,4 +1,4 @@
-// Shared by the tests of the platform's codecs: one request at a door, and its end.
+// Shared by the tests of the platform's codecs: HTTP requests, and what the codec reads from them.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -15,21 +15,21 @@
 }
 
 struct Request {
-    entry at = ENTRY_CALLERS;
+    entry listener = ENTRY_CALLERS;
     std::string method, path, body;
     std::map<std::string, std::string> headers = {};
 };
 
-// What a door made of a request; freed with it.
-struct Read {
+// The result of reading a request with the platform's api; frees it at its end.
+struct ParsedRequest {
     api_request request = {};
     struct validation_error validation_error = {};
     int error = 0;
 
-    explicit Read(const Request &input)
+    explicit ParsedRequest(const Request &input)
     {
         http_request web = {};
-        web.entry = input.at;
+        web.entry = input.listener;
         web.method = input.method.c_str();
         web.path = input.path.c_str();
         web.body = input.body.data();
@@ -42,8 +42,8 @@
         };
         error = platform_api.read(&request, &web, &validation_error);
     }
-    ~Read() { schema_free(&api_request_schema, &request); }
-    Read(const Read &) = delete;
+    ~ParsedRequest() { schema_free(&api_request_schema, &request); }
+    ParsedRequest(const ParsedRequest &) = delete;
     const executor_beat &beat() const { return *api_request_beat(const_cast<api_request *>(&request)); }
     bool empty() const
     {
@@ -65,7 +65,7 @@
     return {ENTRY_OPERATORS, "PUT", "/sagehitch/executors/i-19ab", body, {}};
 }
 
-// Valid bodies, with each field once.
+// Valid bodies in which each field occurs at least once.
 inline const char *const job_body =
     R"({"spec":"grind \"it\" \u00e6","stages":[{"taskCount":3,"vcpus":750,"memoryRequestMb":96,"gpus":1,)"
     R"("estimatedRuntimeMs":1200.5,"affinity":"r2-9","requirements":"fast","antiAffinity":2},)"
--- a/tests/platform/settings_test.cc
+++ b/tests/platform/settings_test.cc
@@ -1,4 +1,4 @@
-// The settings file: what is taken from it, and what is wrong with it.
+// The settings file: the values that are read, and the errors that are reported.
 #include "platform_test.h"
 
 #include <cstdio>
@@ -7,7 +7,7 @@
 namespace
 {
 
-const std::string good = R"(nodeName: "n-4"
+const std::string valid_settings = R"(nodeName: "n-4"
 role: "front"
 machineClass: "edge"
 serves:
@@ -57,21 +57,21 @@
 service: "s-mill"
 )";
 
-struct File {
+struct ParsedSettings {
     platform_settings settings = {};
-    std::string why;
+    std::string error_text;
     int error;
-    explicit File(const std::string &text)
+    explicit ParsedSettings(const std::string &text)
     {
-        char *said = nullptr;
-        error = settings_read_text(&settings, text.data(), (int64_t)text.size(), &said);
-        why = said ? said : "";
-        free(said);
+        char *reason = nullptr;
+        error = settings_read_text(&settings, text.data(), (int64_t)text.size(), &reason);
+        error_text = reason ? reason : "";
+        free(reason);
     }
-    ~File() { settings_free(&settings); }
+    ~ParsedSettings() { settings_free(&settings); }
 };
 
-std::string with(std::string text, const std::string &from, const std::string &to)
+std::string replaced_text(std::string text, const std::string &from, const std::string &to)
 {
     auto at = text.find(from);
     EXPECT_NE(at, std::string::npos) << from;
@@ -80,68 +80,72 @@
 
 } // namespace
 
-TEST(Settings, Whole)
+TEST(Settings, AllItems)
 {
-    File file(good);
-    ASSERT_EQ(file.error, 0) << file.why;
-    const platform_settings &s = file.settings;
-    EXPECT_STREQ(s.node_name, "n-4");
-    EXPECT_STREQ(s.role, "front");
-    EXPECT_STREQ(s.zone, "north");
-    EXPECT_STREQ(s.region, "coast");
-    ASSERT_EQ(s.n_zones, 2);
-    EXPECT_STREQ(s.zones[1].name, "south");
-    EXPECT_STREQ(s.zones[1].region, "hills");
-    EXPECT_EQ(s.ip_address, 0x0a070004);
-    EXPECT_EQ((uint64_t)s.frontend, addr_parse("10.7.0.4:9001"));
-    EXPECT_EQ(s.readiness, 0);
-    EXPECT_EQ((uint64_t)s.control_plane, addr_parse("10.7.0.4:9003"));
-    EXPECT_EQ((uint64_t)s.app, addr_parse("10.7.0.4:9005"));
-    EXPECT_EQ(s.first_port, 7000);
-    EXPECT_EQ(s.last_port, 7009);
-    ASSERT_EQ(s.n_seed_nodes, 2);
-    EXPECT_EQ((uint64_t)s.seed_nodes[1], addr_parse("10.8.0.4:9003"));
-    EXPECT_EQ(s.initial_start, 1);
-    EXPECT_EQ(s.counts_as_loss, 0);
-    EXPECT_EQ(s.data_directory, nullptr);
-    EXPECT_STREQ(s.service, "s-mill");
-    EXPECT_EQ(s.memory_mb, 128);
-    EXPECT_EQ(s.cpu_share_milli, 150);
-    EXPECT_EQ(s.max_file_descriptors, 4096);
-    EXPECT_EQ(s.heartbeat_interval_ms, 1100);
-    EXPECT_EQ(s.machines_lost, 2);
-    EXPECT_EQ(s.zones_lost, 1);
-    EXPECT_EQ(s.grace_ms, 5000);
-    EXPECT_EQ(s.commands, COMMANDS_INVOCATION);
-    dispatch_settings settings = {};
-    settings_dispatch(&s, &settings);
-    EXPECT_EQ(s.hold_max_ms, 4000);
-    EXPECT_EQ(settings.lease_ms, 3800);
-    EXPECT_EQ(settings.gang_timeout_ms, 2800);
-    EXPECT_EQ(s.stop_timeout_ms, 300);
-    EXPECT_EQ(s.cancel_ms, 2700);
-    EXPECT_EQ(settings.early_ms, 240);
-    EXPECT_EQ(settings.shown_ms, 110000);
-    EXPECT_EQ(s.drain_ms, 1900);
-    EXPECT_EQ(settings.far_pct, 175);
-    EXPECT_EQ(s.checkpoint_ms, 1500);
-    EXPECT_EQ(settings.restore_ms, 500);
-    File longer(with(good, "holdMaxMs: 4000", "holdMaxMs: 20000"));
-    settings_dispatch(&longer.settings, &settings);
-    EXPECT_EQ(settings.lease_ms, 5000);
-    // held from when the answer to a beat is taken, up to a second after the beat: the lease covers that too
-    File beats(with(with(good, "holdMaxMs: 4000", "holdMaxMs: 2000"), "\"invocation\"", "\"heartbeat\""));
-    settings_dispatch(&beats.settings, &settings);
-    EXPECT_EQ(settings.lease_ms, 2900);
-    File beats_long(with(with(good, "holdMaxMs: 4000", "holdMaxMs: 6000"), "\"invocation\"", "\"heartbeat\""));
-    settings_dispatch(&beats_long.settings, &settings);
-    EXPECT_EQ(settings.lease_ms, 5000);
-    File disk(with(with(good, "dataDirectory: null", "dataDirectory: /d/x"), "\"invocation\"", "\"heartbeat\""));
+    ParsedSettings file(valid_settings);
+    ASSERT_EQ(file.error, 0) << file.error_text;
+    const platform_settings &settings = file.settings;
+    EXPECT_STREQ(settings.node_name, "n-4");
+    EXPECT_STREQ(settings.role, "front");
+    EXPECT_STREQ(settings.zone, "north");
+    EXPECT_STREQ(settings.region, "coast");
+    ASSERT_EQ(settings.n_zones, 2);
+    EXPECT_STREQ(settings.zones[1].name, "south");
+    EXPECT_STREQ(settings.zones[1].region, "hills");
+    EXPECT_EQ(settings.ip_address, 0x0a070004);
+    EXPECT_EQ((uint64_t)settings.frontend, addr_parse("10.7.0.4:9001"));
+    EXPECT_EQ(settings.readiness, 0);
+    EXPECT_EQ((uint64_t)settings.control_plane, addr_parse("10.7.0.4:9003"));
+    EXPECT_EQ((uint64_t)settings.app, addr_parse("10.7.0.4:9005"));
+    EXPECT_EQ(settings.first_port, 7000);
+    EXPECT_EQ(settings.last_port, 7009);
+    ASSERT_EQ(settings.n_seed_nodes, 2);
+    EXPECT_EQ((uint64_t)settings.seed_nodes[1], addr_parse("10.8.0.4:9003"));
+    EXPECT_EQ(settings.initial_start, 1);
+    EXPECT_EQ(settings.counts_as_loss, 0);
+    EXPECT_EQ(settings.data_directory, nullptr);
+    EXPECT_STREQ(settings.service, "s-mill");
+    EXPECT_EQ(settings.memory_mb, 128);
+    EXPECT_EQ(settings.cpu_share_milli, 150);
+    EXPECT_EQ(settings.max_file_descriptors, 4096);
+    EXPECT_EQ(settings.heartbeat_interval_ms, 1100);
+    EXPECT_EQ(settings.machines_lost, 2);
+    EXPECT_EQ(settings.zones_lost, 1);
+    EXPECT_EQ(settings.grace_ms, 5000);
+    EXPECT_EQ(settings.commands, COMMANDS_INVOCATION);
+    dispatch_settings dispatch = {};
+    settings_for_dispatch(&settings, &dispatch);
+    EXPECT_EQ(settings.hold_max_ms, 4000);
+    EXPECT_EQ(dispatch.lease_ms, 3800);
+    EXPECT_EQ(dispatch.gang_timeout_ms, 2800);
+    EXPECT_EQ(settings.stop_timeout_ms, 300);
+    EXPECT_EQ(settings.cancel_ms, 2700);
+    EXPECT_EQ(dispatch.early_ms, 240);
+    EXPECT_EQ(dispatch.shown_ms, 110000);
+    EXPECT_EQ(settings.drain_ms, 1900);
+    EXPECT_EQ(dispatch.far_pct, 175);
+    EXPECT_EQ(settings.checkpoint_ms, 1500);
+    EXPECT_EQ(dispatch.restore_ms, 500);
+    ParsedSettings longer(replaced_text(valid_settings, "holdMaxMs: 4000", "holdMaxMs: 20000"));
+    settings_for_dispatch(&longer.settings, &dispatch);
+    EXPECT_EQ(dispatch.lease_ms, 5000);
+    // the executor's lease starts when it receives the response to a heartbeat, up to a second after the heartbeat; the
+    // agent's lease covers that time too
+    ParsedSettings beats(replaced_text(replaced_text(valid_settings, "holdMaxMs: 4000", "holdMaxMs: 2000"),
+                                       "\"invocation\"", "\"heartbeat\""));
+    settings_for_dispatch(&beats.settings, &dispatch);
+    EXPECT_EQ(dispatch.lease_ms, 2900);
+    ParsedSettings beats_long(replaced_text(replaced_text(valid_settings, "holdMaxMs: 4000", "holdMaxMs: 6000"),
+                                            "\"invocation\"", "\"heartbeat\""));
+    settings_for_dispatch(&beats_long.settings, &dispatch);
+    EXPECT_EQ(dispatch.lease_ms, 5000);
+    ParsedSettings disk(replaced_text(replaced_text(valid_settings, "dataDirectory: null", "dataDirectory: /d/x"),
+                                      "\"invocation\"", "\"heartbeat\""));
     EXPECT_STREQ(disk.settings.data_directory, "/d/x");
     EXPECT_EQ(disk.settings.commands, COMMANDS_HEARTBEAT);
 }
 
-TEST(Settings, Flaws)
+TEST(Settings, InvalidItems)
 {
     struct {
         const char *from, *to, *field;
@@ -168,15 +172,15 @@
         {"zones:\n  north", "zones: 7\nmore:\n  north", "zones", 9},
     };
     for (const auto &c : cases) {
-        File file(with(good, c.from, c.to));
+        ParsedSettings file(replaced_text(valid_settings, c.from, c.to));
         EXPECT_EQ(file.error, ERROR_BAD_SETTING) << c.from << " -> " << c.to;
-        std::string said = std::string(c.field) + ": line " + std::to_string(c.line) + ":";
-        EXPECT_EQ(file.why.substr(0, said.size()), said) << c.from << " -> " << c.to;
+        std::string expected = std::string(c.field) + ": line " + std::to_string(c.line) + ":";
+        EXPECT_EQ(file.error_text.substr(0, expected.size()), expected) << c.from << " -> " << c.to;
         platform_settings none = {};
         EXPECT_EQ(memcmp(&file.settings, &none, sizeof none), 0);
     }
     for (const char *text : {"", "- a\n", "a: [\n", "a: \"b\n", "\t- :", "a: &x [*x]\n"})
-        EXPECT_EQ(File(text).error, ERROR_BAD_SETTING) << text;
+        EXPECT_EQ(ParsedSettings(text).error, ERROR_BAD_SETTING) << text;
 }
 
 TEST(Settings, FromFile)
@@ -184,16 +188,16 @@
     char path[] = "/tmp/sagehitch-settings-XXXXXX";
     int fd = mkstemp(path);
     ASSERT_GE(fd, 0);
-    ASSERT_EQ(write(fd, good.data(), good.size()), (ssize_t)good.size());
+    ASSERT_EQ(write(fd, valid_settings.data(), valid_settings.size()), (ssize_t)valid_settings.size());
     close(fd);
     platform_settings settings = {};
-    char *why = nullptr;
-    EXPECT_EQ(settings_read(&settings, path, &why), 0);
+    char *reason = nullptr;
+    EXPECT_EQ(settings_read(&settings, path, &reason), 0);
     EXPECT_STREQ(settings.node_name, "n-4");
     settings_free(&settings);
     unlink(path);
-    EXPECT_EQ(settings_read(&settings, path, &why), ERROR_BAD_SETTING);
-    ASSERT_NE(why, nullptr);
-    EXPECT_EQ(std::string(why).find(path), 0u);
-    free(why);
+    EXPECT_EQ(settings_read(&settings, path, &reason), ERROR_BAD_SETTING);
+    ASSERT_NE(reason, nullptr);
+    EXPECT_EQ(std::string(reason).find(path), 0u);
+    free(reason);
 }
