--- a/src/controller/bootstrap.c
+++ b/src/controller/bootstrap.c
@@ -1,6 +1,6 @@
 /* Bootstrap of the log. At the first start of a fleet, each controller with a disk announces itself to the seeds
  * (FRAME_COLLECT). The seeds agree on a list of voters (ballot.c) and send it to these voters (FRAME_FOUNDERS), which
- * start the log with it. The list is sent only after a majority of the seeds has accepted it, and a voter never takes a
+ * start the log with it. The list is sent only after a majority of the seeds has accepted it, and no voter accepts a
  * second list. */
 #include <stdlib.h>
 #include <string.h>
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -13,7 +13,7 @@
     ELECTION_MS = 500,
     SNAPSHOT_EVERY = 2000,
     KEEP_ENTRIES = 500,
-    SERVE_WHILE_LEAVING_MS = 2500, /* requests are served this long after a request to stop: callers may still come */
+    SERVE_WHILE_LEAVING_MS = 2500, /* time after a request to stop while callers may still use this address */
     HAND_OVER_MS = 1000,           /* a leader that handed over steps down if no successor is elected in this time */
     REOPEN_MS = 1000               /* time after a disk error until the log is read again */
 };
--- a/tests/unit/directory_test.cc
+++ b/tests/unit/directory_test.cc
@@ -24,7 +24,7 @@
 struct Network {
     struct Process : world {
         Network *net;
-        directory d = {};
+        struct directory directory = {};
     };
     std::map<int64_t, Process *> processes;
     std::set<int64_t> silent;
@@ -59,8 +59,8 @@
         p->self = (uint64_t)addr;
         p->net = this;
         processes[addr] = p;
-        directory_start(&p->d, p, FLEET, seeds.data(), (int64_t)seeds.size(), controller, 0, 1);
-        return &p->d;
+        directory_start(&p->directory, p, FLEET, seeds.data(), (int64_t)seeds.size(), controller, 0, 1);
+        return &p->directory;
     }
     void deliver()
     {
@@ -71,7 +71,7 @@
             if (!processes.count(one.first) || silent.count(one.first))
                 continue;
             ASSERT_EQ(frame_parse(&f, one.second.data(), (int64_t)one.second.size(), FLEET), 0);
-            EXPECT_EQ(directory_take(&processes[one.first]->d, &f), 1);
+            EXPECT_EQ(directory_take(&processes[one.first]->directory, &f), 1);
         }
     }
     // leader: learns on every tick that it is the leader, as a leading controller does
@@ -80,8 +80,8 @@
         for (int64_t end = now_ms + ms; now_ms < end; now_ms += 10)
             for (auto &p : processes) {
                 if (leader && p.first == leader)
-                    directory_learn(&p.second->d, term, leader);
-                directory_on_timer(&p.second->d);
+                    directory_learn(&p.second->directory, term, leader);
+                directory_on_timer(&p.second->directory);
                 deliver();
             }
     }
@@ -109,7 +109,7 @@
     net.run(400, 4, 5);
     EXPECT_EQ(directory_leader(agent), 4);
     EXPECT_EQ(agent->term, 5);
-    EXPECT_FALSE(has_entry(&net.processes[2]->d, 9)) << "no process queries an agent";
+    EXPECT_FALSE(has_entry(&net.processes[2]->directory, 9)) << "no process queries an agent";
 }
 
 TEST(Directory, RestartedSeedsLearnOfALeaderThatIsNoSeed)
@@ -120,8 +120,8 @@
     net.add(1, {1, 2});
     net.add(2, {1, 2});
     net.run(1500, 4, 5);
-    EXPECT_EQ(directory_leader(&net.processes[1]->d), 4);
-    EXPECT_EQ(directory_leader(&net.processes[2]->d), 4);
+    EXPECT_EQ(directory_leader(&net.processes[1]->directory), 4);
+    EXPECT_EQ(directory_leader(&net.processes[2]->directory), 4);
 }
 
 TEST(Directory, QueriesOnlyTheLeaderWhileItIsHeard)
--- a/tests/unit/relay_resend_test.cc
+++ b/tests/unit/relay_resend_test.cc
@@ -23,7 +23,7 @@
     int64_t requests = 0;                       // number of FRAME_REQUEST sent to the seed
     int64_t status = 0;
     api_codec codec = {};
-    controller *c = nullptr;
+    struct controller *controller = nullptr;
 
     static Rig *of(world *w) { return static_cast<Rig *>(w); }
     Rig()
@@ -55,9 +55,9 @@
         setup.boot = 1;
         setup.dispatch = {6000, 3000, 250, 120000, 600, 150};
         setup.codec = &codec;
-        c = controller_new(this, &setup);
+        controller = controller_new(this, &setup);
     }
-    ~Rig() { controller_free(c); }
+    ~Rig() { controller_free(controller); }
 
     template <class Message> void arrive(frame_kind kind, const schema *as, const Message &message)
     {
@@ -96,9 +96,9 @@
             std::vector<std::vector<uint8_t>> now;
             now.swap(arriving);
             for (const auto &frame : now)
-                controller_take(c, frame.data(), (int64_t)frame.size());
+                controller_take(controller, frame.data(), (int64_t)frame.size());
             if (time_ms % 10 == 0)
-                controller_on_timer(c);
+                controller_on_timer(controller);
         }
     }
     void request()
@@ -106,7 +106,7 @@
         http_request web = {};
         web.method = "GET";
         web.path = "/config";
-        controller_request(c, 1, &web);
+        controller_request(controller, 1, &web);
     }
 };
 
@@ -116,7 +116,7 @@
 {
     Rig rig;
     rig.run(1000);
-    ASSERT_EQ(directory_leader(&rig.c->directory), SEED);
+    ASSERT_EQ(directory_leader(&rig.controller->directory), SEED);
     rig.request();
     rig.run(800);
     EXPECT_EQ(rig.status, 0);
