--- a/sim/oracle_known.c
+++ b/sim/oracle_known.c
@@ -12,7 +12,7 @@
     PWord_t at = job ? (PWord_t)JudyLIns(&o->accepted_index, (Word_t)job, NULL) : NULL;
     if (!at || *at)
         return;
-    *list_more(o->accepted, o->n_accepted) = (struct accepted){.job = job, .at_ms = sim_ms(o->sim)};
+    *array_add(o->accepted, o->n_accepted) = (struct accepted){.job = job, .at_ms = sim_ms(o->sim)};
     *at = (Word_t)o->n_accepted;
 }
 
@@ -50,7 +50,7 @@
         for (int64_t i = 0; i < sim->n; i++) {
             struct machine *m = sim->machines[i];
             if (m->kind == M_KEEPER && m->up && !m->frozen && !sick_disk(sim, m) &&
-                log_voter(&newest->core.keeper.logs[g], m->core.keeper.id))
+                log_is_voter(&newest->core.keeper.logs[g], m->core.keeper.id))
                 voters[n++] = m;
         }
         for (int64_t i = 0; i < n; i++) {
@@ -91,8 +91,8 @@
         if (e->frozen)
             o->frozen_ms[i] = now_ms;
         struct machine *m = sim_home(sim, e->name);
-        struct home *home = able(sim, m) ? home_find(&m->core.node, e->name) : NULL;
-        if (!home || !home->opened || !admission_open(&m->core.node))
+        struct executor_owner *executor_owner = able(sim, m) ? executor_owner_find(&m->core.node, e->name) : NULL;
+        if (!executor_owner || !executor_owner->opened || !admission_open(&m->core.node))
             o->home_bad_ms[i] = now_ms;
     }
 }
@@ -122,7 +122,7 @@
 static int dropped(struct oracle *o, int64_t id)
 {
     struct machine *leader = sim_leader(o->sim, GROUP_JOBS);
-    return leader && !rows_job(&leader->core.keeper.shards[job_shard(id)], id);
+    return leader && !rows_find_job(&leader->core.keeper.shards[job_shard(id)], id);
 }
 
 static void told(struct sim *sim, void *arg, int64_t tag, int status, const char *body)
@@ -176,7 +176,7 @@
 
 static void request(struct oracle *o, int64_t job, int64_t accepted_ms, struct machine *node, int64_t again)
 {
-    *list_more(o->asked, o->n_asked) =
+    *array_add(o->asked, o->n_asked) =
         (struct asked){.job = job, .accepted_ms = accepted_ms, .node = node, .again = again};
     sim_at(o->sim, again ? REQUEST_AGAIN_MS : 0, request_now, (void *)(intptr_t)(o->n_asked - 1));
 }
--- a/sim/sim_net.c
+++ b/sim/sim_net.c
@@ -148,7 +148,7 @@
     const char *expect = strstr(path, "expect=");
     if (strcmp(method, "GET") && expect && (!strncmp(path, "/v1/settings", 12) || !strncmp(path, "/v1/calendar", 12)))
         call.follows = 1 + text_to_int64(expect + 7);
-    *list_more(sim->calls, sim->n_calls_open) = call;
+    *array_add(sim->calls, sim->n_calls_open) = call;
     struct sim_event *timeout = new_event(EVT_TIMEOUT, call.from);
     timeout->call = call.id;
     timeout->generation = call.from ? call.from->generation : 0;
@@ -238,9 +238,9 @@
     if (event->kind == EVT_ON_TIMER)
         on_timer(m);
     else if (event->kind == EVT_FRAME && m->kind == M_KEEPER)
-        keeper_take(&m->core.keeper, event->frame->bytes.at, event->frame->bytes.len);
+        keeper_on_frame(&m->core.keeper, event->frame->bytes.at, event->frame->bytes.len);
     else if (event->kind == EVT_FRAME && m->kind == M_NODE)
-        node_take(&m->core.node, event->frame->bytes.at, event->frame->bytes.len);
+        node_on_frame(&m->core.node, event->frame->bytes.at, event->frame->bytes.len);
     else if (event->kind == EVT_REQUEST)
         request(m, event);
     else if (event->kind == EVT_ANSWER)
--- a/src/controller/ballot.c
+++ b/src/controller/ballot.c
@@ -38,16 +38,16 @@
 /* That this acceptor takes part in the first start is synced before its first message is sent. */
 int ballot_load(struct controller *controller)
 {
-    int rc = ERROR_NO_SUCH;
+    int rc = ERROR_NOT_FOUND;
     if (controller->votes)
         rc = log_load_schema(controller->w, "founding-ballot", &acceptor_schema, &controller->acceptor);
     controller->proposer.start_ms = world_ms(controller->w) + (rc ? 0 : RESTART_WAIT_MS);
     controller->may_bootstrap = !rc;
-    if (rc != ERROR_NO_SUCH || !controller->setup.first_start)
-        return rc == ERROR_NO_SUCH ? ERROR_NONE : rc;
+    if (rc != ERROR_NOT_FOUND || !controller->setup.first_start)
+        return rc == ERROR_NOT_FOUND ? ERROR_NONE : rc;
     controller->may_bootstrap = 1;
     for (int64_t i = 0; i < controller->n_seeds; i++)
-        *list_more(controller->acceptor.seeds, controller->acceptor.n_seeds) = controller->seeds[i];
+        *array_add(controller->acceptor.seeds, controller->acceptor.n_seeds) = controller->seeds[i];
     return rank_of(controller, (int64_t)controller->w->self) >= 0 ? save_acceptor(controller, &controller->acceptor)
                                                                   : ERROR_NONE;
 }
@@ -123,7 +123,7 @@
     struct ballot_reply reply;
     if (phase == BALLOT_ACCEPT)
         message.members = proposer->members;
-    if (!(proposer->answered >> rank_of(controller, self) & 1)) {
+    if (!(proposer->agreed >> rank_of(controller, self) & 1)) {
         if (!acceptor_reply(controller, &message, &reply))
             return;
         on_reply(controller, self, &reply);
@@ -136,7 +136,7 @@
 
 static int majority_agreed(const struct controller *controller)
 {
-    return __builtin_popcountll((unsigned long long)controller->proposer.answered) > controller->acceptor.n_seeds / 2;
+    return __builtin_popcountll((unsigned long long)controller->proposer.agreed) > controller->acceptor.n_seeds / 2;
 }
 
 /* Called after a majority has promised: proposes the list that was accepted under the highest ballot, or else a list of
@@ -149,7 +149,7 @@
     if (!proposer->members.n)
         return;
     proposer->phase = BALLOT_ACCEPT;
-    proposer->answered = 0;
+    proposer->agreed = 0;
     send_ballot(controller);
 }
 
@@ -168,7 +168,7 @@
                                                      : RETRY_MS + (int64_t)(world_random(controller->w) % RETRY_MS));
         return;
     }
-    proposer->answered |= 1LL << rank;
+    proposer->agreed |= 1LL << rank;
     if (proposer->phase == BALLOT_PREPARE && reply->accepted > proposer->best_accepted) {
         proposer->best_accepted = reply->accepted;
         schema_free(&log_members_schema, &proposer->members);
@@ -197,7 +197,7 @@
         proposer->ballot =
             (round * RANDOM_RANGE + (int64_t)(world_random(controller->w) % RANDOM_RANGE)) * RANKS + rank;
         proposer->phase = BALLOT_PREPARE;
-        proposer->answered = 0;
+        proposer->agreed = 0;
     } else if (proposer->phase == BALLOT_PREPARE && majority_agreed(controller)) {
         begin_accept(controller);
         if (proposer->phase != BALLOT_PREPARE)
--- a/src/controller/bootstrap.c
+++ b/src/controller/bootstrap.c
@@ -1,7 +1,7 @@
 /* Bootstrap of the log. At the first start of a fleet, each controller with a disk announces itself to the seeds
- * (FRAME_COLLECT). The seeds agree on a list of voters (ballot.c) and send it to these voters (FRAME_FOUNDERS), which
- * start the log with it. The list is sent only after a majority of the seeds has accepted it, and no voter accepts a
- * second list. */
+ * (FRAME_COLLECT). The seeds agree on a list of voters (ballot.c) and send it to these voters
+ * (FRAME_BOOTSTRAP_MEMBERS), which start the log with it. The list is sent only after a majority of the seeds has
+ * accepted it, and no voter accepts a second list. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -43,7 +43,7 @@
         return rc;
     rc = log_load_schema(controller->w, "founding", &log_members_schema, &controller->bootstrap_members);
     if (rc)
-        return rc == ERROR_NO_SUCH ? ERROR_NONE : rc;
+        return rc == ERROR_NOT_FOUND ? ERROR_NONE : rc;
     return is_bootstrap_voter(controller) && controller_empty(controller)
                ? log_bootstrap(&controller->log, &controller->bootstrap_members)
                : ERROR_NONE;
@@ -71,7 +71,7 @@
 
 /* --- seeds ------------------------------------------------------------ */
 
-static void on_collect(struct controller *controller, const struct collect *announced)
+static void on_collect(struct controller *controller, const struct bootstrap_announcement *announced)
 {
     struct bootstrap_candidate *at = NULL;
     int64_t now_ms = world_ms(controller->w);
@@ -81,13 +81,13 @@
     if (!at) {
         if (controller->n_candidates == CANDIDATES_MAX)
             return;
-        at = list_more(controller->candidates, controller->n_candidates);
-        controller->last_new_ms = now_ms;
-        if (!controller->first_heard_ms)
-            controller->first_heard_ms = now_ms;
+        at = array_add(controller->candidates, controller->n_candidates);
+        controller->newest_candidate_ms = now_ms;
+        if (!controller->first_candidate_ms)
+            controller->first_candidate_ms = now_ms;
     }
-    schema_free(&collect_schema, &at->announced);
-    schema_copy(&collect_schema, &at->announced, announced);
+    schema_free(&bootstrap_announcement_schema, &at->announced);
+    schema_copy(&bootstrap_announcement_schema, &at->announced, announced);
     at->heard_ms = now_ms;
 }
 
@@ -120,7 +120,7 @@
     while (to->n < wanted) {
         int64_t best = -1;
         for (int64_t i = 0; i < controller->n_candidates; i++) {
-            const struct collect *announced = &controller->candidates[i].announced;
+            const struct bootstrap_announcement *announced = &controller->candidates[i].announced;
             if (!taken[i] && announced->empty && heard_recently(controller, &controller->candidates[i]) &&
                 (best < 0 ||
                  voters_in_zone(to, announced->zone) < voters_in_zone(to, controller->candidates[best].announced.zone)))
@@ -129,28 +129,29 @@
         if (best < 0)
             break;
         taken[best] = 1;
-        const struct collect *announced = &controller->candidates[best].announced;
-        *list_more(to->members, to->n) = (struct log_member){
-            .id = announced->id, .addr = announced->addr, .voter = VOTES, .zone = must_dup(announced->zone)};
+        const struct bootstrap_announcement *announced = &controller->candidates[best].announced;
+        *array_add(to->members, to->n) = (struct log_member){
+            .id = announced->id, .addr = announced->addr, .voter = LOG_VOTER, .zone = must_dup(announced->zone)};
     }
     free(taken);
 }
 
 void bootstrap_pick(struct controller *controller, struct log_members *to)
 {
-    int64_t now_ms = world_ms(controller->w), empty = 0, since_ms = now_ms - controller->first_heard_ms;
-    if (!controller->first_heard_ms || controller->directory.term)
+    int64_t now_ms = world_ms(controller->w), empty = 0, since_ms = now_ms - controller->first_candidate_ms;
+    if (!controller->first_candidate_ms || controller->directory.term)
         return;
     for (int64_t i = 0; i < controller->n_candidates; i++) {
-        const struct collect *announced = &controller->candidates[i].announced;
+        const struct bootstrap_announcement *announced = &controller->candidates[i].announced;
         if (announced->members.n) {
             schema_copy(&log_members_schema, to, &announced->members); /* a log is started only with the chosen list */
             return;
         }
         empty += heard_recently(controller, &controller->candidates[i]) && announced->empty;
     }
-    int enough = empty >= controller_voters_wanted(controller, INT64_MAX) &&
-                 ((since_ms >= QUIET_MS && now_ms - controller->last_new_ms >= QUIET_MS) || since_ms >= ENOUGH_WAIT_MS);
+    int enough =
+        empty >= controller_voters_wanted(controller, INT64_MAX) &&
+        ((since_ms >= QUIET_MS && now_ms - controller->newest_candidate_ms >= QUIET_MS) || since_ms >= ENOUGH_WAIT_MS);
     if (empty && (enough || since_ms >= LONGEST_WAIT_MS))
         pick_voters(controller, to, controller_voters_wanted(controller, empty));
 }
@@ -169,7 +170,8 @@
         if (member->addr == (int64_t)controller->w->self)
             start_log(controller, &controller->chosen_members);
         else
-            controller_send(controller, member->addr, FRAME_FOUNDERS, &log_members_schema, &controller->chosen_members);
+            controller_send(controller, member->addr, FRAME_BOOTSTRAP_MEMBERS, &log_members_schema,
+                            &controller->chosen_members);
     }
 }
 
@@ -203,20 +205,21 @@
 void bootstrap_on_timer(struct controller *controller)
 {
     int64_t now_ms = world_ms(controller->w), self = (int64_t)controller->w->self;
-    if (!controller->may_bootstrap || now_ms < controller->bootstrap_ms)
+    if (!controller->may_bootstrap || now_ms < controller->next_bootstrap_ms)
         return;
-    controller->bootstrap_ms = now_ms + ANNOUNCE_MS;
+    controller->next_bootstrap_ms = now_ms + ANNOUNCE_MS;
     if (must_announce(controller)) {
-        struct collect announced = {.id = controller->id,
-                                    .addr = self,
-                                    .zone = controller->zone,
-                                    .empty = !controller->bootstrap_members.n,
-                                    .members = controller->bootstrap_members};
+        struct bootstrap_announcement announced = {.id = controller->id,
+                                                   .addr = self,
+                                                   .zone = controller->zone,
+                                                   .empty = !controller->bootstrap_members.n,
+                                                   .members = controller->bootstrap_members};
         for (int64_t i = 0; i < controller->acceptor.n_seeds; i++) {
             if (controller->acceptor.seeds[i] == self)
                 on_collect(controller, &announced);
             else
-                controller_send(controller, controller->acceptor.seeds[i], FRAME_COLLECT, &collect_schema, &announced);
+                controller_send(controller, controller->acceptor.seeds[i], FRAME_COLLECT,
+                                &bootstrap_announcement_schema, &announced);
         }
     }
     if (!is_seed(controller, self) || ballot_finished(controller))
@@ -227,18 +230,18 @@
         ballot_on_timer(controller);
 }
 
-void bootstrap_take(struct controller *controller, const struct frame *frame)
+void bootstrap_on_frame(struct controller *controller, const struct frame *frame)
 {
     if (frame->kind == FRAME_BALLOT || frame->kind == FRAME_BALLOT_REPLY) {
         ballot_on_frame(controller, frame);
         return;
     }
     if (frame->kind == FRAME_COLLECT) {
-        struct collect announced = {0};
-        if (controller->may_bootstrap && !schema_unpack(&collect_schema, &announced, frame->body, frame->len) &&
-            announced.zone)
+        struct bootstrap_announcement announced = {0};
+        if (controller->may_bootstrap &&
+            !schema_unpack(&bootstrap_announcement_schema, &announced, frame->body, frame->len) && announced.zone)
             on_collect(controller, &announced);
-        schema_free(&collect_schema, &announced);
+        schema_free(&bootstrap_announcement_schema, &announced);
         return;
     }
     struct log_members members = {0};
@@ -251,7 +254,7 @@
 {
     ballot_end(controller);
     for (int64_t i = 0; i < controller->n_candidates; i++)
-        schema_free(&collect_schema, &controller->candidates[i].announced);
+        schema_free(&bootstrap_announcement_schema, &controller->candidates[i].announced);
     free(controller->candidates);
     schema_free(&log_members_schema, &controller->bootstrap_members);
     schema_free(&log_members_schema, &controller->chosen_members);
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -64,8 +64,8 @@
         record_end(&fresh);
         return rc;
     }
-    if (controller->dispatch && dispatch_leads(controller->dispatch))
-        dispatch_follow(controller->dispatch); /* the state of a leading dispatch points into the record */
+    if (controller->dispatch && dispatch_is_leader(controller->dispatch))
+        dispatch_become_follower(controller->dispatch); /* the state of a leading dispatch points into the record */
     record_replace(&controller->record, &fresh);
     return ERROR_NONE;
 }
@@ -96,10 +96,10 @@
     controller_send(arg, agent, FRAME_ORDERS, &agent_orders_schema, orders);
 }
 
-static int leads(void *arg)
+static int holds_lease(void *arg)
 {
     struct controller *controller = arg;
-    return controller->votes && log_leads(&controller->log);
+    return controller->votes && log_has_lease(&controller->log);
 }
 
 static void on_read_confirmed(void *arg, int64_t tag, int error, const struct bytes *unused)
@@ -134,7 +134,7 @@
     log_election_reset(&controller->log);
     int rc = log_load(&controller->log);
     if (!rc && !controller_empty(controller))
-        controller->log.votes_from_ms = world_ms(controller->w) + ELECTION_MS;
+        controller->log.no_vote_before_ms = world_ms(controller->w) + ELECTION_MS;
     return rc;
 }
 
@@ -144,7 +144,7 @@
     const struct dispatch_calls calls = {.propose = propose,
                                          .answer = on_dispatch_response,
                                          .orders = send_orders,
-                                         .leads = leads,
+                                         .holds_lease = holds_lease,
                                          .barrier = barrier,
                                          .arg = controller};
     int rc = ERROR_NONE;
@@ -156,7 +156,7 @@
     record_start(&controller->record);
     controller->record.patch_config = setup->codec->patch_config;
     directory_start(&controller->directory, w, controller->cluster, NULL, 0, 1, setup->disk, setup->boot);
-    controller_reread(controller, setup->seeds, setup->n_seeds);
+    controller_set_seeds(controller, setup->seeds, setup->n_seeds);
     if (controller->votes && !(rc = log_identity(w, controller->cluster, &controller->id)))
         rc = open_log(controller);
     if (!rc)
@@ -197,12 +197,12 @@
     return !controller->log.members.n && !log_last(&controller->log) && !controller->log.term;
 }
 
-void controller_reread(struct controller *controller, const int64_t *seeds, int64_t n_seeds)
+void controller_set_seeds(struct controller *controller, const int64_t *seeds, int64_t n_seeds)
 {
     controller->n_seeds = 0;
     for (int64_t i = 0; i < n_seeds && i < COUNT_OF(controller->seeds); i++)
         controller->seeds[controller->n_seeds++] = seeds[i];
-    directory_seeds(&controller->directory, controller->seeds, controller->n_seeds);
+    directory_set_seeds(&controller->directory, controller->seeds, controller->n_seeds);
 }
 
 /* Reads the log again REOPEN_MS after a disk error, with what was synced only, as after a restart. Until then nothing
@@ -218,8 +218,8 @@
         return;
     controller->disk_failed_ms = now_ms;
     log_on_timer(&controller->log); /* fails pending proposals and reads */
-    if (dispatch_leads(controller->dispatch))
-        dispatch_follow(controller->dispatch);
+    if (dispatch_is_leader(controller->dispatch))
+        dispatch_become_follower(controller->dispatch);
     log_end(&controller->log);
     record_clear(&controller->record);
     if (open_log(controller))
@@ -229,28 +229,28 @@
 }
 
 /* Starts or stops dispatch and updates the directory to match this controller's role in the log. */
-static void follow_log(struct controller *controller)
+static void apply_log_role(struct controller *controller)
 {
     struct log *log = &controller->log;
     int is_leader = log->role == LOG_LEADER && !log->broken;
-    if (!is_leader && dispatch_leads(controller->dispatch))
-        dispatch_follow(controller->dispatch);
+    if (!is_leader && dispatch_is_leader(controller->dispatch))
+        dispatch_become_follower(controller->dispatch);
     /* the record has all entries committed by earlier leaders once an entry of this leader's term is committed */
-    if (is_leader && !dispatch_leads(controller->dispatch) && log_term_at(log, log->commit) == log->term)
-        dispatch_lead(controller->dispatch, log->term);
-    if (is_leader && log_leads(log))
-        directory_learn(&controller->directory, log->term, (int64_t)controller->w->self);
+    if (is_leader && !dispatch_is_leader(controller->dispatch) && log_term_at(log, log->commit) == log->term)
+        dispatch_become_leader(controller->dispatch, log->term);
+    if (is_leader && log_has_lease(log))
+        directory_learn_leader(&controller->directory, log->term, (int64_t)controller->w->self);
     else if (controller->directory.leader == (int64_t)controller->w->self)
-        directory_doubt(&controller->directory);
+        directory_suspect_leader(&controller->directory);
     if (!is_leader && log->leader_addr && log->leader_addr != (int64_t)controller->w->self && log->heard_leader_ms &&
         world_ms(controller->w) - log->heard_leader_ms < 2LL * HEARTBEAT_MS)
-        directory_learn(&controller->directory, log->term, log->leader_addr);
+        directory_learn_leader(&controller->directory, log->term, log->leader_addr);
 }
 
 /* Delays the own candidacy of a leaving voter, so that another voter is elected first; but not for longer than an
  * election takes: if this voter holds entries that the others lack, none of them can be elected, and it must become a
  * candidate itself. */
-static void let_others_lead(struct controller *controller)
+static void defer_election(struct controller *controller)
 {
     struct log *log = &controller->log;
     int64_t now_ms = world_ms(controller->w), since_ms = controller->leave_ms;
@@ -268,7 +268,7 @@
     struct log *log = &controller->log;
     int64_t now_ms = world_ms(controller->w);
     if (log->role == LOG_LEADER && log->handed_over_ms && now_ms - log->handed_over_ms > HAND_OVER_MS)
-        log_follow(log, log->term, 0);
+        log_become_follower(log, log->term, 0);
     if (!controller->leaving)
         return;
     if (!controller->leave_wait_reported && now_ms - controller->leave_ms >= SERVE_WHILE_LEAVING_MS &&
@@ -277,12 +277,12 @@
         world_note(controller->w, EV_LEAVE_WAITS, "log=%s commit=%lld", log->name, (long long)log->commit);
     }
     int urgent = now_ms - controller->leave_ms >= controller->setup.grace_ms - 1000 - HAND_OVER_MS;
-    if (log->role == LOG_LEADER && !log->handed_over_ms && now_ms >= controller->hand_over_ms &&
+    if (log->role == LOG_LEADER && !log->handed_over_ms && now_ms >= controller->next_hand_over_ms &&
         leaving_may_hand_over(controller, urgent)) {
-        controller->hand_over_ms = now_ms + 2LL * HEARTBEAT_MS;
+        controller->next_hand_over_ms = now_ms + 2LL * HEARTBEAT_MS;
         log_hand_over(log);
     } else if (log->role == LOG_FOLLOWER) {
-        let_others_lead(controller);
+        defer_election(controller);
     }
 }
 
@@ -292,7 +292,7 @@
         log_on_timer(&controller->log);
         reopen_log(controller);
         leave_on_timer(controller);
-        follow_log(controller);
+        apply_log_role(controller);
     }
     if (!controller->log.broken)
         bootstrap_on_timer(controller);
@@ -308,7 +308,7 @@
 
 void controller_flush(struct controller *controller)
 {
-    if (dispatch_leads(controller->dispatch))
+    if (dispatch_is_leader(controller->dispatch))
         dispatch_flush(controller->dispatch);
     if (controller->votes)
         log_flush(&controller->log);
@@ -317,7 +317,8 @@
 static void on_report(struct controller *controller, const struct frame *frame)
 {
     struct agent_report report = {0};
-    if (dispatch_leads(controller->dispatch) && !schema_unpack(&agent_report_schema, &report, frame->body, frame->len))
+    if (dispatch_is_leader(controller->dispatch) &&
+        !schema_unpack(&agent_report_schema, &report, frame->body, frame->len))
         dispatch_report(controller->dispatch, (int64_t)frame->from, &report);
     schema_free(&agent_report_schema, &report);
 }
@@ -336,7 +337,7 @@
     struct leaving message = {0};
     if (controller->votes && !controller->log.broken &&
         !schema_unpack(&leaving_schema, &message, frame->body, frame->len))
-        leaving_take(controller, (int64_t)frame->from, &message);
+        leaving_on_message(controller, (int64_t)frame->from, &message);
     schema_free(&leaving_schema, &message);
 }
 
@@ -344,25 +345,25 @@
 {
     if (!controller->votes || controller->log.broken)
         return ERROR_NONE;
-    int rc = log_take(&controller->log, frame);
-    follow_log(controller);
+    int rc = log_on_frame(&controller->log, frame);
+    apply_log_role(controller);
     return rc;
 }
 
-void controller_take(struct controller *controller, const uint8_t *at, int64_t len)
+void controller_on_frame(struct controller *controller, const uint8_t *at, int64_t len)
 {
     struct frame frame;
     int rc = frame_parse(&frame, at, len, controller->cluster);
-    if (!rc && !directory_take(&controller->directory, &frame)) {
-        if (frame_of_log(frame.kind))
+    if (!rc && !directory_on_frame(&controller->directory, &frame)) {
+        if (frame_is_for_log(frame.kind))
             rc = on_log_frame(controller, &frame);
         else if (frame.kind == FRAME_JOIN)
             on_join(controller, &frame);
         else if (frame.kind == FRAME_LEAVING)
             on_leaving(controller, &frame);
-        else if (frame.kind == FRAME_COLLECT || frame.kind == FRAME_FOUNDERS || frame.kind == FRAME_BALLOT ||
+        else if (frame.kind == FRAME_COLLECT || frame.kind == FRAME_BOOTSTRAP_MEMBERS || frame.kind == FRAME_BALLOT ||
                  frame.kind == FRAME_BALLOT_REPLY)
-            bootstrap_take(controller, &frame);
+            bootstrap_on_frame(controller, &frame);
         else if (frame.kind == FRAME_REQUEST || frame.kind == FRAME_RESPONSE)
             relay_on_frame(controller, &frame);
         else if (frame.kind == FRAME_REPORT)
@@ -399,7 +400,7 @@
 
 const struct record *controller_record(const struct controller *controller) { return &controller->record; }
 
-int controller_leads(const struct controller *controller) { return dispatch_leads(controller->dispatch); }
+int controller_leads(const struct controller *controller) { return dispatch_is_leader(controller->dispatch); }
 
 static uint64_t members_hash(const struct log_members *list)
 {
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -38,7 +38,7 @@
 void controller_free(struct controller *controller);
 void controller_on_timer(struct controller *controller);
 /* Handles a frame of len bytes from another process. */
-void controller_take(struct controller *controller, const uint8_t *at, int64_t len);
+void controller_on_frame(struct controller *controller, const uint8_t *at, int64_t len);
 /* Syncs and sends the log entries and messages that earlier calls have queued. */
 void controller_flush(struct controller *controller);
 /* Handles an HTTP request, which need not outlive the call. It is answered exactly once, through world.answer(slot). */
@@ -50,7 +50,7 @@
  * leader may have accepted is answered with ERROR_GAVE_UP, not with a refusal. */
 void controller_give_up(struct controller *controller);
 /* Replaces the addresses of the seeds. */
-void controller_reread(struct controller *controller, const int64_t *seeds, int64_t n_seeds);
+void controller_set_seeds(struct controller *controller, const int64_t *seeds, int64_t n_seeds);
 /* For tests and measurements. */
 const struct record *controller_record(const struct controller *controller);
 int controller_leads(const struct controller *controller);
--- a/src/controller/controller_state.h
+++ b/src/controller/controller_state.h
@@ -34,12 +34,12 @@
 extern const struct schema forwarded_request_schema, forwarded_response_schema;
 
 /* FRAME_COLLECT: a controller with a disk announces itself to the seeds. empty: it has no log yet. */
-struct collect {
+struct bootstrap_announcement {
     int64_t id, addr, empty;
     char *zone;
     struct log_members members; /* the bootstrap members of its log; n 0: its log was not started */
 };
-extern const struct schema collect_schema;
+extern const struct schema bootstrap_announcement_schema;
 
 /* FRAME_BALLOT: a proposer's request to the acceptors, see ballot.c. */
 enum ballot_phase { BALLOT_NONE, BALLOT_PREPARE, BALLOT_ACCEPT };
@@ -68,7 +68,7 @@
  * that list. highest_promised: the highest promise seen in any reply. heard_ms: time of the newest request of another
  * proposer. start_ms: earliest time of the next proposal. */
 struct proposer {
-    int64_t ballot, phase, answered, best_accepted, highest_promised, heard_ms, start_ms;
+    int64_t ballot, phase, agreed, best_accepted, highest_promised, heard_ms, start_ms;
     struct log_members members;
 };
 
@@ -87,11 +87,11 @@
 
 /* A controller that announced itself to this seed. heard_ms: time of its newest announcement. */
 struct bootstrap_candidate {
-    struct collect announced;
+    struct bootstrap_announcement announced;
     int64_t heard_ms;
 };
 /* A request of a controller with a disk to become a member (FRAME_JOIN). heard_ms: time at which it last arrived. */
-struct joiner {
+struct join_request {
     struct join join;
     int64_t heard_ms;
 };
@@ -106,15 +106,15 @@
 
 /* A controller. votes: it has a disk, so it may become a voter; id and log are used only then. id: its identity, synced
  * before it is first used. leaving, leave_ms: whether and when it was asked to stop. disk_failed_ms: time of the last
- * disk error, 0: the disk works. hand_over_ms: time of the next attempt to hand over leadership. All times are of the
- * monotonic clock. */
+ * disk error, 0: the disk works. next_hand_over_ms: time of the next attempt to hand over leadership. All times are of
+ * the monotonic clock. */
 struct controller {
     struct world *w;
     struct controller_setup setup;
     uint32_t cluster;
     char *zone;
     int64_t seeds[8], n_seeds;
-    int64_t votes, id, leaving, leave_ms, disk_failed_ms, hand_over_ms;
+    int64_t votes, id, leaving, leave_ms, disk_failed_ms, next_hand_over_ms;
     struct log log;
     struct record record;
     struct directory directory;
@@ -126,23 +126,25 @@
     struct log_members bootstrap_members; /* the members with which the log was started here; n 0: not started */
     struct log_members chosen_members;    /* accepted by a majority of the seeds; never changes once set */
     struct bootstrap_candidate *candidates;
-    int64_t n_candidates, first_heard_ms, last_new_ms; /* when the first and the newest candidate became known */
-    int64_t bootstrap_ms, bootstrapped_ms;             /* time of the next step; when the log was started here */
+    int64_t n_candidates, first_candidate_ms,
+        newest_candidate_ms;                    /* when the first and the newest candidate became known */
+    int64_t next_bootstrap_ms, bootstrapped_ms; /* time of the next step; when the log was started here */
     int64_t may_bootstrap; /* may take part in the bootstrap: the acceptor's state of the first start is not lost */
     /* ballot.c */
     struct acceptor acceptor;
     struct proposer proposer;
     /* members.c */
-    struct joiner joiners[JOIN_REQUESTS_MAX];
-    int64_t n_joiners, join_ms, step_ms;     /* times of the next request to join and the next membership step */
+    struct join_request join_requests[JOIN_REQUESTS_MAX];
+    int64_t n_join_requests, next_join_ms,
+        next_step_ms;                        /* times of the next request to join and the next membership step */
     int64_t last_timer_ms, running_since_ms; /* last run of the timer; end of its last long gap */
     struct repair_wait learner_wait;         /* for a learner that can replace a voter; number: the voter's identity */
     struct repair_wait commit_wait;          /* for the commit of a membership change; number: its log index */
     /* leaving.c */
     struct leaver leaver;
-    /* leaving_ms, may_end_ms: times of the next request to end and of the newest permission; leave_wait_reported: event
-     * 2014 was raised */
-    int64_t leaving_ms, may_end_ms, leave_wait_reported;
+    /* next_leave_request_ms, permission_ms: times of the next request to end and of the newest permission;
+     * leave_wait_reported: event 2014 was raised */
+    int64_t next_leave_request_ms, permission_ms, leave_wait_reported;
 };
 
 /* Sends a frame to the process at the address to. */
@@ -167,7 +169,7 @@
 /* Loads the state of the bootstrap. Starts the log if a restart had interrupted that. */
 int bootstrap_load(struct controller *controller);
 void bootstrap_on_timer(struct controller *controller);
-void bootstrap_take(struct controller *controller, const struct frame *frame);
+void bootstrap_on_frame(struct controller *controller, const struct frame *frame);
 void bootstrap_end(struct controller *controller);
 /* Fills to with the list of voters to propose; n 0: too few candidates so far. The caller owns the list. */
 void bootstrap_pick(struct controller *controller, struct log_members *to);
@@ -188,7 +190,7 @@
 
 /* leaving.c */
 /* from: the sender's address */
-void leaving_take(struct controller *controller, int64_t from, const struct leaving *message);
+void leaving_on_message(struct controller *controller, int64_t from, const struct leaving *message);
 void leaving_on_timer(struct controller *controller);
 /* Whether this controller may end: the leader permitted it, or the log loses no vote. */
 int leaving_may_end(const struct controller *controller);
--- a/src/controller/directory.c
+++ b/src/controller/directory.c
@@ -41,7 +41,7 @@
     return entry;
 }
 
-void directory_seeds(struct directory *directory, const int64_t *seeds, int64_t n_seeds)
+void directory_set_seeds(struct directory *directory, const int64_t *seeds, int64_t n_seeds)
 {
     for (int64_t i = 0; i < directory->n; i++)
         directory->entries[i].seed = 0;
@@ -58,7 +58,7 @@
                      int64_t n_seeds, int64_t controller, int64_t disk, int64_t boot)
 {
     *directory = (struct directory){.w = w, .cluster = cluster, .controller = controller, .disk = disk, .boot = boot};
-    directory_seeds(directory, seeds, n_seeds);
+    directory_set_seeds(directory, seeds, n_seeds);
     directory->search_start_ms = world_ms(w);
 }
 
@@ -90,13 +90,13 @@
 
 int64_t directory_leader(const struct directory *directory)
 {
-    if (directory->doubted || (directory->leader != (int64_t)directory->w->self &&
-                               world_ms(directory->w) - directory->leader_heard_ms > HEARD_MS))
+    if (directory->leader_suspected || (directory->leader != (int64_t)directory->w->self &&
+                                        world_ms(directory->w) - directory->leader_heard_ms > HEARD_MS))
         return 0;
     return directory->leader;
 }
 
-int directory_heard(const struct directory *directory, int64_t addr, int64_t within_ms)
+int directory_heard_from(const struct directory *directory, int64_t addr, int64_t within_ms)
 {
     for (int64_t i = 0; i < directory->n; i++)
         if (directory->entries[i].addr == addr)
@@ -141,25 +141,25 @@
 
 static void set_leader(struct directory *directory, int64_t term, int64_t leader)
 {
-    if (directory->doubted || term != directory->term || leader != directory->leader)
+    if (directory->leader_suspected || term != directory->term || leader != directory->leader)
         directory->next_query_ms = world_ms(directory->w);
     directory->term = term;
     directory->leader = leader;
     directory->leader_heard_ms = world_ms(directory->w);
-    directory->doubted = 0;
+    directory->leader_suspected = 0;
 }
 
-void directory_learn(struct directory *directory, int64_t term, int64_t leader)
+void directory_learn_leader(struct directory *directory, int64_t term, int64_t leader)
 {
     if (term >= directory->term && leader)
         set_leader(directory, term, leader);
 }
 
-void directory_doubt(struct directory *directory)
+void directory_suspect_leader(struct directory *directory)
 {
-    if (directory->doubted)
+    if (directory->leader_suspected)
         return;
-    directory->doubted = 1;
+    directory->leader_suspected = 1;
     directory->next_query_ms = world_ms(directory->w);
 }
 
@@ -194,16 +194,16 @@
             entry->heard_ms = now_ms;
         }
     if (message->leader == from) {
-        directory_learn(directory, message->term, from);
+        directory_learn_leader(directory, message->term, from);
     } else if (message->leader &&
                (message->term > directory->term || (message->term == directory->term && !directory->leader))) {
         set_leader(directory, message->term, message->leader);
     } else if (from == directory->leader && message->term >= directory->term) {
-        directory->doubted = 1; /* it has stepped down */
+        directory->leader_suspected = 1; /* it has stepped down */
     }
 }
 
-int directory_take(struct directory *directory, const struct frame *frame)
+int directory_on_frame(struct directory *directory, const struct frame *frame)
 {
     if (frame->kind == FRAME_LEADER_QUERY) {
         struct leader_query message = {0};
--- a/src/controller/directory.h
+++ b/src/controller/directory.h
@@ -33,7 +33,7 @@
     int64_t controller, disk, boot; /* of this process, as in struct leader_query */
     struct directory_entry entries[64];
     int64_t n, next_entry, next_query_ms, search_start_ms;
-    int64_t term, leader, leader_heard_ms, doubted;
+    int64_t term, leader, leader_heard_ms, leader_suspected;
 };
 
 /* Identifies one start of a process (boot): the time of day and 12 random bits, which distinguish two starts that get
@@ -42,13 +42,14 @@
 
 void directory_start(struct directory *directory, struct world *w, uint32_t cluster, const int64_t *seeds,
                      int64_t n_seeds, int64_t controller, int64_t disk, int64_t boot);
-void directory_seeds(struct directory *directory, const int64_t *seeds, int64_t n_seeds); /* replaces the seeds */
+void directory_set_seeds(struct directory *directory, const int64_t *seeds, int64_t n_seeds); /* replaces the seeds */
 void directory_on_timer(struct directory *directory);
-int directory_take(struct directory *directory, const struct frame *frame); /* 1: the frame was for the directory */
+int directory_on_frame(struct directory *directory, const struct frame *frame); /* 1: the frame was for the directory */
 /* Records the leader of a term, unless a newer term is known. */
-void directory_learn(struct directory *directory, int64_t term, int64_t leader);
-void directory_doubt(struct directory *directory); /* the leader does not answer: other controllers are queried */
+void directory_learn_leader(struct directory *directory, int64_t term, int64_t leader);
+void directory_suspect_leader(
+    struct directory *directory); /* the leader does not answer: other controllers are queried */
 int64_t directory_leader(const struct directory *directory); /* 0: not known, or suspected to have failed */
 /* Whether the controller at addr itself has sent a query or a reply in the last within_ms. */
-int directory_heard(const struct directory *directory, int64_t addr, int64_t within_ms);
+int directory_heard_from(const struct directory *directory, int64_t addr, int64_t within_ms);
 #endif
--- a/src/controller/leaving.c
+++ b/src/controller/leaving.c
@@ -1,8 +1,8 @@
 /* Planned shutdown of a voter (FRAME_LEAVING). A voter that is asked to stop requests permission to end from the leader
  * every REQUEST_MS. The leader grants it to one voter at a time, once each other voter is heard and holds all entries
  * that were committed at the first request. After that first request the leader does not count acknowledgements of the
- * leaving voter for commits (log_discount()), so that no committed entry depends on a disk that is about to be
- * removed. */
+ * leaving voter for commits (log_exclude_from_commit()), so that no committed entry depends on a disk that is about to
+ * be removed. */
 #include "controller/controller_state.h"
 
 enum {
@@ -21,7 +21,7 @@
     for (int64_t i = 0; i < log->members.n; i++) {
         const struct log_member *member = &log->members.members[i];
         const struct log_peer *peer = log_peer(log, member->id);
-        if (log_votes(member) && member->id != id && member->id != controller->id &&
+        if (log_votes_after_change(member) && member->id != id && member->id != controller->id &&
             (!peer || !check(controller, peer)))
             return 0;
     }
@@ -49,7 +49,8 @@
     for (int64_t i = 0; i < controller->log.members.n; i++) {
         const struct log_member *member = &controller->log.members.members[i];
         const struct log_peer *peer = log_peer(&controller->log, member->id);
-        heard += log_votes(member) && member->id != controller->id && peer && heard_recently(controller, peer);
+        heard +=
+            log_votes_after_change(member) && member->id != controller->id && peer && heard_recently(controller, peer);
     }
     return heard;
 }
@@ -75,7 +76,7 @@
 static void forget_leaver(struct controller *controller)
 {
     controller->leaver = (struct leaver){0};
-    log_discount(&controller->log, 0);
+    log_exclude_from_commit(&controller->log, 0);
 }
 
 /* Handles a request for permission to end.
@@ -88,13 +89,14 @@
     struct leaving reply = {.id = id, .may_end = 1};
     int64_t now_ms = world_ms(controller->w);
     /* entries of earlier terms are known to be committed only once an entry of this leader's term is committed */
-    if (!log_leads(log) || log_term_at(log, log->commit) != log->term || !others_pass(controller, id, heard_recently))
+    if (!log_has_lease(log) || log_term_at(log, log->commit) != log->term ||
+        !others_pass(controller, id, heard_recently))
         return;
     if (controller->leaver.id != id) {
         if (!turn_is_over(controller))
             return;
         controller->leaver = (struct leaver){.id = id, .commit = log->commit, .since_ms = now_ms};
-        log_discount(log, id);
+        log_exclude_from_commit(log, id);
     }
     controller->leaver.asked_ms = now_ms;
     if (log->members_index > log->commit || !others_pass(controller, id, holds_committed))
@@ -123,9 +125,9 @@
 {
     struct leaving request = {.id = controller->id};
     int64_t leader = directory_leader(&controller->directory), now_ms = world_ms(controller->w);
-    if (now_ms < controller->leaving_ms || !log_voter(&controller->log, controller->id))
+    if (now_ms < controller->next_leave_request_ms || !log_is_voter(&controller->log, controller->id))
         return;
-    controller->leaving_ms = now_ms + REQUEST_MS;
+    controller->next_leave_request_ms = now_ms + REQUEST_MS;
     if (leader && leader != (int64_t)controller->w->self)
         controller_send(controller, leader, FRAME_LEAVING, &leaving_schema, &request);
 }
@@ -133,19 +135,19 @@
 int leaving_may_end(const struct controller *controller)
 {
     const struct log *log = &controller->log;
-    if (!controller->votes || log->broken || !log_voter(log, controller->id) || log_majority(log) < 2)
+    if (!controller->votes || log->broken || !log_is_voter(log, controller->id) || log_majority(log) < 2)
         return 1;
-    return controller->may_end_ms && world_ms(controller->w) - controller->may_end_ms < 2LL * REQUEST_MS;
+    return controller->permission_ms && world_ms(controller->w) - controller->permission_ms < 2LL * REQUEST_MS;
 }
 
 /* --- both --------------------------------------------------------------------------- */
 
-void leaving_take(struct controller *controller, int64_t from, const struct leaving *message)
+void leaving_on_message(struct controller *controller, int64_t from, const struct leaving *message)
 {
     if (!message->may_end)
         on_request(controller, from, message->id);
     else if (message->id == controller->id)
-        controller->may_end_ms = world_ms(controller->w);
+        controller->permission_ms = world_ms(controller->w);
 }
 
 void leaving_on_timer(struct controller *controller)
--- a/src/controller/members.c
+++ b/src/controller/members.c
@@ -21,17 +21,18 @@
 /* Records a request to join, at the leader. If the table is full, the oldest request is replaced. */
 void members_on_join(struct controller *controller, const struct join *join)
 {
-    struct joiner *at = NULL, *oldest = &controller->joiners[0];
+    struct join_request *at = NULL, *oldest = &controller->join_requests[0];
     if (!join->zone)
         return;
-    for (int64_t i = 0; i < controller->n_joiners; i++) {
-        if (controller->joiners[i].heard_ms < oldest->heard_ms)
-            oldest = &controller->joiners[i];
-        if (controller->joiners[i].join.addr == join->addr)
-            at = &controller->joiners[i];
+    for (int64_t i = 0; i < controller->n_join_requests; i++) {
+        if (controller->join_requests[i].heard_ms < oldest->heard_ms)
+            oldest = &controller->join_requests[i];
+        if (controller->join_requests[i].join.addr == join->addr)
+            at = &controller->join_requests[i];
     }
     if (!at)
-        at = controller->n_joiners < JOIN_REQUESTS_MAX ? &controller->joiners[controller->n_joiners++] : oldest;
+        at = controller->n_join_requests < JOIN_REQUESTS_MAX ? &controller->join_requests[controller->n_join_requests++]
+                                                             : oldest;
     schema_free(&join_schema, &at->join);
     schema_copy(&join_schema, &at->join, join);
     at->heard_ms = world_ms(controller->w);
@@ -42,8 +43,8 @@
 static int is_replaced_at_address(struct controller *controller, const struct log_member *member)
 {
     const struct log_peer *peer = log_peer(&controller->log, member->id);
-    for (int64_t i = 0; peer && i < controller->n_joiners; i++) {
-        const struct joiner *request = &controller->joiners[i];
+    for (int64_t i = 0; peer && i < controller->n_join_requests; i++) {
+        const struct join_request *request = &controller->join_requests[i];
         if (request->join.addr == member->addr && request->join.id != member->id && request->heard_ms > peer->heard_ms)
             return 1;
     }
@@ -55,7 +56,7 @@
 static int is_receiving(const struct controller *controller, const struct log_member *member,
                         const struct log_peer *peer)
 {
-    return directory_heard(&controller->directory, member->addr, FAILED_AFTER_MS) &&
+    return directory_heard_from(&controller->directory, member->addr, FAILED_AFTER_MS) &&
            world_ms(controller->w) - peer->heard_ms <= FAILED_AFTER_MS + log_transit_ms(&controller->log, peer);
 }
 
@@ -82,7 +83,7 @@
     int64_t n = 0;
     for (int64_t i = 0; i < controller->log.members.n; i++) {
         const struct log_member *member = &controller->log.members.members[i];
-        n += member != without && log_votes(member) && !strcmp(member->zone, zone);
+        n += member != without && log_votes_after_change(member) && !strcmp(member->zone, zone);
     }
     return n;
 }
@@ -133,15 +134,16 @@
     int64_t learners = 0, now_ms = world_ms(controller->w);
     for (int64_t i = 0; i < log->members.n; i++)
         learners += !log->members.members[i].voter;
-    for (int64_t i = 0; i < controller->n_joiners; i++) {
-        const struct join *request = &controller->joiners[i].join;
+    for (int64_t i = 0; i < controller->n_join_requests; i++) {
+        const struct join *request = &controller->join_requests[i].join;
         int at_voter_address = 0;
         for (int64_t k = 0; k < log->members.n; k++)
-            at_voter_address |= log_votes(&log->members.members[k]) && log->members.members[k].addr == request->addr;
-        if (log_member(log, request->id) || now_ms - controller->joiners[i].heard_ms > FAILED_AFTER_MS ||
+            at_voter_address |=
+                log_votes_after_change(&log->members.members[k]) && log->members.members[k].addr == request->addr;
+        if (log_member(log, request->id) || now_ms - controller->join_requests[i].heard_ms > FAILED_AFTER_MS ||
             ((learners >= SPARE_LEARNERS || !detects_failures) && !at_voter_address))
             continue;
-        log_change(log, request->id, request->addr, request->zone, VOTES_NOT, 0);
+        log_change_member(log, request->id, request->addr, request->zone, LOG_LEARNER, 0);
         return;
     }
 }
@@ -156,7 +158,7 @@
         const struct log_member *member = &controller->log.members.members[i];
         int member_failed =
             detects_failures ? is_failed(controller, member) : is_replaced_at_address(controller, member);
-        if (log_votes(member) && member_failed && (!failed || is_replaced_at_address(controller, member)))
+        if (log_votes_after_change(member) && member_failed && (!failed || is_replaced_at_address(controller, member)))
             failed = member;
         else if (detects_failures && !member->voter && member_failed)
             *failed_learner = member;
@@ -196,13 +198,13 @@
     struct log *log = &controller->log;
     const struct log_member *failed_learner = NULL, *failed, *learner;
     int64_t voters = 0, wanted = controller_voters_wanted(controller, INT64_MAX);
-    if (log_settle(log) != ERROR_NO_SUCH)
+    if (log_finish_exchange(log) != ERROR_NOT_FOUND)
         return;
     failed = failed_voter(controller, detects_failures, &failed_learner);
     for (int64_t i = 0; i < log->members.n; i++)
-        voters += log_votes(&log->members.members[i]);
+        voters += log_votes_after_change(&log->members.members[i]);
     if (failed_learner) {
-        log_change(log, failed_learner->id, failed_learner->addr, NULL, 0, 1);
+        log_change_member(log, failed_learner->id, failed_learner->addr, NULL, 0, 1);
         return;
     }
     if (failed && replace_at_address(controller, failed))
@@ -217,11 +219,11 @@
         return;
     }
     if (!failed && learner && voters < wanted) {
-        log_change(log, learner->id, learner->addr, learner->zone, VOTES, 0);
+        log_change_member(log, learner->id, learner->addr, learner->zone, LOG_VOTER, 0);
         return;
     }
     if (failed && voters > wanted) {
-        log_change(log, failed->id, failed->addr, NULL, 0, 1);
+        log_change_member(log, failed->id, failed->addr, NULL, 0, 1);
         return;
     }
     add_learner(controller, detects_failures);
@@ -233,9 +235,9 @@
     int64_t now_ms = world_ms(controller->w);
     int has_leader = controller->log.role == LOG_LEADER || now_ms - controller->log.heard_leader_ms < NO_LEADER_MS;
     struct join join = {.id = controller->id, .addr = (int64_t)controller->w->self, .zone = controller->zone};
-    if ((log_member(&controller->log, controller->id) && has_leader) || now_ms < controller->join_ms)
+    if ((log_member(&controller->log, controller->id) && has_leader) || now_ms < controller->next_join_ms)
         return;
-    controller->join_ms = now_ms + JOIN_MS;
+    controller->next_join_ms = now_ms + JOIN_MS;
     int64_t leader = directory_leader(&controller->directory);
     if (leader && leader != join.addr)
         controller_send(controller, leader, FRAME_JOIN, &join_schema, &join);
@@ -251,9 +253,9 @@
     request_to_join(controller);
     if (controller->log.role != LOG_LEADER)
         controller->learner_wait = controller->commit_wait = (struct repair_wait){0};
-    if (controller->log.role != LOG_LEADER || now_ms < controller->step_ms)
+    if (controller->log.role != LOG_LEADER || now_ms < controller->next_step_ms)
         return;
-    controller->step_ms = now_ms + STEP_MS;
+    controller->next_step_ms = now_ms + STEP_MS;
     int detects_failures = now_ms - controller->log.leader_since_ms > FAILED_AFTER_MS &&
                            now_ms - controller->running_since_ms > FAILED_AFTER_MS;
     if (!controller->log.handed_over_ms)
@@ -263,6 +265,6 @@
 
 void members_end(struct controller *controller)
 {
-    for (int64_t i = 0; i < controller->n_joiners; i++)
-        schema_free(&join_schema, &controller->joiners[i].join);
+    for (int64_t i = 0; i < controller->n_join_requests; i++)
+        schema_free(&join_schema, &controller->join_requests[i].join);
 }
--- a/src/controller/relay.c
+++ b/src/controller/relay.c
@@ -1,6 +1,6 @@
 /* Forwards requests to the leader and returns its responses. Requests are idempotent, so a request is sent again when
  * the leader changes or does not respond. A change is reported as refused only if no leader can have accepted it; if
- * that is uncertain, the caller gets ERROR_GAVE_UP. */
+ * that is uncertain, the caller gets ERROR_OUTCOME_UNKNOWN. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -89,7 +89,7 @@
 static void send_to_leader(struct controller *controller, struct relayed_request *relayed)
 {
     int64_t leader = directory_leader(&controller->directory), self = (int64_t)controller->w->self;
-    if (!leader || (leader == self && !dispatch_leads(controller->dispatch)))
+    if (!leader || (leader == self && !dispatch_is_leader(controller->dispatch)))
         return;
     relayed->sent_ms = world_ms(controller->w);
     relayed->sent_to = leader;
@@ -163,7 +163,7 @@
     switch (request.kind) {
     case REQUEST_READY: response = readiness(controller); break;
     case REQUEST_NONE:
-    case REQUEST_BEAT: response = api_response_error(request.kind, ERROR_NO_SUCH, 0, NULL); break;
+    case REQUEST_HEARTBEAT: response = api_response_error(request.kind, ERROR_NOT_FOUND, 0, NULL); break;
     default: relay_new(controller, slot, &request); return;
     }
     http_respond(controller, slot, &response);
@@ -171,13 +171,14 @@
 }
 
 /* Returns the error to report to the caller. If a change was sent more than once, one copy may have been accepted
- * although another was refused, so a refusal becomes ERROR_GAVE_UP; errors that every copy would get are kept. */
+ * although another was refused, so a refusal becomes ERROR_OUTCOME_UNKNOWN; errors that every copy would get are kept.
+ */
 static int64_t refusal_error(const struct relayed_request *relayed, int64_t error)
 {
     int same_for_all = error == ERROR_NONE || error == ERROR_BAD_JSON || error == ERROR_BAD_FIELD ||
                        error == ERROR_BAD_STEPS || error == ERROR_TOO_LARGE || error == ERROR_KEY_TAKEN ||
                        error == ERROR_GONE;
-    return same_for_all || !is_change(relayed) || relayed->sends < 2 ? error : ERROR_GAVE_UP;
+    return same_for_all || !is_change(relayed) || relayed->sends < 2 ? error : ERROR_OUTCOME_UNKNOWN;
 }
 
 /* Delays the next send after a refusal by a controller that is not the leader. The delay grows with each refusal, since
@@ -207,7 +208,7 @@
         relayed->sent_to = 0;
         delay_resend(controller, relayed);
         if (controller->directory.leader == from && from != (int64_t)controller->w->self)
-            directory_doubt(&controller->directory);
+            directory_suspect_leader(&controller->directory);
         return; /* relay_on_timer() sends it again */
     }
     struct api_response adjusted = *response;
@@ -244,7 +245,7 @@
 
 static void on_request(struct controller *controller, int64_t from, const struct forwarded_request *message)
 {
-    if (!dispatch_leads(controller->dispatch) || message->term != controller->log.term) {
+    if (!dispatch_is_leader(controller->dispatch) || message->term != controller->log.term) {
         struct forwarded_response refusal = {.boot = message->boot,
                                              .ticket = message->ticket,
                                              .answer =
@@ -280,7 +281,7 @@
 static void give_up(struct controller *controller, struct relayed_request *relayed)
 {
     if (relayed->sends && is_change(relayed))
-        finish_with_error(controller, relayed, ERROR_GAVE_UP, 0);
+        finish_with_error(controller, relayed, ERROR_OUTCOME_UNKNOWN, 0);
     else
         finish_with_error(controller, relayed, ERROR_UNAVAILABLE, 1000);
 }
@@ -304,10 +305,10 @@
         int response_overdue = relayed->sent_to && now_ms - relayed->sent_ms >= RESEND_MS;
         /* the local dispatch answers each ticket exactly once, so the request is not sent to it again */
         if (relayed->sent_to == (int64_t)controller->w->self && leader == relayed->sent_to &&
-            dispatch_leads(controller->dispatch))
+            dispatch_is_leader(controller->dispatch))
             continue;
         if (response_overdue && leader == relayed->sent_to) {
-            directory_doubt(&controller->directory);
+            directory_suspect_leader(&controller->directory);
             leader = 0;
         }
         if (leader && leader != relayed->sent_to && !resend_is_delayed(controller, relayed))
--- a/src/executor/executor.c
+++ b/src/executor/executor.c
@@ -19,7 +19,7 @@
     s->rack = must_dup(setup->rack);
     s->address = must_dup(addr_text(w->http_addr));
     for (int64_t i = 0; i < setup->n_services; i++)
-        *list_more(s->services, s->n_services) = must_dup(setup->services[i]);
+        *array_add(s->services, s->n_services) = must_dup(setup->services[i]);
     s->cores = setup->cores;
     s->mem_mb = setup->mem_mb;
     s->incarnation = setup->incarnation;
@@ -81,7 +81,7 @@
         const struct exec_work *work = &e->work[i];
         s.free_cores -= work->task.cores;
         s.free_mb -= work->task.mem_mb;
-        *list_more(s.running, s.n_running) = work->task;
+        *array_add(s.running, s.n_running) = work->task;
         s.running[i].progress = work->held || work->stalls ? 0 : world_ms(e->w) - (work->end_ms - work->lasts_ms);
         s.running[i].state = work->held ? "held" : work->stop_ms ? "stopping" : "running";
     }
@@ -102,7 +102,7 @@
 
 static void end_add(struct executor *e, const struct exec_task *t, const char *outcome, const char *why)
 {
-    struct exec_task *ended = list_more(e->ended, e->n_ended);
+    struct exec_task *ended = array_add(e->ended, e->n_ended);
     *ended = *t;
     ended->state = must_dup(outcome);
     ended->why = must_dup(why);
@@ -144,9 +144,9 @@
         return;
     e->reporting = 0;
     json_t *json = status == 200 ? json_loadb(body, (size_t)len, 0, NULL) : NULL;
-    const char *home = json_string_value(json_object_get(json, "home"));
-    e->home_addr = home ? (int64_t)addr_parse(home) : 0;
-    if (!home)
+    const char *executor_owner = json_string_value(json_object_get(json, "home"));
+    e->home_addr = executor_owner ? (int64_t)addr_parse(executor_owner) : 0;
+    if (!executor_owner)
         e->report_due_ms = world_ms(e->w) + REPORT_MS / 4;
     json_decref(json);
 }
@@ -197,10 +197,10 @@
 
 /* --- orders ------------------------------------------------------------------------------ */
 
-static int64_t payload_number(const char *payload, const char *name, int64_t dflt)
+static int64_t payload_number(const char *payload, const char *name, int64_t default_value)
 {
     const char *at = payload ? strstr(payload, name) : NULL;
-    return at ? text_to_int64(at + strlen(name)) : dflt;
+    return at ? text_to_int64(at + strlen(name)) : default_value;
 }
 
 static const char *refuses(const struct executor *e, const struct exec_start *s)
@@ -235,12 +235,12 @@
     struct exec_task task = {.job = s->job, .no = s->no, .attempt = s->attempt, .cores = s->cores, .mem_mb = s->mem_mb};
     if (known(e, s->job, s->no, s->attempt) || now_ms >= ticket_ms + s->lease_ms)
         return;
-    const char *why = e->naive ? NULL : refuses(e, s);
+    const char *why = e->accepts_all ? NULL : refuses(e, s);
     if (why) {
         end_add(e, &task, "unstarted", why);
         return;
     }
-    struct exec_work *work = list_more(e->work, e->n_work);
+    struct exec_work *work = array_add(e->work, e->n_work);
     work->task = task;
     work->since_ms = now_ms;
     work->lease_ms = ticket_ms + s->lease_ms;
@@ -255,7 +255,7 @@
         begin(e, work);
 }
 
-static void go(struct executor *e, const struct exec_renew *r)
+static void go(struct executor *e, const struct exec_task_order *r)
 {
     for (int64_t i = 0; i < e->n_work; i++) {
         struct exec_work *work = &e->work[i];
@@ -265,7 +265,7 @@
     }
 }
 
-static void stop(struct executor *e, const struct exec_renew *r)
+static void stop(struct executor *e, const struct exec_task_order *r)
 {
     for (int64_t i = 0; i < e->n_work; i++) {
         struct exec_work *work = &e->work[i];
@@ -283,7 +283,7 @@
     end_add(e, &task, "unstarted", "stopped before its start"); /* and so it never will */
 }
 
-static void renew(struct executor *e, const struct exec_renew *r, int64_t ticket_ms)
+static void renew(struct executor *e, const struct exec_task_order *r, int64_t ticket_ms)
 {
     for (int64_t i = 0; i < e->n_work; i++) {
         struct exec_work *work = &e->work[i];
@@ -293,13 +293,13 @@
     }
 }
 
-static void ack(struct executor *e, const struct exec_renew *r)
+static void ack(struct executor *e, const struct exec_task_order *r)
 {
     for (int64_t i = 0; i < e->n_ended; i++) {
         struct exec_task *t = &e->ended[i];
         if (t->job != r->job || t->no != r->no || t->attempt != r->attempt)
             continue;
-        *list_more(e->tombs, e->n_tombs) =
+        *array_add(e->tombs, e->n_tombs) =
             (struct exec_tomb){.job = r->job, .no = r->no, .attempt = r->attempt, .until_ms = world_ms(e->w) + TOMB_MS};
         schema_free(&exec_task_schema, t);
         *t = e->ended[--e->n_ended];
@@ -312,7 +312,7 @@
     int64_t ticket_ms = o->ticket <= world_ms(e->w) ? o->ticket : 0;
     if (o->epoch > e->state.epoch) {
         e->state.epoch = o->epoch;
-        e->home_addr = o->home ? (int64_t)addr_parse(o->home) : 0;
+        e->home_addr = o->executor_owner ? (int64_t)addr_parse(o->executor_owner) : 0;
     }
     if (o->incarnation != e->state.incarnation)
         return;
--- a/tests/platform/api_test.cc
+++ b/tests/platform/api_test.cc
@@ -63,14 +63,15 @@
     EXPECT_STREQ(steps[0].rack, "r2-9");
     EXPECT_STREQ(steps[0].label, "fast");
     EXPECT_EQ(steps[0].per_executor, 2);
-    EXPECT_EQ(steps[0].n_depends_on + steps[0].gang + steps[0].checkpoints + steps[0].duplicates + steps[0].lasting, 0);
+    EXPECT_EQ(
+        steps[0].n_depends_on + steps[0].gang + steps[0].checkpoints + steps[0].duplicates + steps[0].long_running, 0);
     EXPECT_TRUE(steps[1].checkpoints && steps[1].gang && steps[1].same_rack);
     EXPECT_EQ(steps[1].memory_mb, 0);
     EXPECT_EQ(steps[1].label, nullptr);
     EXPECT_EQ(steps[1].rack, nullptr);
     ASSERT_EQ(steps[2].n_depends_on, 2);
     EXPECT_EQ(steps[2].depends_on[1], 1);
-    EXPECT_TRUE(steps[2].duplicates && steps[2].lasting);
+    EXPECT_TRUE(steps[2].duplicates && steps[2].long_running);
 }
 
 TEST(PlatformApi, JobNames)
@@ -171,13 +172,13 @@
     EXPECT_STREQ(count.request.path, "/p/q/");
     ParsedRequest ready({ENTRY_READINESS, "GET", "/sagehitch/readiness", "", {}});
     EXPECT_EQ(ready.request.kind, REQUEST_READY);
-    expect_refused({ENTRY_READINESS, "GET", "/", "", {}}, ERROR_NO_SUCH, "path");
+    expect_refused({ENTRY_READINESS, "GET", "/", "", {}}, ERROR_NOT_FOUND, "path");
     expect_refused({ENTRY_READINESS, "POST", "/sagehitch/readiness", "", {}}, ERROR_BAD_METHOD, "method");
     ParsedRequest why({ENTRY_OPERATORS, "GET", "/why/00000000000000ff", "", {}});
     EXPECT_EQ(why.request.kind, REQUEST_WHY);
     EXPECT_EQ(api_request_job_id(&why.request), 255);
     expect_refused({ENTRY_OPERATORS, "GET", "/why/ff", "", {}}, ERROR_GONE, "path");
-    expect_refused({ENTRY_OPERATORS, "GET", "/other", "", {}}, ERROR_NO_SUCH, "path");
+    expect_refused({ENTRY_OPERATORS, "GET", "/other", "", {}}, ERROR_NOT_FOUND, "path");
     expect_refused({ENTRY_OPERATORS, "POST", "/sagehitch/configuration", "", {}}, ERROR_BAD_METHOD, "method");
     EXPECT_EQ(ParsedRequest({ENTRY_OPERATORS, "GET", "/sagehitch/configuration", "", {}}).request.kind,
               REQUEST_CONFIG_GET);
@@ -204,8 +205,8 @@
     EXPECT_EQ(c.queues[0].stretch_pct, 225);
     ASSERT_EQ(c.n_services, 2);
     EXPECT_STREQ(c.services[0].health_path, "/up");
-    EXPECT_TRUE(c.services[0].guards);
-    EXPECT_FALSE(c.services[1].guards);
+    EXPECT_TRUE(c.services[0].checks_capacity);
+    EXPECT_FALSE(c.services[1].checks_capacity);
     EXPECT_EQ(ParsedRequest(config_request(config_body, " \"0\" ")).error, 0);
 }
 
@@ -270,9 +271,9 @@
 {
     ParsedRequest parsed(beat_request(beat_body));
     ASSERT_EQ(parsed.error, 0) << parsed.validation_error.path;
-    const executor_beat &beat = parsed.beat();
-    EXPECT_EQ(parsed.request.kind, REQUEST_BEAT);
-    EXPECT_EQ(beat.kind, BEAT_ALIVE);
+    const executor_heartbeat &beat = parsed.beat();
+    EXPECT_EQ(parsed.request.kind, REQUEST_HEARTBEAT);
+    EXPECT_EQ(beat.kind, HEARTBEAT_ALIVE);
     EXPECT_EQ(beat.seq, 12);
     EXPECT_STREQ(beat.address, "10.9.8.7:8080");
     EXPECT_STREQ(beat.state.incarnation, "i-19ab");
@@ -307,7 +308,7 @@
     EXPECT_EQ(account.ended[0].seq, 58);
     EXPECT_EQ(account.ended[0].how, END_DONE);
     ParsedRequest left({ENTRY_OPERATORS, "DELETE", "/sagehitch/executors/i-19ab", "", {}});
-    EXPECT_EQ(left.beat().kind, BEAT_LEFT);
+    EXPECT_EQ(left.beat().kind, HEARTBEAT_LEAVING);
     EXPECT_STREQ(left.beat().state.incarnation, "i-19ab");
 }
 
@@ -321,8 +322,8 @@
     expect_refused(beat_request(replaced_text(body, "8000", "-1")), ERROR_BAD_FIELD, "freeCapacity.vcpus");
     expect_refused(beat_request(replaced_text(body, "\"callSequence\":12", "\"callSequence\":[]")), ERROR_BAD_FIELD,
                    "callSequence");
-    expect_refused({ENTRY_OPERATORS, "PUT", "/sagehitch/executors/", body, {}}, ERROR_NO_SUCH, "path");
-    expect_refused({ENTRY_OPERATORS, "PUT", "/sagehitch/executors/a/b", body, {}}, ERROR_NO_SUCH, "path");
+    expect_refused({ENTRY_OPERATORS, "PUT", "/sagehitch/executors/", body, {}}, ERROR_NOT_FOUND, "path");
+    expect_refused({ENTRY_OPERATORS, "PUT", "/sagehitch/executors/a/b", body, {}}, ERROR_NOT_FOUND, "path");
     expect_refused({ENTRY_OPERATORS, "PUT", "/sagehitch/executors/a\r\nb", body, {}}, ERROR_BAD_FIELD, "path");
     expect_refused({ENTRY_OPERATORS, "GET", "/sagehitch/executors/a", body, {}}, ERROR_BAD_METHOD, "method");
 }
@@ -339,18 +340,18 @@
     EXPECT_EQ(HttpResponse(config).body, config_body);
     EXPECT_EQ(HttpResponse(config).status, 200);
     bytes_free(&text);
-    for (int kind : {REQUEST_JOB, REQUEST_CANCEL, REQUEST_CONFIG_PUT, REQUEST_READY, REQUEST_BEAT}) {
+    for (int kind : {REQUEST_JOB, REQUEST_CANCEL, REQUEST_CONFIG_PUT, REQUEST_READY, REQUEST_HEARTBEAT}) {
         EXPECT_EQ(HttpResponse(api_response_done(kind)).status, 200);
         EXPECT_EQ(HttpResponse(api_response_done(kind)).body, "{}");
     }
-    EXPECT_EQ(HttpResponse(api_response_error(REQUEST_READY, ERROR_NO_SUCH, 0, nullptr)).status, 503);
+    EXPECT_EQ(HttpResponse(api_response_error(REQUEST_READY, ERROR_NOT_FOUND, 0, nullptr)).status, 503);
 }
 
 TEST(PlatformApi, ErrorResponses)
 {
     const std::map<int, int> statuses = {
-        {ERROR_NO_SUCH, 404},    {ERROR_GONE, 410},       {ERROR_STALE, 412},     {ERROR_UNAVAILABLE, 503},
-        {ERROR_NOT_LEADER, 503}, {ERROR_NO_OWNER, 503},   {ERROR_OVERLOAD, 429},  {ERROR_GAVE_UP, 504},
+        {ERROR_NOT_FOUND, 404},  {ERROR_GONE, 410},       {ERROR_STALE, 412},     {ERROR_UNAVAILABLE, 503},
+        {ERROR_NOT_LEADER, 503}, {ERROR_NO_OWNER, 503},   {ERROR_OVERLOAD, 429},  {ERROR_OUTCOME_UNKNOWN, 504},
         {ERROR_BAD_JSON, 400},   {ERROR_BAD_FIELD, 400},  {ERROR_BAD_STEPS, 400}, {ERROR_TOO_LARGE, 413},
         {ERROR_KEY_TAKEN, 409},  {ERROR_BAD_METHOD, 405}, {ERROR_BOUND, 400},     {ERROR_NEVER_FITS, 422}};
     const char *detail = "stages: \"none\"";
--- a/tests/platform/rules_api_test.cc
+++ b/tests/platform/rules_api_test.cc
@@ -103,13 +103,13 @@
     expect_refused(put("/rules/outlets/a", R"({"version":7,"rules":{"priority":2000}})"), ERROR_BAD_FIELD,
                    "rules.priority");
     expect_refused(put("/rules/outlets/a", R"({"version":7,"rules":{},"queues":[1]})"), ERROR_BAD_FIELD, "queues");
-    expect_refused(put("/rules/outlets/a/b", R"({"version":7,"rules":{}})"), ERROR_NO_SUCH, "path");
-    expect_refused(get("/rules/outlets/"), ERROR_NO_SUCH, "path");
-    expect_refused(get("/rules/other"), ERROR_NO_SUCH, "path");
+    expect_refused(put("/rules/outlets/a/b", R"({"version":7,"rules":{}})"), ERROR_NOT_FOUND, "path");
+    expect_refused(get("/rules/outlets/"), ERROR_NOT_FOUND, "path");
+    expect_refused(get("/rules/other"), ERROR_NOT_FOUND, "path");
     expect_refused(get("/rules/jobs/12"), ERROR_GONE, "path");
     expect_refused(put("/rules/jobs/00000000000000ff", "{}"), ERROR_BAD_METHOD, "method");
     expect_refused({ENTRY_OPERATORS, "DELETE", "/rules", "", {}}, ERROR_BAD_METHOD, "method");
-    expect_refused(get("/rulesets"), ERROR_NO_SUCH, "path");
+    expect_refused(get("/rulesets"), ERROR_NOT_FOUND, "path");
 }
 
 TEST(RulesApi, OnlyOperatorsHaveAccess)
@@ -120,8 +120,8 @@
 
 TEST(RulesApi, Errors)
 {
-    const std::pair<int, int> all[] = {{ERROR_STALE, 412},   {ERROR_BOUND, 422},       {ERROR_KEY_TAKEN, 409},
-                                       {ERROR_GAVE_UP, 504}, {ERROR_UNAVAILABLE, 503}, {ERROR_NO_SUCH, 404}};
+    const std::pair<int, int> all[] = {{ERROR_STALE, 412},           {ERROR_BOUND, 422},       {ERROR_KEY_TAKEN, 409},
+                                       {ERROR_OUTCOME_UNKNOWN, 504}, {ERROR_UNAVAILABLE, 503}, {ERROR_NOT_FOUND, 404}};
     for (auto [error, expected_status] : all) {
         api_response response = api_response_error(REQUEST_RULES_PUT, error, 0, nullptr);
         int status = 0;
--- a/tests/platform/settings_test.cc
+++ b/tests/platform/settings_test.cc
@@ -121,9 +121,9 @@
     EXPECT_EQ(settings.stop_timeout_ms, 300);
     EXPECT_EQ(settings.cancel_ms, 2700);
     EXPECT_EQ(dispatch.early_ms, 240);
-    EXPECT_EQ(dispatch.shown_ms, 110000);
+    EXPECT_EQ(dispatch.job_retention_ms, 110000);
     EXPECT_EQ(settings.drain_ms, 1900);
-    EXPECT_EQ(dispatch.far_pct, 175);
+    EXPECT_EQ(dispatch.remote_data_pct, 175);
     EXPECT_EQ(settings.checkpoint_ms, 1500);
     EXPECT_EQ(dispatch.restore_ms, 500);
     ParsedSettings longer(replaced_text(valid_settings, "holdMaxMs: 4000", "holdMaxMs: 20000"));
--- a/tests/unit/directory_test.cc
+++ b/tests/unit/directory_test.cc
@@ -71,7 +71,7 @@
             if (!processes.count(one.first) || silent.count(one.first))
                 continue;
             ASSERT_EQ(frame_parse(&f, one.second.data(), (int64_t)one.second.size(), FLEET), 0);
-            EXPECT_EQ(directory_take(&processes[one.first]->directory, &f), 1);
+            EXPECT_EQ(directory_on_frame(&processes[one.first]->directory, &f), 1);
         }
     }
     // leader: learns on every tick that it is the leader, as a leading controller does
@@ -80,7 +80,7 @@
         for (int64_t end = now_ms + ms; now_ms < end; now_ms += 10)
             for (auto &p : processes) {
                 if (leader && p.first == leader)
-                    directory_learn(&p.second->directory, term, leader);
+                    directory_learn_leader(&p.second->directory, term, leader);
                 directory_on_timer(&p.second->directory);
                 deliver();
             }
@@ -143,8 +143,8 @@
 {
     Network net;
     directory *d = net.add(3, {1, 2});
-    directory_learn(d, 7, 1);
-    directory_learn(d, 6, 2);
+    directory_learn_leader(d, 7, 1);
+    directory_learn_leader(d, 6, 2);
     EXPECT_EQ(d->term, 7);
     EXPECT_EQ(directory_leader(d), 1);
     net.add(2, {});
@@ -180,7 +180,7 @@
         suspecting = add(3, {1, 2});
         run(1000, 1, 5);
         silent.insert(1);
-        directory_doubt(suspecting);
+        directory_suspect_leader(suspecting);
     }
 };
 
@@ -201,7 +201,7 @@
 {
     NetworkWithSuspectedLeader net;
     directory *other = net.other, *d = net.suspecting;
-    directory_learn(other, 6, 4);
+    directory_learn_leader(other, 6, 4);
     net.run(200);
     EXPECT_EQ(directory_leader(d), 4);
 }
@@ -213,7 +213,7 @@
     directory *d = net.add(3, {1});
     net.run(1000, 1, 5);
     ASSERT_EQ(directory_leader(d), 1);
-    directory_doubt(former_leader);
+    directory_suspect_leader(former_leader);
     net.run(700);
     EXPECT_EQ(directory_leader(d), 0);
 }
@@ -255,7 +255,7 @@
     net.run(1000, 5, 2);
     EXPECT_EQ(directory_leader(d), 0);
     const int64_t seeds[] = {5};
-    directory_seeds(d, seeds, 1);
+    directory_set_seeds(d, seeds, 1);
     net.run(1000, 5, 2);
     EXPECT_EQ(directory_leader(d), 5);
     net.run(65000, 5, 2);
@@ -276,7 +276,7 @@
         frame f;
         ASSERT_EQ(frame_parse(&f, b->bytes.at, b->bytes.len, FLEET), 0);
         net.now_ms++;
-        EXPECT_EQ(directory_take(d, &f), 1);
+        EXPECT_EQ(directory_on_frame(d, &f), 1);
         blob_drop(b);
     }
     EXPECT_EQ(d->n, 64);
@@ -293,13 +293,13 @@
     net.add(2, {1, 2, 3});
     net.add(3, {1, 2, 3});
     net.run(2000, 1, 5);
-    EXPECT_TRUE(directory_heard(leader, 3, 1000));
-    EXPECT_FALSE(directory_heard(leader, 4, 1000)) << "it was never started";
+    EXPECT_TRUE(directory_heard_from(leader, 3, 1000));
+    EXPECT_FALSE(directory_heard_from(leader, 4, 1000)) << "it was never started";
     net.silent.insert(3);
     net.run(4000, 1, 5);
-    EXPECT_TRUE(directory_heard(leader, 2, 1000));
-    EXPECT_FALSE(directory_heard(leader, 3, 1000)) << "others may still list it";
-    EXPECT_TRUE(directory_heard(leader, 3, 60000));
+    EXPECT_TRUE(directory_heard_from(leader, 2, 1000));
+    EXPECT_FALSE(directory_heard_from(leader, 3, 1000)) << "others may still list it";
+    EXPECT_TRUE(directory_heard_from(leader, 3, 60000));
 }
 
 TEST(Directory, IgnoresBrokenFrames)
@@ -312,9 +312,9 @@
     f.from = 2;
     f.body = junk;
     f.len = sizeof junk;
-    EXPECT_EQ(directory_take(d, &f), 1);
+    EXPECT_EQ(directory_on_frame(d, &f), 1);
     f.kind = FRAME_REQUEST;
-    EXPECT_EQ(directory_take(d, &f), 0);
+    EXPECT_EQ(directory_on_frame(d, &f), 0);
     EXPECT_EQ(d->term, 0);
 }
 
