--- a/src/controller/api_message.c
+++ b/src/controller/api_message.c
@@ -30,7 +30,7 @@
     INT_NAMED(api_request, body.config.base, "base", .kinds = CONFIG_KINDS),
     SUB_NAMED(api_request, body.job, "spec", submission_schema, .kinds = KIND_BIT(REQUEST_JOB)),
     SUB_NAMED(api_request, body.config.config, "config", config_schema, .kinds = CONFIG_KINDS),
-    SUB_NAMED(api_request, body.beat, "beat", executor_heartbeat_schema, .kinds = KIND_BIT(REQUEST_HEARTBEAT)),
+    SUB_NAMED(api_request, body.heartbeat, "beat", executor_heartbeat_schema, .kinds = KIND_BIT(REQUEST_HEARTBEAT)),
     PTR_NAMED(api_request, body.rules, "rules", rules_change_schema, .kinds = RULES_KINDS)};
 SCHEMA_TAGGED(api_request_schema, api_request, api_request_fields);
 
@@ -113,7 +113,7 @@
 struct executor_heartbeat *api_request_make_beat(struct api_request *request)
 {
     set_kind(request, REQUEST_HEARTBEAT);
-    return &request->body.beat;
+    return &request->body.heartbeat;
 }
 
 void api_request_make_why(struct api_request *request, int64_t job_id)
@@ -157,7 +157,7 @@
 struct executor_heartbeat *api_request_beat(struct api_request *request)
 {
     check_kind(request->kind, KIND_BIT(REQUEST_HEARTBEAT));
-    return &request->body.beat;
+    return &request->body.heartbeat;
 }
 
 const struct rules_change *api_request_rules(const struct api_request *request)
--- a/src/controller/api_message.h
+++ b/src/controller/api_message.h
@@ -34,12 +34,11 @@
     int64_t wait_ms;   /* how long the caller waits for a response, 0: not given */
     char *host, *path; /* as sent; they select the queue of a request about jobs or queues */
     union {
-        struct executor_heartbeat
-            beat;                    /* REQUEST_HEARTBEAT; the largest member is first, so that {0} clears them all */
-        struct job_spec job;         /* REQUEST_JOB */
-        int64_t job_id;              /* REQUEST_STATE, REQUEST_CANCEL, REQUEST_WHY, REQUEST_RULES_JOB */
-        struct config_change config; /* REQUEST_CONFIG_PUT, REQUEST_CONFIG_PATCH */
-        struct rules_change *rules;  /* REQUEST_RULES_PUT; REQUEST_RULES_GET: only its outlet is used */
+        struct executor_heartbeat heartbeat; /* REQUEST_HEARTBEAT; first as it is the largest: {0} clears all members */
+        struct job_spec job;                 /* REQUEST_JOB */
+        int64_t job_id;                      /* REQUEST_STATE, REQUEST_CANCEL, REQUEST_WHY, REQUEST_RULES_JOB */
+        struct config_change config;         /* REQUEST_CONFIG_PUT, REQUEST_CONFIG_PATCH */
+        struct rules_change *rules;          /* REQUEST_RULES_PUT; REQUEST_RULES_GET: only its outlet is used */
     } body;
 };
 
--- a/src/controller/controller_state.h
+++ b/src/controller/controller_state.h
@@ -63,7 +63,7 @@
     int64_t *seeds, n_seeds;
 };
 extern const struct schema ballot_schema, ballot_reply_schema, acceptor_schema;
-/* State of a proposer, not durable. ballot 0: no proposal is running. answered: bit set, by rank, of the acceptors that
+/* State of a proposer, not durable. ballot 0: no proposal is running. agreed: bit set, by rank, of the acceptors that
  * agreed in this phase. best_accepted: the highest ballot under which any of them had accepted a list; members is then
  * that list. highest_promised: the highest promise seen in any reply. heard_ms: time of the newest request of another
  * proposer. start_ms: earliest time of the next proposal. */
@@ -126,8 +126,8 @@
     struct log_members bootstrap_members; /* the members with which the log was started here; n 0: not started */
     struct log_members chosen_members;    /* accepted by a majority of the seeds; never changes once set */
     struct bootstrap_candidate *candidates;
-    int64_t n_candidates, first_candidate_ms,
-        newest_candidate_ms;                    /* when the first and the newest candidate became known */
+    /* first_candidate_ms, newest_candidate_ms: when the first and the newest candidate became known */
+    int64_t n_candidates, first_candidate_ms, newest_candidate_ms;
     int64_t next_bootstrap_ms, bootstrapped_ms; /* time of the next step; when the log was started here */
     int64_t may_bootstrap; /* may take part in the bootstrap: the acceptor's state of the first start is not lost */
     /* ballot.c */
@@ -135,11 +135,10 @@
     struct proposer proposer;
     /* members.c */
     struct join_request join_requests[JOIN_REQUESTS_MAX];
-    int64_t n_join_requests, next_join_ms,
-        next_step_ms;                        /* times of the next request to join and the next membership step */
-    int64_t last_timer_ms, running_since_ms; /* last run of the timer; end of its last long gap */
-    struct repair_wait learner_wait;         /* for a learner that can replace a voter; number: the voter's identity */
-    struct repair_wait commit_wait;          /* for the commit of a membership change; number: its log index */
+    int64_t n_join_requests, next_join_ms, next_step_ms; /* times of the next own request to join and membership step */
+    int64_t last_timer_ms, running_since_ms;             /* last run of the timer; end of its last long gap */
+    struct repair_wait learner_wait; /* for a learner that can replace a voter; number: the voter's identity */
+    struct repair_wait commit_wait;  /* for the commit of a membership change; number: its log index */
     /* leaving.c */
     struct leaver leaver;
     /* next_leave_request_ms, permission_ms: times of the next request to end and of the newest permission;
--- a/src/controller/directory.h
+++ b/src/controller/directory.h
@@ -25,8 +25,8 @@
     int64_t direct_ms; /* time of the last query or reply from the controller itself; 0: none */
 };
 /* Invariant: entries holds each address once. Seeds are kept; other entries are dropped after a long silence.
- * next_entry: index of the entry to query next. search_start_ms: time since which no leader is known. doubted: the
- * leader does not answer or has stepped down. */
+ * next_entry: index of the entry to query next. search_start_ms: time since which no leader is known.
+ * leader_suspected: the leader does not answer or has stepped down. */
 struct directory {
     struct world *w;
     uint32_t cluster;
--- a/tests/platform/api_test.cc
+++ b/tests/platform/api_test.cc
@@ -269,38 +269,42 @@
 
 TEST(PlatformApi, Heartbeats)
 {
-    ParsedRequest parsed(beat_request(beat_body));
+    ParsedRequest parsed(heartbeat_request(heartbeat_body));
     ASSERT_EQ(parsed.error, 0) << parsed.validation_error.path;
-    const executor_heartbeat &beat = parsed.beat();
+    const executor_heartbeat &heartbeat = parsed.heartbeat();
     EXPECT_EQ(parsed.request.kind, REQUEST_HEARTBEAT);
-    EXPECT_EQ(beat.kind, HEARTBEAT_ALIVE);
-    EXPECT_EQ(beat.seq, 12);
-    EXPECT_STREQ(beat.address, "10.9.8.7:8080");
-    EXPECT_STREQ(beat.state.incarnation, "i-19ab");
-    EXPECT_STREQ(beat.state.service, "s-mill");
-    EXPECT_STREQ(beat.state.zone, "north");
-    EXPECT_STREQ(beat.state.rack, "r4-2");
-    ASSERT_EQ(beat.state.n_labels, 2);
-    EXPECT_STREQ(beat.state.labels[0], "b");
-    EXPECT_EQ(beat.state.cpu_milli, 8000);
-    EXPECT_EQ(beat.state.memory_mb, 16384);
-    EXPECT_EQ(beat.state.gpus, 2);
-    EXPECT_EQ(beat.state.draining, 1);
-    EXPECT_EQ(beat.state.departure_ms, 1751);
-    EXPECT_EQ(beat.state.warmup_ms, 300);
-    std::string body = beat_body;
-    EXPECT_EQ(ParsedRequest(beat_request(replaced_text(body, "1750.5", "-3"))).beat().state.departure_ms, 1);
-    EXPECT_EQ(ParsedRequest(beat_request(replaced_text(body, "\"departureMs\":1750.5,", ""))).beat().state.departure_ms,
+    EXPECT_EQ(heartbeat.kind, HEARTBEAT_ALIVE);
+    EXPECT_EQ(heartbeat.seq, 12);
+    EXPECT_STREQ(heartbeat.address, "10.9.8.7:8080");
+    EXPECT_STREQ(heartbeat.state.incarnation, "i-19ab");
+    EXPECT_STREQ(heartbeat.state.service, "s-mill");
+    EXPECT_STREQ(heartbeat.state.zone, "north");
+    EXPECT_STREQ(heartbeat.state.rack, "r4-2");
+    ASSERT_EQ(heartbeat.state.n_labels, 2);
+    EXPECT_STREQ(heartbeat.state.labels[0], "b");
+    EXPECT_EQ(heartbeat.state.cpu_milli, 8000);
+    EXPECT_EQ(heartbeat.state.memory_mb, 16384);
+    EXPECT_EQ(heartbeat.state.gpus, 2);
+    EXPECT_EQ(heartbeat.state.draining, 1);
+    EXPECT_EQ(heartbeat.state.departure_ms, 1751);
+    EXPECT_EQ(heartbeat.state.warmup_ms, 300);
+    std::string body = heartbeat_body;
+    EXPECT_EQ(ParsedRequest(heartbeat_request(replaced_text(body, "1750.5", "-3"))).heartbeat().state.departure_ms, 1);
+    EXPECT_EQ(ParsedRequest(heartbeat_request(replaced_text(body, "\"departureMs\":1750.5,", "")))
+                  .heartbeat()
+                  .state.departure_ms,
               0);
-    EXPECT_EQ(ParsedRequest(beat_request(replaced_text(body, "draining", "available"))).beat().state.draining, 0);
-    EXPECT_EQ(beat.account.clock_ms, 99);
-    EXPECT_EQ(beat.account.lists.n_active + beat.account.lists.n_ended, 0);
-    ParsedRequest full(beat_request(replaced_text(body, "\"clockMs\":99",
-                                                  R"("clockMs":482113,)"
-                                                  R"("active":[["5c0e7a21d94b36f8.0.1.17",2,"00000bb87a21d94b",41]],)"
-                                                  R"("finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""]])")));
-    EXPECT_EQ(full.beat().account.clock_ms, 482113);
-    const run_lists &account = full.beat().account.lists;
+    EXPECT_EQ(ParsedRequest(heartbeat_request(replaced_text(body, "draining", "available"))).heartbeat().state.draining,
+              0);
+    EXPECT_EQ(heartbeat.account.clock_ms, 99);
+    EXPECT_EQ(heartbeat.account.lists.n_active + heartbeat.account.lists.n_ended, 0);
+    ParsedRequest full(
+        heartbeat_request(replaced_text(body, "\"clockMs\":99",
+                                        R"("clockMs":482113,)"
+                                        R"("active":[["5c0e7a21d94b36f8.0.1.17",2,"00000bb87a21d94b",41]],)"
+                                        R"("finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""]])")));
+    EXPECT_EQ(full.heartbeat().account.clock_ms, 482113);
+    const run_lists &account = full.heartbeat().account.lists;
     ASSERT_EQ(account.n_active, 1);
     EXPECT_EQ(account.active[0].task, task_of(0, 1, 17));
     EXPECT_EQ(account.active[0].percent, 41);
@@ -308,20 +312,20 @@
     EXPECT_EQ(account.ended[0].seq, 58);
     EXPECT_EQ(account.ended[0].how, END_DONE);
     ParsedRequest left({ENTRY_OPERATORS, "DELETE", "/sagehitch/executors/i-19ab", "", {}});
-    EXPECT_EQ(left.beat().kind, HEARTBEAT_LEAVING);
-    EXPECT_STREQ(left.beat().state.incarnation, "i-19ab");
+    EXPECT_EQ(left.heartbeat().kind, HEARTBEAT_LEAVING);
+    EXPECT_STREQ(left.heartbeat().state.incarnation, "i-19ab");
 }
 
 TEST(PlatformApi, BadHeartbeats)
 {
-    std::string body = beat_body;
-    expect_refused(beat_request(body.substr(0, 40)), ERROR_BAD_JSON, "");
-    expect_refused(beat_request(replaced_text(body, "\"service\":\"s-mill\",", "")), ERROR_BAD_FIELD, "service");
-    expect_refused(beat_request(replaced_text(body, "draining", "asleep")), ERROR_BAD_FIELD, "state");
-    expect_refused(beat_request(replaced_text(body, "\"r4-2\"", "4")), ERROR_BAD_FIELD, "labels");
-    expect_refused(beat_request(replaced_text(body, "8000", "-1")), ERROR_BAD_FIELD, "freeCapacity.vcpus");
-    expect_refused(beat_request(replaced_text(body, "\"callSequence\":12", "\"callSequence\":[]")), ERROR_BAD_FIELD,
-                   "callSequence");
+    std::string body = heartbeat_body;
+    expect_refused(heartbeat_request(body.substr(0, 40)), ERROR_BAD_JSON, "");
+    expect_refused(heartbeat_request(replaced_text(body, "\"service\":\"s-mill\",", "")), ERROR_BAD_FIELD, "service");
+    expect_refused(heartbeat_request(replaced_text(body, "draining", "asleep")), ERROR_BAD_FIELD, "state");
+    expect_refused(heartbeat_request(replaced_text(body, "\"r4-2\"", "4")), ERROR_BAD_FIELD, "labels");
+    expect_refused(heartbeat_request(replaced_text(body, "8000", "-1")), ERROR_BAD_FIELD, "freeCapacity.vcpus");
+    expect_refused(heartbeat_request(replaced_text(body, "\"callSequence\":12", "\"callSequence\":[]")),
+                   ERROR_BAD_FIELD, "callSequence");
     expect_refused({ENTRY_OPERATORS, "PUT", "/sagehitch/executors/", body, {}}, ERROR_NOT_FOUND, "path");
     expect_refused({ENTRY_OPERATORS, "PUT", "/sagehitch/executors/a/b", body, {}}, ERROR_NOT_FOUND, "path");
     expect_refused({ENTRY_OPERATORS, "PUT", "/sagehitch/executors/a\r\nb", body, {}}, ERROR_BAD_FIELD, "path");
--- a/tests/platform/fuzz_test.cc
+++ b/tests/platform/fuzz_test.cc
@@ -77,9 +77,9 @@
 TEST(Fuzz, Heartbeats)
 {
     fuzz(
-        beat_body, 13, [](const std::string &body) { return beat_request(body); },
+        heartbeat_body, 13, [](const std::string &body) { return heartbeat_request(body); },
         [](const ParsedRequest &parsed, int i) {
-            const executor_state &state = parsed.beat().state;
+            const executor_state &state = parsed.heartbeat().state;
             EXPECT_TRUE(state.service && *state.service) << "round " << i;
             EXPECT_STREQ(state.incarnation, "i-19ab");
             for (int64_t v : {state.cpu_milli, state.memory_mb, state.gpus, state.departure_ms, state.warmup_ms})
--- a/tests/platform/platform_test.h
+++ b/tests/platform/platform_test.h
@@ -44,7 +44,7 @@
     }
     ~ParsedRequest() { schema_free(&api_request_schema, &request); }
     ParsedRequest(const ParsedRequest &) = delete;
-    const executor_heartbeat &beat() const { return *api_request_beat(const_cast<api_request *>(&request)); }
+    const executor_heartbeat &heartbeat() const { return *api_request_beat(const_cast<api_request *>(&request)); }
     bool empty() const
     {
         const auto *bytes = reinterpret_cast<const unsigned char *>(&request);
@@ -60,7 +60,7 @@
 {
     return {ENTRY_OPERATORS, "PUT", "/sagehitch/configuration", body, {{"If-Match", base}}};
 }
-inline Request beat_request(const std::string &body)
+inline Request heartbeat_request(const std::string &body)
 {
     return {ENTRY_OPERATORS, "PUT", "/sagehitch/executors/i-19ab", body, {}};
 }
@@ -78,7 +78,7 @@
     R"({"name":"q-b","host":"mill.example","pathPrefix":"/mill/","timeoutMs":900,"service":"s-kiln"}],)"
     R"("services":[{"name":"s-mill","healthCheckPath":"/up","constraints":true},{"name":"s-kiln"}],)"
     R"("limits":{"maxBodyBytes":65536},"extra":[]})";
-inline const char *const beat_body =
+inline const char *const heartbeat_body =
     R"({"service":"s-mill","address":"10.9.8.7:8080","zone":"north","revision":"v3","capacity":4,"state":"draining",)"
     R"("departureMs":1750.5,"warmupRemainingMs":300,"freeCapacity":{"vcpus":8000,"memoryRequestMb":16384,"gpus":2},)"
     R"("labels":["b","r4-2"],"clockMs":99,"callSequence":12})";
--- a/tests/platform/settings_test.cc
+++ b/tests/platform/settings_test.cc
@@ -131,13 +131,13 @@
     EXPECT_EQ(dispatch.lease_ms, 5000);
     // the executor's lease starts when it receives the response to a heartbeat, up to a second after the heartbeat; the
     // agent's lease covers that time too
-    ParsedSettings beats(replaced_text(replaced_text(valid_settings, "holdMaxMs: 4000", "holdMaxMs: 2000"),
-                                       "\"invocation\"", "\"heartbeat\""));
-    settings_for_dispatch(&beats.settings, &dispatch);
-    EXPECT_EQ(dispatch.lease_ms, 2900);
-    ParsedSettings beats_long(replaced_text(replaced_text(valid_settings, "holdMaxMs: 4000", "holdMaxMs: 6000"),
+    ParsedSettings heartbeats(replaced_text(replaced_text(valid_settings, "holdMaxMs: 4000", "holdMaxMs: 2000"),
                                             "\"invocation\"", "\"heartbeat\""));
-    settings_for_dispatch(&beats_long.settings, &dispatch);
+    settings_for_dispatch(&heartbeats.settings, &dispatch);
+    EXPECT_EQ(dispatch.lease_ms, 2900);
+    ParsedSettings long_heartbeats(replaced_text(replaced_text(valid_settings, "holdMaxMs: 4000", "holdMaxMs: 6000"),
+                                                 "\"invocation\"", "\"heartbeat\""));
+    settings_for_dispatch(&long_heartbeats.settings, &dispatch);
     EXPECT_EQ(dispatch.lease_ms, 5000);
     ParsedSettings disk(replaced_text(replaced_text(valid_settings, "dataDirectory: null", "dataDirectory: /d/x"),
                                       "\"invocation\"", "\"heartbeat\""));
