--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -20,8 +20,8 @@
 
 void agent_free(struct agent *agent)
 {
-    agent->incarnation.beat.open = 0; /* the HTTP server has ended the request */
-    agent_incarnation_end(agent);
+    agent->incarnation.heartbeat.open = 0; /* the HTTP server has ended the request */
+    agent_incarnation_clear(agent);
     schema_free(&executor_beat_schema, &agent->candidate);
     for (int64_t i = 0; i < ENDED_INCARNATIONS_MAX; i++)
         free(agent->ended_incarnations[i]);
@@ -30,47 +30,49 @@
     free(agent->lost_incarnations);
     for (int64_t i = 0; i < CALLS_MAX; i++)
         free(agent->calls[i].incarnation);
-    free(agent->works);
+    free(agent->work_items);
     free(agent);
 }
 
-/* An executor that announced that it leaves, and is silent since or has no lease any more: nothing runs there. */
-static void step_left(struct agent *agent, int64_t now)
+/* Ends an incarnation that announced its shutdown once nothing runs there: it has been silent since, or its leases have
+ * expired. */
+static void step_leaving_executor(struct agent *agent, int64_t now)
 {
     const struct agent_incarnation *incarnation = &agent->incarnation;
-    if (!incarnation->present || !incarnation->left)
+    if (!incarnation->present || !incarnation->leaving)
         return;
-    int gone = incarnation->left_silent_ms && now - incarnation->left_silent_ms >= LEFT_MS;
-    /* ends that are not committed yet are lost with it, so they get time */
-    int lapsed = now - incarnation->left_ms >= LEFT_MS && !agent_over_ms(agent, now) &&
-                 (incarnation->silent_since_ms || !incarnation->lists.n_ended);
-    if (gone || lapsed)
-        agent_incarnation_over(agent, incarnation->state.incarnation);
+    int silent = incarnation->leaving_silent_ms && now - incarnation->leaving_silent_ms >= LEAVING_SILENT_MS;
+    /* its uncommitted ends would be lost with it, so they are waited for as long as it responds */
+    int expired = now - incarnation->leaving_ms >= LEAVING_SILENT_MS && !agent_lease_left_ms(agent, now) &&
+                  (incarnation->silent_since_ms || !incarnation->lists.n_ended);
+    if (silent || expired)
+        agent_incarnation_ended(agent, incarnation->state.incarnation);
 }
 
-static int runs(const struct agent *agent)
+static int has_unsettled_runs(const struct agent *agent)
 {
     if (agent->incarnation.lists.n_active)
         return 1;
-    for (int64_t i = 0; i < agent->n_works; i++)
-        if (agent->works[i].state <= WORK_STOPPED)
+    for (int64_t i = 0; i < agent->n_work_items; i++)
+        if (agent->work_items[i].state <= WORK_STOPPED)
             return 1;
     return 0;
 }
 
-/* The next process of this agent takes over what runs, so the last poll extends the lease as far as possible. */
-static void step_leaving(struct agent *agent, int64_t now)
+/* Delays the end of this process while runs are active: the next process of this agent takes them over, so the last
+ * poll renews the lease for as long as possible. */
+static void step_shutdown(struct agent *agent, int64_t now)
 {
     if (!agent->leaving || agent->left)
         return;
-    if (agent->incarnation.beat.open)
-        agent->incarnation.beat.due_ms = now;
-    if (!agent->last_poll_due_ms) {
-        if (!runs(agent))
-            agent->left = !agent->incarnation.beat.open;
-        else if (now >= agent->leave_ms + agent->setup.grace_ms - LEAVE_SPARE_MS)
-            agent->last_poll_due_ms = now;
-    } else if (now >= agent->last_poll_due_ms + LAST_POLL_MS) {
+    if (agent->incarnation.heartbeat.open)
+        agent->incarnation.heartbeat.respond_by_ms = now;
+    if (!agent->last_poll_ms) {
+        if (!has_unsettled_runs(agent))
+            agent->left = !agent->incarnation.heartbeat.open;
+        else if (now >= agent->leave_ms + agent->setup.grace_ms - LEAVE_MARGIN_MS)
+            agent->last_poll_ms = now;
+    } else if (now >= agent->last_poll_ms + LAST_POLL_TIMEOUT_MS) {
         agent->left = 1;
     }
 }
@@ -79,9 +81,9 @@
 {
     int64_t now = world_ms(agent->world);
     directory_on_timer(&agent->directory);
-    step_left(agent, now);
-    step_leaving(agent, now);
-    agent_works_step(agent, now);
+    step_leaving_executor(agent, now);
+    step_shutdown(agent, now);
+    agent_work_items_step(agent, now);
     agent_calls_step(agent, now);
 }
 
@@ -89,39 +91,40 @@
 {
     struct frame frame;
     if (frame_parse(&frame, at, len, agent->cluster)) {
-        world_note(agent->world, EV_FRAME_DROPPED, "a frame that is not ours");
+        world_note(agent->world, EV_FRAME_DROPPED, "not a frame of this cluster");
         return;
     }
     if (directory_take(&agent->directory, &frame) || frame.kind != FRAME_ORDERS)
         return;
     struct agent_orders orders = {0};
     if (schema_unpack(&agent_orders_schema, &orders, frame.body, frame.len)) {
-        world_note(agent->world, EV_FRAME_DROPPED, "orders that cannot be read");
+        world_note(agent->world, EV_FRAME_DROPPED, "orders that cannot be decoded");
         return;
     }
-    agent_orders_take(agent, &orders, world_ms(agent->world));
+    agent_orders_apply(agent, &orders, world_ms(agent->world));
     schema_free(&agent_orders_schema, &orders);
 }
 
 void agent_flush(struct agent *agent)
 {
     int64_t now = world_ms(agent->world);
-    agent_works_step(agent, now);
+    agent_work_items_step(agent, now);
     agent_calls_step(agent, now);
     int64_t leader = directory_leader(&agent->directory);
     if (leader != agent->leader) {
         agent->leader = leader;
-        agent->leader_ms = now;
-        agent->report_due = 1;
+        agent->leader_since_ms = now;
+        agent->report_needed = 1;
     }
-    int64_t quiet_since = agent->orders_received_ms > agent->leader_ms ? agent->orders_received_ms : agent->leader_ms;
-    if (leader && now - quiet_since > DOUBT_MS) {
+    int64_t last_contact_ms =
+        agent->orders_received_ms > agent->leader_since_ms ? agent->orders_received_ms : agent->leader_since_ms;
+    if (leader && now - last_contact_ms > LEADER_SILENT_MS) {
         directory_doubt(&agent->directory);
-        agent->leader_ms = now;
+        agent->leader_since_ms = now;
         return;
     }
-    if (!leader ||
-        (agent->last_stamp_ms && now < agent->last_stamp_ms + (agent->report_due ? REPORT_LEAST_MS : REPORT_MS)))
+    if (!leader || (agent->last_stamp_ms &&
+                    now < agent->last_stamp_ms + (agent->report_needed ? REPORT_INTERVAL_MIN_MS : REPORT_MS)))
         return;
     agent_report_send(agent, leader, now);
 }
--- a/src/agent/agent_beats.c
+++ b/src/agent/agent_beats.c
@@ -1,4 +1,4 @@
-/* Heartbeats of the executor, and which of its incarnations is the current one. */
+/* Heartbeats of the executor, and the choice of its current incarnation. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -18,131 +18,133 @@
 {
     schema_free(&executor_beat_schema, &agent->candidate);
     agent->candidate = (struct executor_beat){0};
-    agent->candidate_due_ms = agent->candidate_retry_ms = 0;
+    agent->candidate_probe_ms = agent->candidate_retry_ms = 0;
 }
 
-void agent_incarnation_end(struct agent *agent)
+void agent_incarnation_clear(struct agent *agent)
 {
     struct agent_incarnation *incarnation = &agent->incarnation;
-    agent_beat_close(agent);
+    agent_heartbeat_close(agent);
     run_lists_free(&incarnation->lists);
     schema_free(&executor_state_schema, &incarnation->state);
     *incarnation = (struct agent_incarnation){0};
-    agent->grant_until_ms = agent->grant_stamp_ms = 0;
-    while (agent->n_works)
-        agent_work_drop(agent, &agent->works[agent->n_works - 1]);
+    agent->lease_until_ms = agent->lease_stamp_ms = 0;
+    while (agent->n_work_items)
+        agent_work_drop(agent, &agent->work_items[agent->n_work_items - 1]);
 }
 
-void agent_incarnation_over(struct agent *agent, const char *name)
+void agent_incarnation_ended(struct agent *agent, const char *name)
 {
     if (is_ended(agent, name))
         return;
-    char *incarnation = must_dup(name); /* name may be freed by what is dropped here */
-    char **place = &agent->ended_incarnations[agent->n_ended_incarnations++ % ENDED_INCARNATIONS_MAX];
-    free(*place);
-    *place = must_dup(incarnation);
+    char *incarnation = must_dup(name); /* name may belong to the state that is freed below */
+    char **slot = &agent->ended_incarnations[agent->n_ended_incarnations++ % ENDED_INCARNATIONS_MAX];
+    free(*slot);
+    *slot = must_dup(incarnation);
     *list_more(agent->lost_incarnations, agent->n_lost_incarnations) = must_dup(incarnation);
-    world_note(agent->world, EV_EXECUTOR_GONE, "life %s is over", incarnation);
+    world_note(agent->world, EV_EXECUTOR_GONE, "incarnation %s has ended", incarnation);
     if (agent->incarnation.present && !strcmp(agent->incarnation.state.incarnation, incarnation))
-        agent_incarnation_end(agent);
+        agent_incarnation_clear(agent);
     if (agent->candidate.state.incarnation && !strcmp(agent->candidate.state.incarnation, incarnation))
         drop_candidate(agent);
-    agent->report_due = 1;
+    agent->report_needed = 1;
     free(incarnation);
 }
 
-static void incarnation_begin(struct agent *agent, struct executor_beat *beat)
+static void incarnation_begin(struct agent *agent, struct executor_beat *heartbeat)
 {
-    agent->incarnation = (struct agent_incarnation){.present = 1, .beat_seq = beat->seq, .state = beat->state};
-    beat->state = (struct executor_state){0};
-    agent->report_due = 1;
+    agent->incarnation =
+        (struct agent_incarnation){.present = 1, .heartbeat_seq = heartbeat->seq, .state = heartbeat->state};
+    heartbeat->state = (struct executor_state){0};
+    agent->report_needed = 1;
 }
 
-void agent_candidate_answered(struct agent *agent)
+void agent_candidate_confirmed(struct agent *agent)
 {
-    struct executor_beat beat = agent->candidate;
+    struct executor_beat heartbeat = agent->candidate;
     agent->candidate = (struct executor_beat){0};
     if (agent->incarnation.present)
-        agent_incarnation_over(agent, agent->incarnation.state.incarnation);
-    incarnation_begin(agent, &beat);
-    schema_free(&executor_beat_schema, &beat);
+        agent_incarnation_ended(agent, agent->incarnation.state.incarnation);
+    incarnation_begin(agent, &heartbeat);
+    schema_free(&executor_beat_schema, &heartbeat);
     drop_candidate(agent);
 }
 
-static int renew_state(struct agent *agent, struct executor_state *state, int64_t *seq, struct executor_beat *beat)
+static int update_state(struct agent *agent, struct executor_state *state, int64_t *seq,
+                        struct executor_beat *heartbeat)
 {
-    if (beat->seq <= *seq)
+    if (heartbeat->seq <= *seq)
         return 0;
-    *seq = beat->seq;
-    if (state->draining != beat->state.draining)
-        agent->report_due = 1;
+    *seq = heartbeat->seq;
+    if (state->draining != heartbeat->state.draining)
+        agent->report_needed = 1;
     schema_free(&executor_state_schema, state);
-    *state = beat->state;
-    beat->state = (struct executor_state){0};
+    *state = heartbeat->state;
+    heartbeat->state = (struct executor_state){0};
     return 1;
 }
 
-static void left(struct agent *agent, const char *incarnation, int64_t now)
+static void record_leaving(struct agent *agent, const char *incarnation, int64_t now)
 {
     if (agent->candidate.state.incarnation && !strcmp(agent->candidate.state.incarnation, incarnation))
         agent->candidate.state.draining = 1;
     if (!agent->incarnation.present || strcmp(agent->incarnation.state.incarnation, incarnation) ||
-        agent->incarnation.left)
+        agent->incarnation.leaving)
         return;
-    agent->incarnation.left = agent->incarnation.state.draining = agent->report_due = 1;
-    agent->incarnation.left_ms = now;
+    agent->incarnation.leaving = agent->incarnation.state.draining = agent->report_needed = 1;
+    agent->incarnation.leaving_ms = now;
     world_note(agent->world, EV_EXECUTOR_LEAVING, "%s", incarnation);
 }
 
-/* Returns whether it is the newest heartbeat of the current incarnation. */
-static int take_beat(struct agent *agent, struct executor_beat *beat, int64_t now)
+/* Returns whether this is the newest heartbeat of the current incarnation. */
+static int accept_heartbeat(struct agent *agent, struct executor_beat *heartbeat, int64_t now)
 {
-    const char *incarnation = beat->state.incarnation;
+    const char *incarnation = heartbeat->state.incarnation;
     int newest = 0;
     if (!incarnation || is_ended(agent, incarnation))
         return 0;
-    if (beat->kind == BEAT_LEFT) {
-        left(agent, incarnation, now);
+    if (heartbeat->kind == BEAT_LEFT) {
+        record_leaving(agent, incarnation, now);
     } else if (agent->incarnation.present && !strcmp(agent->incarnation.state.incarnation, incarnation)) {
-        int64_t has_left = agent->incarnation.left;
-        newest = renew_state(agent, &agent->incarnation.state, &agent->incarnation.beat_seq, beat);
-        agent->incarnation.state.draining |= has_left;
+        int64_t was_leaving = agent->incarnation.leaving;
+        newest = update_state(agent, &agent->incarnation.state, &agent->incarnation.heartbeat_seq, heartbeat);
+        agent->incarnation.state.draining |= was_leaving;
     } else if (agent->setup.by_beat || (!agent->incarnation.present && !agent->candidate.state.incarnation)) {
-        /* only the executor itself sends heartbeats here: an incarnation that does has taken the place */
+        /* by_beat: no probe is needed, since only the running process of the executor sends heartbeats here */
         if (agent->incarnation.present)
-            agent_incarnation_over(agent, agent->incarnation.state.incarnation);
-        incarnation_begin(agent, beat);
+            agent_incarnation_ended(agent, agent->incarnation.state.incarnation);
+        incarnation_begin(agent, heartbeat);
         newest = 1;
     } else if (agent->candidate.state.incarnation && !strcmp(agent->candidate.state.incarnation, incarnation)) {
-        renew_state(agent, &agent->candidate.state, &agent->candidate.seq, beat);
+        update_state(agent, &agent->candidate.state, &agent->candidate.seq, heartbeat);
     } else {
         drop_candidate(agent);
-        agent->candidate = *beat;
-        *beat = (struct executor_beat){0};
+        agent->candidate = *heartbeat;
+        *heartbeat = (struct executor_beat){0};
     }
     return newest;
 }
 
-void agent_request(struct agent *agent, int64_t slot, const struct http_request *web)
+void agent_request(struct agent *agent, int64_t slot, const struct http_request *http_request)
 {
     const struct api_codec *codec = agent->setup.codec;
     struct api_request request = {0};
     struct validation_error validation_error = {0};
     int64_t now = world_ms(agent->world);
-    int error = codec->read(&request, web, &validation_error);
+    int error = codec->read(&request, http_request, &validation_error);
     if (!error && request.kind != REQUEST_BEAT)
         error = ERROR_NO_SUCH;
-    if (!error && take_beat(agent, api_request_beat(&request), now) && agent->setup.by_beat) {
-        agent_beat_taken(agent, slot, &api_request_beat(&request)->account, now);
+    if (!error && accept_heartbeat(agent, api_request_beat(&request), now) && agent->setup.by_beat) {
+        agent_heartbeat_received(agent, slot, &api_request_beat(&request)->account, now);
         schema_free(&api_request_schema, &request);
         return;
     }
-    struct api_response answer =
+    struct api_response response =
         error ? api_response_error(request.kind, error, 0, NULL) : api_response_done(request.kind);
     int status = 0;
     char *body = NULL;
-    codec->write(&answer, &status, &body);
-    agent->world->calls->answer(agent->world, slot, status, answer.retry_ms, body ? body : "");
+    codec->write(&response, &status, &body);
+    agent->world->calls->answer(agent->world, slot, status, response.retry_ms, body ? body : "");
     free(body);
     schema_free(&api_request_schema, &request);
 }
--- a/src/agent/codec_schemas.c
+++ b/src/agent/codec_schemas.c
@@ -1,4 +1,4 @@
-/* Calls to an executor, its responses and heartbeats: schemas, and constructors and accessors of responses. */
+/* Schemas of calls to an executor, of its responses and heartbeats; constructors and accessors of responses. */
 #include "agent/executor_codec.h"
 
 #include <stdlib.h>
@@ -16,7 +16,8 @@
                .kinds = KIND_BIT(EXECUTOR_ACCEPTED))};
 SCHEMA_TAGGED(executor_response_schema, executor_response, response_fields);
 
-/* Goes over the wire within requests; older versions had two numbers after the clock. */
+/* Part of forwarded requests. The fields without kinds stand for two numbers that older versions send after the clock.
+ */
 static const struct field account_fields[] = {
     INT_NAMED(executor_account, clock_ms, "clockMs"),
     INT_NAMED(executor_account, clock_ms, "refusal", .kinds = KINDS_NONE),
@@ -25,10 +26,10 @@
     LIST_NAMED(executor_account, lists.ended, "ended", lists.n_ended, run_ended_schema)};
 static SCHEMA_TAGGED(executor_account_schema, executor_account, account_fields);
 
-static const struct field beat_fields[] = {
+static const struct field heartbeat_fields[] = {
     INT(executor_beat, kind), INT(executor_beat, seq), STR(executor_beat, address),
     SUB(executor_beat, state, executor_state_schema), SUB(executor_beat, account, executor_account_schema)};
-SCHEMA(executor_beat_schema, executor_beat, beat_fields);
+SCHEMA(executor_beat_schema, executor_beat, heartbeat_fields);
 
 void run_lists_free(struct run_lists *lists)
 {
--- a/src/agent/executor_codec.h
+++ b/src/agent/executor_codec.h
@@ -1,5 +1,5 @@
-/* The protocol between an agent and its executor. The agent decides what is sent; a codec encodes requests and decodes
- * responses, and decides nothing. It also makes and reads the names of tasks. */
+/* The protocol between an agent and its executor. The agent decides what is sent; a codec only encodes requests and
+ * decodes responses, including the names of tasks. */
 #ifndef SAGEHITCH_EXECUTOR_CODEC_H
 #define SAGEHITCH_EXECUTOR_CODEC_H
 #include "dispatch/messages.h"
@@ -8,19 +8,19 @@
 struct executor_call {
     char *method, *path, *header, *body; /* header: one extra line "Name: value", or NULL */
 };
-/* The runs on an executor, as it lists them; all is owned. */
+/* The runs that an executor lists. Everything is owned. */
 struct run_lists {
     struct run_active *active;
     int64_t n_active;
-    struct run_ended *ended; /* those that it was not told to forget */
+    struct run_ended *ended; /* ends that no poll has allowed it to drop */
     int64_t n_ended;
 };
 
-/* How an executor responded to a call. NONE: no response was decoded yet; OTHER_INCARNATION: it is another incarnation
- * than the one addressed, which is over. */
+/* How an executor responded to a call. NONE: no response was decoded yet; OTHER_INCARNATION: another incarnation than
+ * the one addressed responded, so that one has ended. */
 enum executor_response_kind { EXECUTOR_RESPONSE_NONE, EXECUTOR_ACCEPTED, EXECUTOR_REFUSED, EXECUTOR_OTHER_INCARNATION };
-/* A decoded response, a tagged union. Constructors set the kind with the members of body that it has; accessors end the
- * process in case of another kind. schema_free() with executor_response_schema frees what it owns. */
+/* A decoded response, a tagged union. Constructors set the kind and the members of body that belong to it; accessors
+ * abort if the response is of another kind. schema_free() with executor_response_schema frees what it owns. */
 struct executor_response {
     int64_t kind;     /* enum executor_response_kind */
     int64_t clock_ms; /* the executor's clock, -1: not given */
@@ -31,10 +31,10 @@
 };
 extern const struct schema executor_call_schema, executor_response_schema;
 
-/* Frees what lists owns, and empties it. */
+/* Frees what lists owns and empties it. */
 void run_lists_free(struct run_lists *lists);
 
-/* Constructors, for a response of kind EXECUTOR_RESPONSE_NONE. The lists returned are to be filled in. */
+/* Constructors, for a response of kind EXECUTOR_RESPONSE_NONE. The caller fills in the returned lists. */
 struct run_lists *executor_response_accept(struct executor_response *response);
 void executor_response_refuse(struct executor_response *response, enum start_refusal refusal);
 void executor_response_other_incarnation(struct executor_response *response);
@@ -42,11 +42,11 @@
 struct run_lists *executor_response_lists(struct executor_response *response);
 int64_t executor_response_refusal(const struct executor_response *response);
 
-/* An executor takes the response to a heartbeat only within so long after it sent the heartbeat. */
+/* An executor accepts the response to a heartbeat only within this time after it sent the heartbeat. */
 enum { BEAT_TAKEN_MS = 1000 };
 
-/* Orders in the response to a heartbeat. hold_ms: length of the lease from when the executor takes the response, 0: not
- * renewed; retry_ms: delay of its next heartbeat. Lists are borrowed. */
+/* Orders in the response to a heartbeat. hold_ms: length of the lease, from when the executor receives the response; 0:
+ * not renewed. retry_ms: delay of its next heartbeat. Lists are borrowed. */
 struct beat_orders {
     int64_t epoch, seen, hold_ms, retry_ms;
     const struct run_start **starts;
@@ -54,36 +54,38 @@
     int64_t n_starts, n_stops;
 };
 
-/* A codec. The calls that it makes own their strings; schema_free() with executor_call_schema frees them. */
+/* A codec. The calls that it encodes own their strings; schema_free() with executor_call_schema frees them. */
 struct executor_codec {
-    /* Starts a run. expires_ms: end of the lease on the executor's clock. */
+    /* Encodes the start of a run. expires_ms: end of the lease on the executor's clock. */
     void (*start)(struct executor_call *call, const char *incarnation, const struct run_start *start,
                   int64_t expires_ms, int64_t epoch);
-    /* Stops a run, or forbids a start of the attempt that may still come. */
+    /* Encodes the stop of a run. The executor also refuses a start of this attempt that arrives later. */
     void (*stop)(struct executor_call *call, const char *incarnation, const struct run_ref *run, int64_t epoch);
-    /* Asks for the lists of runs. expires_ms: end of the lease on the executor's clock, 0: not renewed; wait_ms: the
-     * executor responds at the next end or after so long, 0: at once; seen: ends up to this seq may be forgotten. */
+    /* Encodes a request for the lists of runs. seen: the executor may drop ends up to this seq; expires_ms: end of the
+     * lease on the executor's clock, 0: not renewed; wait_ms: the executor responds when the next run ends or after
+     * this time, 0: at once. */
     void (*poll)(struct executor_call *call, const char *incarnation, int64_t epoch, int64_t seen, int64_t expires_ms,
                  int64_t wait_ms);
-    /* Decodes a response. Returns 0, or an error where the body cannot be read; response must be zeroed but for
+    /* Decodes a response. Returns 0, or an error if the body cannot be decoded. response must be zeroed except for
      * clock_ms. */
     int (*read)(struct executor_response *response, int status, const char *body, int64_t len);
-    /* The body of a response to a heartbeat, the caller's to free(). */
+    /* Encodes the body of a response to a heartbeat. The caller frees it with free(). */
     char *(*beat_response)(const struct beat_orders *orders);
 };
 
 enum beat_kind { BEAT_ALIVE, BEAT_LEFT };
-/* What a heartbeat says beyond the executor's state. clock_ms: its clock, 0 or -1: not given; lists: only of executors
- * that take orders by heartbeats. */
+/* The clock and the runs that a heartbeat reports. clock_ms: the executor's clock, 0 or -1: not given; lists: only from
+ * executors that take orders in the responses to heartbeats. */
 struct executor_account {
     int64_t clock_ms;
     struct run_lists lists;
 };
-/* A heartbeat: an executor reports that it is there, or that it leaves. Of BEAT_LEFT only state.incarnation counts. */
+/* A heartbeat: an executor reports that it is running, or that it shuts down. BEAT_LEFT: only state.incarnation is
+ * used. */
 struct executor_beat {
     int64_t kind;  /* enum beat_kind */
-    int64_t seq;   /* rises with every heartbeat of one incarnation */
-    char *address; /* that it listens at */
+    int64_t seq;   /* rises with every heartbeat of an incarnation */
+    char *address; /* at which the executor listens */
     struct executor_state state;
     struct executor_account account;
 };
--- a/tests/unit/agent_executor.h
+++ b/tests/unit/agent_executor.h
@@ -1,5 +1,5 @@
-// An executor for tests of the agent: it keeps fence, hold, attempts and lists as real
-// ones do; a test codec of plain words stands for whatever is really spoken.
+// A simulated executor for tests of the agent: it implements fencing epoch, lease, attempts and lists of runs like a
+// real one. The test codec encodes calls and responses as plain words.
 #ifndef SAGEHITCH_TESTS_AGENT_EXECUTOR_H
 #define SAGEHITCH_TESTS_AGENT_EXECUTOR_H
 #include <gtest/gtest.h>
@@ -27,11 +27,11 @@
 
 // --- the codec ------------------------------------------------------------
 
-inline void make_call(struct executor_call *call, const char *what, const char *incarnation, const std::string &body)
+inline void make_call(struct executor_call *call, const char *method, const char *incarnation, const std::string &body)
 {
     call->method = must_dup("POST");
-    call->path = must_dup(what);
-    call->header = must_printf("Life: %s", incarnation);
+    call->path = must_dup(method);
+    call->header = must_printf("Incarnation: %s", incarnation);
     call->body = must_dup(body.c_str());
 }
 inline std::string words(std::initializer_list<int64_t> numbers)
@@ -41,20 +41,20 @@
         out << n << ' ';
     return out.str();
 }
-inline void codec_start(struct executor_call *call, const char *incarnation, const struct run_start *s, int64_t expires,
-                        int64_t epoch)
+inline void codec_start(struct executor_call *call, const char *incarnation, const struct run_start *start,
+                        int64_t expires, int64_t epoch)
 {
     make_call(call, "start", incarnation,
-              words({epoch, expires, s->job, s->task, s->attempt}) + (s->saved ? s->saved : "-"));
+              words({epoch, expires, start->job, start->task, start->attempt}) + (start->saved ? start->saved : "-"));
 }
-inline void codec_stop(struct executor_call *call, const char *incarnation, const struct run_ref *r, int64_t epoch)
+inline void codec_stop(struct executor_call *call, const char *incarnation, const struct run_ref *run, int64_t epoch)
 {
-    make_call(call, "stop", incarnation, words({epoch, r->job, r->task, r->attempt}));
+    make_call(call, "stop", incarnation, words({epoch, run->job, run->task, run->attempt}));
 }
 inline void codec_poll(struct executor_call *call, const char *incarnation, int64_t epoch, int64_t seen,
                        int64_t expires, int64_t wait)
 {
-    make_call(call, "look", incarnation, words({epoch, seen, expires, wait}));
+    make_call(call, "poll", incarnation, words({epoch, seen, expires, wait}));
 }
 // Each run is "JOB TASK ATTEMPT PERCENT SEQ HOW" in both lists.
 inline void read_lists(std::istream &in, struct run_lists *lists)
@@ -90,48 +90,49 @@
     return 0;
 }
 // "EPOCH SEEN HOLD RETRY N (JOB TASK ATTEMPT)... N (JOB TASK ATTEMPT)..."
-inline char *codec_beat_answer(const struct beat_orders *o)
+inline char *codec_heartbeat_response(const struct beat_orders *orders)
 {
-    std::string body = words({o->epoch, o->seen, o->hold_ms, o->retry_ms});
+    std::string body = words({orders->epoch, orders->seen, orders->hold_ms, orders->retry_ms});
     for (int list = 0; list < 2; list++) {
-        int64_t n = list ? o->n_stops : o->n_starts;
+        int64_t n = list ? orders->n_stops : orders->n_starts;
         body += words({n});
         for (int64_t i = 0; i < n; i++) {
-            const struct run_start *run = list ? o->stops[i] : o->starts[i];
+            const struct run_start *run = list ? orders->stops[i] : orders->starts[i];
             body += words({run->job, run->task, run->attempt});
         }
     }
     return must_dup(body.c_str());
 }
-const struct executor_codec executor_codec = {codec_start, codec_stop, codec_poll, codec_read, codec_beat_answer};
+const struct executor_codec executor_codec = {codec_start, codec_stop, codec_poll, codec_read,
+                                              codec_heartbeat_response};
 
-// A beat is "KIND LIFE SEQ DRAINING", and its lists as in an answer where it is commanded by them.
-inline int api_read(struct api_request *request, const struct http_request *web, struct validation_error *)
+// A heartbeat is "KIND INCARNATION SEQ DRAINING", followed by the lists of a response if it takes orders by heartbeats.
+inline int api_read(struct api_request *request, const struct http_request *http_request, struct validation_error *)
 {
-    std::istringstream in(web->body);
+    std::istringstream in(http_request->body);
     std::string incarnation;
     int64_t kind = 0;
-    if (!strcmp(web->path, "other")) {
+    if (!strcmp(http_request->path, "other")) {
         api_request_make_count(request);
         return 0;
     }
-    executor_beat *beat = api_request_make_beat(request);
-    in >> kind >> incarnation >> beat->seq >> beat->state.draining;
-    beat->kind = kind;
-    beat->state.incarnation = must_dup(incarnation.c_str());
+    executor_beat *heartbeat = api_request_make_beat(request);
+    in >> kind >> incarnation >> heartbeat->seq >> heartbeat->state.draining;
+    heartbeat->kind = kind;
+    heartbeat->state.incarnation = must_dup(incarnation.c_str());
     std::string lists;
     std::getline(in, lists);
     if (lists.empty())
         return 0;
     std::istringstream account(lists);
     int64_t refusal = REFUSED_NOT;
-    account >> beat->account.clock_ms >> refusal;
-    read_lists(account, &beat->account.lists);
+    account >> heartbeat->account.clock_ms >> refusal;
+    read_lists(account, &heartbeat->account.lists);
     return 0;
 }
-inline void api_write(const struct api_response *answer, int *status, char **body)
+inline void api_write(const struct api_response *response, int *status, char **body)
 {
-    *status = answer->error ? error_response((int)answer->error)->status : 200;
+    *status = response->error ? error_response((int)response->error)->status : 200;
     *body = must_dup("");
 }
 const struct api_codec api_codec = {api_read, api_write, nullptr};
@@ -140,20 +141,21 @@
 
 using Key = std::pair<int64_t, int64_t>; // job, task
 
-struct Executor {
+struct SimulatedExecutor {
     std::string incarnation;
-    double rate = 1.0; // of its clock against true time
+    double rate = 1.0; // rate of its clock relative to true time
     double clock = 50000;
-    int64_t fence = 0, hold = 0, last_seen = 0, seq = 0, room = 100, sick = 0;
-    std::map<Key, int64_t> active, barred, stopped; // stopped: when, on its clock, it will have ended
+    int64_t fence_epoch = 0, lease_expiry_ms = 0, last_seen = 0, seq = 0, capacity = 100, unavailable_starts = 0;
+    // barred_attempts: the highest attempt that may not start; stopped: when a stopped run ends, on this clock
+    std::map<Key, int64_t> active, barred_attempts, stopped;
     int64_t stop_ms = 0;
     struct End {
         int64_t seq, job, task, attempt, how;
     };
     std::vector<End> ended;
-    std::vector<std::string> starts; // all that were begun, as "task.attempt"
+    std::vector<std::string> starts; // all started runs, as "task.attempt"
     int64_t polls = 0, start_calls = 0, lapsed_at = 0;
-    bool strict_seen = true; // not where looks may be carried out late
+    bool strict_seen = true; // false: polls may be executed late, so seen may fall
 
     int64_t now() const { return (int64_t)clock; }
     void end(Key key, int64_t how)
@@ -162,7 +164,7 @@
         if (it == active.end())
             return;
         ended.push_back({++seq, key.first, key.second, it->second, how});
-        barred[key] = std::max(barred[key], it->second);
+        barred_attempts[key] = std::max(barred_attempts[key], it->second);
         active.erase(it);
         stopped.erase(key);
     }
@@ -175,13 +177,13 @@
             if (now() >= at)
                 end(key, END_STOPPED);
         }
-        if (now() < hold || active.empty())
+        if (now() < lease_expiry_ms || active.empty())
             return;
         lapsed_at = true_ms;
         while (!active.empty())
             end(active.begin()->first, END_LAPSED);
     }
-    void renew(int64_t expires) { hold = std::max(hold, std::min(expires, now() + HOLD_MAX)); }
+    void renew(int64_t expires) { lease_expiry_ms = std::max(lease_expiry_ms, std::min(expires, now() + HOLD_MAX)); }
     std::string lists(int64_t refusal)
     {
         std::ostringstream out;
@@ -189,25 +191,25 @@
         for (auto &[key, attempt] : active)
             out << words({key.first, key.second, attempt, 10, 0, 0});
         out << ended.size() << ' ';
-        for (auto &e : ended)
-            out << words({e.job, e.task, e.attempt, 0, e.seq, e.how});
+        for (auto &end : ended)
+            out << words({end.job, end.task, end.attempt, 0, end.seq, end.how});
         return out.str();
     }
-    std::string plain(int64_t refusal) { return words({now(), refusal, 0, 0}); }
-    // waits: set where the answer is to wait for an end
-    std::string carry_out(const std::string &what, const std::string &body, int64_t &waits)
+    std::string response_without_lists(int64_t refusal) { return words({now(), refusal, 0, 0}); }
+    // Executes a call. waits: set to how long the response waits for a run to end.
+    std::string execute(const std::string &method, const std::string &body, int64_t &waits)
     {
         std::istringstream in(body);
         int64_t epoch = 0;
         in >> epoch;
-        if (sick > 0 && what == "start") {
-            sick--;
-            return plain(REFUSED_SICK);
+        if (unavailable_starts > 0 && method == "start") {
+            unavailable_starts--;
+            return response_without_lists(REFUSED_SICK);
         }
-        if (epoch < fence)
-            return plain(REFUSED_EPOCH);
-        fence = epoch;
-        if (what == "look") {
+        if (epoch < fence_epoch)
+            return response_without_lists(REFUSED_EPOCH);
+        fence_epoch = epoch;
+        if (method == "poll") {
             int64_t seen, expires;
             polls++;
             in >> seen >> expires >> waits;
@@ -220,30 +222,30 @@
             return lists(0);
         }
         int64_t expires = 0, job, task, attempt;
-        if (what == "start")
+        if (method == "start")
             in >> expires;
         in >> job >> task >> attempt;
         Key key{job, task};
-        if (what == "stop") {
+        if (method == "stop") {
             if (active.count(key) && active[key] == attempt)
                 stopped[key] = now() + stop_ms;
             else
-                barred[key] = std::max(barred[key], attempt);
-            return plain(0);
+                barred_attempts[key] = std::max(barred_attempts[key], attempt);
+            return response_without_lists(0);
         }
         start_calls++;
         if (expires <= now())
-            return plain(REFUSED_LATE);
+            return response_without_lists(REFUSED_LATE);
         renew(expires);
         if (active.count(key) && active[key] == attempt)
-            return plain(0);
-        if (barred.count(key) && barred[key] >= attempt)
-            return plain(REFUSED_OLD);
-        if ((int64_t)active.size() >= room)
-            return plain(REFUSED_ROOM);
+            return response_without_lists(0);
+        if (barred_attempts.count(key) && barred_attempts[key] >= attempt)
+            return response_without_lists(REFUSED_OLD);
+        if ((int64_t)active.size() >= capacity)
+            return response_without_lists(REFUSED_ROOM);
         active[key] = attempt;
         starts.push_back(std::to_string(task) + "." + std::to_string(attempt));
-        return plain(0);
+        return response_without_lists(0);
     }
 };
 
--- a/tests/unit/agent_rig.h
+++ b/tests/unit/agent_rig.h
@@ -1,4 +1,4 @@
-// An agent between a leader and an executor, all in one hand-moved clock.
+// An agent between a simulated leader and a simulated executor, all on one virtual clock.
 #ifndef SAGEHITCH_TESTS_AGENT_RIG_H
 #define SAGEHITCH_TESTS_AGENT_RIG_H
 #include "agent_executor.h"
@@ -8,43 +8,43 @@
 
 // --- the world --------------------------------------------------------------
 
-// FAILED: something comes that is no answer; TWICE: answered, and carried out again late_ms later, but for a start that
-// was turned away
-enum Fate { CARRIED, LOST, ANSWER_LOST, LATE, TWICE, FAILED };
+// What happens to a call. FAILED: its response is invalid; DUPLICATED: it gets a response and is executed again late_ms
+// later, except for a start that was refused for lack of capacity or health.
+enum CallFault { EXECUTED, LOST, RESPONSE_LOST, LATE, DUPLICATED, FAILED };
 
 struct Call {
-    std::string what, incarnation, body, answer;
-    int64_t sent_ms, wait_ms, tag, carry_at, answer_by;
+    std::string method, incarnation, body, response;
+    int64_t sent_ms, wait_ms, tag, execute_at, respond_by;
     call_done *done;
     void *arg;
-    Fate fate;
+    CallFault fault;
     int status;
-    bool carried, poll;
-    int64_t seq_then, not_before;
-    std::shared_ptr<bool> turned_away; // of both copies of one that arrives twice
+    bool executed, waiting_poll;
+    int64_t seq_before, respond_after;
+    std::shared_ptr<bool> start_refused; // whether the start was refused; shared by both copies of a duplicated call
 };
 
 struct Report {
-    struct agent_report r = {};
-    ~Report() { schema_free(&agent_report_schema, &r); }
+    struct agent_report report = {};
+    ~Report() { schema_free(&agent_report_schema, &report); }
 };
 
 struct Rig : world {
     struct world_calls table = {};
     int64_t now = 1000, wall = 0;
-    Executor ex;
-    std::vector<Call> under;
-    std::shared_ptr<Report> last = std::make_shared<Report>();
+    SimulatedExecutor executor;
+    std::vector<Call> in_flight;
+    std::shared_ptr<Report> last_report = std::make_shared<Report>();
     std::vector<int64_t> reports_at;
-    std::function<Fate(const Call &)> fate = [](const Call &) { return CARRIED; };
-    std::function<int64_t()> answer_delay = [] { return 0; }; // from carrying out to the answer
-    std::vector<std::string> sent;                            // "what body" of every call
-    struct agent *a = nullptr;
+    std::function<CallFault(const Call &)> fault = [](const Call &) { return EXECUTED; };
+    std::function<int64_t()> response_delay = [] { return 0; }; // from the execution to the response
+    std::vector<std::string> sent;                              // "METHOD BODY" of every call
+    struct agent *agent = nullptr;
     bool grant = true, executor_up = true;
     int64_t epoch = 3, late_ms = 700, answered = 0, last_status = 0, seen = 0;
-    int64_t granted_at = 0;                 // true time of the newest report that was answered
-    std::string leader_incarnation;         // as the leader knows it
-    std::map<int64_t, std::string> answers; // to beats, by slot
+    int64_t granted_at = 0;                   // time of the newest report that the leader answered
+    std::string leader_incarnation;           // the incarnation that the leader knows
+    std::map<int64_t, std::string> responses; // to heartbeats, by slot
     int64_t by_beat = 0, slot = 1;
 
     static Rig *of(struct world *w) { return static_cast<Rig *>(w); }
@@ -55,49 +55,49 @@
     static void answer(struct world *w, int64_t slot, int status, int64_t, const char *body)
     {
         of(w)->last_status = status;
-        of(w)->answers[slot] = body;
+        of(w)->responses[slot] = body;
     }
     static void send(struct world *w, uint64_t to, struct blob *frame, int)
     {
         Rig *rig = of(w);
-        struct frame f;
-        ASSERT_EQ(frame_parse(&f, frame->bytes.at, frame->bytes.len, (uint32_t)hash_text(CLUSTER)), 0);
-        if (f.kind != FRAME_REPORT)
+        struct frame parsed;
+        ASSERT_EQ(frame_parse(&parsed, frame->bytes.at, frame->bytes.len, (uint32_t)hash_text(CLUSTER)), 0);
+        if (parsed.kind != FRAME_REPORT)
             return;
         EXPECT_EQ((int64_t)to, LEADER);
         auto next = std::make_shared<Report>();
-        ASSERT_EQ(schema_unpack(&agent_report_schema, &next->r, f.body, f.len), 0);
-        rig->last = next;
+        ASSERT_EQ(schema_unpack(&agent_report_schema, &next->report, parsed.body, parsed.len), 0);
+        rig->last_report = next;
         rig->reports_at.push_back(rig->now);
     }
-    static void call(struct world *w, const struct http_call *call)
+    static void call(struct world *w, const struct http_call *http_call)
     {
         Rig *rig = of(w);
-        EXPECT_EQ((int64_t)call->to, EXECUTOR);
-        Call c = {};
-        c.what = call->path;
-        c.incarnation = strchr(call->header, ' ') + 1;
-        c.body = call->body;
-        c.sent_ms = rig->now;
-        c.wait_ms = call->wait_ms;
-        c.tag = call->tag;
-        c.done = call->done;
-        c.arg = call->arg;
-        c.fate = rig->fate(c);
-        c.carry_at = rig->now + (c.fate == LATE ? rig->late_ms : 1);
-        rig->sent.push_back(c.what + " " + c.body);
-        bool twice = c.fate == TWICE;
-        c.fate = twice ? CARRIED : c.fate;
-        c.turned_away = std::make_shared<bool>(false);
-        rig->under.push_back(c);
-        if (twice) {
-            c.done = nullptr;
-            c.carry_at = rig->now + 1 + rig->late_ms;
-            rig->under.push_back(c);
+        EXPECT_EQ((int64_t)http_call->to, EXECUTOR);
+        Call call = {};
+        call.method = http_call->path;
+        call.incarnation = strchr(http_call->header, ' ') + 1;
+        call.body = http_call->body;
+        call.sent_ms = rig->now;
+        call.wait_ms = http_call->wait_ms;
+        call.tag = http_call->tag;
+        call.done = http_call->done;
+        call.arg = http_call->arg;
+        call.fault = rig->fault(call);
+        call.execute_at = rig->now + (call.fault == LATE ? rig->late_ms : 1);
+        rig->sent.push_back(call.method + " " + call.body);
+        bool duplicated = call.fault == DUPLICATED;
+        call.fault = duplicated ? EXECUTED : call.fault;
+        call.start_refused = std::make_shared<bool>(false);
+        rig->in_flight.push_back(call);
+        if (duplicated) {
+            call.done = nullptr;
+            call.execute_at = rig->now + 1 + rig->late_ms;
+            rig->in_flight.push_back(call);
         }
     }
 
-    explicit Rig(bool commanded_by_beats = false) : world(), by_beat(commanded_by_beats)
+    explicit Rig(bool orders_by_heartbeats = false) : world(), by_beat(orders_by_heartbeats)
     {
         table.mono_ms = mono;
         table.wall_ms = wall_ms;
@@ -108,18 +108,18 @@
         table.note = note;
         this->calls = &table;
         self = SELF;
-        ex.incarnation = "A";
+        executor.incarnation = "A";
         begin();
     }
-    ~Rig() { agent_free(a); }
-    // From now on all calls have this fate, or the starts, and all others are carried out.
-    void calls_get(Fate of_calls)
+    ~Rig() { agent_free(agent); }
+    // From now on all calls, or all starts, meet this fault; the others are executed.
+    void set_fault(CallFault of_calls)
     {
-        fate = [of_calls](const Call &) { return of_calls; };
+        fault = [of_calls](const Call &) { return of_calls; };
     }
-    void starts_get(Fate of_starts)
+    void set_start_fault(CallFault of_starts)
     {
-        fate = [of_starts](const Call &c) { return c.what == "start" ? of_starts : CARRIED; };
+        fault = [of_starts](const Call &call) { return call.method == "start" ? of_starts : EXECUTED; };
     }
     void begin()
     {
@@ -137,106 +137,106 @@
         setup.by_beat = by_beat;
         setup.codec = &api_codec;
         setup.executor_codec = &executor_codec;
-        a = agent_new(this, &setup);
+        agent = agent_new(this, &setup);
     }
-    // what it had called is carried out all the same
+    // Restarts the agent. Calls in flight are still executed.
     void restart()
     {
-        for (Call &c : under)
-            c.done = nullptr;
-        agent_free(a);
+        for (Call &call : in_flight)
+            call.done = nullptr;
+        agent_free(agent);
         begin();
-        last = std::make_shared<Report>();
+        last_report = std::make_shared<Report>();
     }
 
     void orders(const std::function<void(struct agent_orders &)> &fill = {})
     {
-        struct agent_orders o = {};
-        o.epoch = epoch;
-        o.lease_ms = LEASE;
-        o.leader = LEADER;
-        o.incarnation = (char *)(leader_incarnation.empty() ? nullptr : leader_incarnation.c_str());
-        o.seen = seen;
+        struct agent_orders message = {};
+        message.epoch = epoch;
+        message.lease_ms = LEASE;
+        message.leader = LEADER;
+        message.incarnation = (char *)(leader_incarnation.empty() ? nullptr : leader_incarnation.c_str());
+        message.seen = seen;
         if (fill)
-            fill(o);
+            fill(message);
         struct bytes out = {};
-        frame_build(&out, FRAME_ORDERS, (uint32_t)hash_text(CLUSTER), LEADER, &agent_orders_schema, &o);
-        agent_take(a, out.at, out.len);
+        frame_build(&out, FRAME_ORDERS, (uint32_t)hash_text(CLUSTER), LEADER, &agent_orders_schema, &message);
+        agent_take(agent, out.at, out.len);
         bytes_free(&out);
     }
     void start(int64_t task, int64_t attempt)
     {
-        struct run_start s = {1, task, attempt, (char *)"text", nullptr};
-        orders([&](struct agent_orders &o) { o.starts = &s, o.n_starts = 1; });
+        struct run_start run = {1, task, attempt, (char *)"text", nullptr};
+        orders([&](struct agent_orders &message) { message.starts = &run, message.n_starts = 1; });
     }
     void stop(int64_t task, int64_t attempt)
     {
-        struct run_ref r = {1, task, attempt};
-        orders([&](struct agent_orders &o) { o.stops = &r, o.n_stops = 1; });
+        struct run_ref run = {1, task, attempt};
+        orders([&](struct agent_orders &message) { message.stops = &run, message.n_stops = 1; });
     }
     void ends_seen(int64_t task, int64_t attempt)
     {
-        struct run_ref r = {1, task, attempt};
-        orders([&](struct agent_orders &o) { o.ends_seen = &r, o.n_ends_seen = 1; });
+        struct run_ref run = {1, task, attempt};
+        orders([&](struct agent_orders &message) { message.ends_seen = &run, message.n_ends_seen = 1; });
     }
-    void beat(const std::string &incarnation, int64_t seq, int64_t draining = 0, int64_t kind = BEAT_ALIVE,
-              const char *path = "beat", const std::string &lists = "")
+    void heartbeat(const std::string &incarnation, int64_t seq, int64_t draining = 0, int64_t kind = BEAT_ALIVE,
+                   const char *path = "heartbeat", const std::string &lists = "")
     {
         std::string body = std::to_string(kind) + " " + incarnation + " " + std::to_string(seq) + " " +
                            std::to_string(draining) + (lists.empty() ? "" : " " + lists);
-        struct http_request web = {};
-        web.method = "PUT";
-        web.path = path;
-        web.body = body.c_str();
-        web.len = (int64_t)body.size();
-        agent_request(a, slot, &web);
+        struct http_request http_request = {};
+        http_request.method = "PUT";
+        http_request.path = path;
+        http_request.body = body.c_str();
+        http_request.len = (int64_t)body.size();
+        agent_request(agent, slot, &http_request);
     }
 
-    void carry_out(Call &c)
+    void execute(Call &call)
     {
-        c.carried = true;
-        if (!executor_up || c.fate == LOST || *c.turned_away)
+        call.executed = true;
+        if (!executor_up || call.fault == LOST || *call.start_refused)
             return;
-        if (c.incarnation != ex.incarnation) {
-            c.status = 421;
-            c.answer = ex.plain(0);
+        if (call.incarnation != executor.incarnation) {
+            call.status = 421;
+            call.response = executor.response_without_lists(0);
         } else {
             int64_t waits = 0;
-            c.status = 200;
-            c.seq_then = ex.seq;
-            c.answer = ex.carry_out(c.what, c.body, waits);
+            call.status = 200;
+            call.seq_before = executor.seq;
+            call.response = executor.execute(call.method, call.body, waits);
             int64_t clock = 0, refusal = 0;
-            std::istringstream(c.answer) >> clock >> refusal;
-            *c.turned_away = refusal == REFUSED_ROOM || refusal == REFUSED_SICK;
-            c.poll = waits > 0 && ex.ended.empty();
-            c.answer_by = now + waits;
-            c.not_before = c.poll ? 0 : now + answer_delay();
+            std::istringstream(call.response) >> clock >> refusal;
+            *call.start_refused = refusal == REFUSED_ROOM || refusal == REFUSED_SICK;
+            call.waiting_poll = waits > 0 && executor.ended.empty();
+            call.respond_by = now + waits;
+            call.respond_after = call.waiting_poll ? 0 : now + response_delay();
         }
-        if (c.fate != CARRIED)
-            c.status = c.fate == FAILED ? 500 : 0;
+        if (call.fault != EXECUTED)
+            call.status = call.fault == FAILED ? 500 : 0;
     }
     void move_calls()
     {
-        for (size_t i = 0; i < under.size(); i++)
-            if (!under[i].carried && now >= under[i].carry_at)
-                carry_out(under[i]);
-        for (size_t i = 0; i < under.size();) {
-            if (under[i].poll && under[i].incarnation != ex.incarnation)
-                under[i].status = 0; // it went with the life that kept it waiting
-            Call c = under[i];
-            bool ready =
-                c.carried && c.status && now >= c.not_before && (!c.poll || now >= c.answer_by || ex.seq > c.seq_then);
-            bool timed_out = now >= c.sent_ms + c.wait_ms;
-            if (c.done && (ready || timed_out)) {
-                under[i].done = nullptr;
-                if (ready && c.poll)
-                    c.answer = ex.lists(0);
-                int status = ready && executor_up ? c.status : 0;
-                c.done(c.arg, c.tag, status, status ? c.answer.c_str() : "", 0);
+        for (size_t i = 0; i < in_flight.size(); i++)
+            if (!in_flight[i].executed && now >= in_flight[i].execute_at)
+                execute(in_flight[i]);
+        for (size_t i = 0; i < in_flight.size();) {
+            if (in_flight[i].waiting_poll && in_flight[i].incarnation != executor.incarnation)
+                in_flight[i].status = 0; // the incarnation that let it wait has ended
+            Call call = in_flight[i];
+            bool ready = call.executed && call.status && now >= call.respond_after &&
+                         (!call.waiting_poll || now >= call.respond_by || executor.seq > call.seq_before);
+            bool timed_out = now >= call.sent_ms + call.wait_ms;
+            if (call.done && (ready || timed_out)) {
+                in_flight[i].done = nullptr;
+                if (ready && call.waiting_poll)
+                    call.response = executor.lists(0);
+                int status = ready && executor_up ? call.status : 0;
+                call.done(call.arg, call.tag, status, status ? call.response.c_str() : "", 0);
                 continue;
             }
-            if (!c.done && c.carried)
-                under.erase(under.begin() + (long)i);
+            if (!call.done && call.executed)
+                in_flight.erase(in_flight.begin() + (long)i);
             else
                 i++;
         }
@@ -245,77 +245,77 @@
     {
         for (int64_t i = 0; i < ms; i++) {
             now++;
-            ex.on_timer(now);
+            executor.on_timer(now);
             move_calls();
             if (now % 5 == 0)
-                agent_on_timer(a);
+                agent_on_timer(agent);
             size_t before = reports_at.size();
-            agent_flush(a);
+            agent_flush(agent);
             if (grant && reports_at.size() > before) {
-                leader_incarnation = last->r.present ? last->r.executor.incarnation : "";
-                granted_at = last->r.stamp_ms;
-                orders([&](struct agent_orders &o) { o.stamp_ms = last->r.stamp_ms; });
+                leader_incarnation = last_report->report.present ? last_report->report.executor.incarnation : "";
+                granted_at = last_report->report.stamp_ms;
+                orders([&](struct agent_orders &message) { message.stamp_ms = last_report->report.stamp_ms; });
             }
             after();
         }
     }
     std::function<void()> after = [] {};
-    // A life that is known, fenced and looked at, long after the process began.
+    // Makes the executor known, fenced and polled. settled(): also waits until no calls of a former process can arrive.
     void ready()
     {
         orders();
-        beat("A", 1);
+        heartbeat("A", 1);
         run(100);
-        ASSERT_TRUE(last->r.ready);
+        ASSERT_TRUE(last_report->report.ready);
     }
     void settled()
     {
         ready();
-        for (int i = 0; i < 15; i++) { // beyond what an earlier process may have sent
+        for (int i = 0; i < 15; i++) { // longer than calls of a former process may be executed
             run(1500);
-            beat("A", i + 2);
+            heartbeat("A", i + 2);
         }
     }
 
-    const struct agent_report &r() const { return last->r; }
+    const struct agent_report &report() const { return last_report->report; }
     bool is_active(int64_t task, int64_t attempt) const
     {
-        for (int64_t i = 0; i < r().n_active; i++)
-            if (r().active[i].task == task && r().active[i].attempt == attempt)
+        for (int64_t i = 0; i < report().n_active; i++)
+            if (report().active[i].task == task && report().active[i].attempt == attempt)
                 return true;
         return false;
     }
     bool is_pending(int64_t task) const
     {
-        for (int64_t i = 0; i < r().n_pending; i++)
-            if (r().pending[i].task == task)
+        for (int64_t i = 0; i < report().n_pending; i++)
+            if (report().pending[i].task == task)
                 return true;
         return false;
     }
     int64_t refusal(int64_t task) const
     {
-        for (int64_t i = 0; i < r().n_refused; i++)
-            if (r().refused[i].task == task)
-                return r().refused[i].reason;
+        for (int64_t i = 0; i < report().n_refused; i++)
+            if (report().refused[i].task == task)
+                return report().refused[i].reason;
         return 0;
     }
     int64_t how_ended(int64_t task) const
     {
-        for (int64_t i = 0; i < r().n_ended; i++)
-            if (r().ended[i].task == task)
-                return r().ended[i].how;
+        for (int64_t i = 0; i < report().n_ended; i++)
+            if (report().ended[i].task == task)
+                return report().ended[i].how;
         return 0;
     }
     bool lost(const std::string &incarnation) const
     {
-        for (int64_t i = 0; i < r().n_lost_incarnations; i++)
-            if (incarnation == r().lost_incarnations[i])
+        for (int64_t i = 0; i < report().n_lost_incarnations; i++)
+            if (incarnation == report().lost_incarnations[i])
                 return true;
         return false;
     }
-    int64_t times(const std::string &what) const
+    int64_t count_calls(const std::string &method) const
     {
-        return std::count_if(sent.begin(), sent.end(), [&](const std::string &s) { return s.rfind(what, 0) == 0; });
+        return std::count_if(sent.begin(), sent.end(), [&](const std::string &s) { return s.rfind(method, 0) == 0; });
     }
 };
 
--- a/tests/unit/agent_silence_test.cc
+++ b/tests/unit/agent_silence_test.cc
@@ -1,5 +1,5 @@
-// What one call without an answer costs: an executor that answers others is not silent, and while calls are lost
-// none is waited for long.
+// Calls without a response: an executor that responds to other calls is not silent, and while calls are lost the
+// timeouts are short.
 #include <algorithm>
 #include <string>
 
@@ -10,133 +10,133 @@
 namespace
 {
 
-bool begun(const Rig &rig, const std::string &run)
+bool started_once(const Rig &rig, const std::string &run)
 {
-    return std::count(rig.ex.starts.begin(), rig.ex.starts.end(), run) == 1;
+    return std::count(rig.executor.starts.begin(), rig.executor.starts.end(), run) == 1;
 }
-// Those of one task's starts meet a fate.
-void starts_of(Rig &rig, int64_t task, Fate fate)
+// Sets the fault of all starts of one task; other calls are executed.
+void set_start_fault_of(Rig &rig, int64_t task, CallFault fault)
 {
-    rig.fate = [task, fate](const Call &c) {
-        std::istringstream in(c.body);
-        int64_t epoch, expires, job, no = 0;
-        in >> epoch >> expires >> job >> no;
-        return c.what == "start" && no == task ? fate : CARRIED;
+    rig.fault = [task, fault](const Call &call) {
+        std::istringstream in(call.body);
+        int64_t epoch, expires, job, run_task = 0;
+        in >> epoch >> expires >> job >> run_task;
+        return call.method == "start" && run_task == task ? fault : EXECUTED;
     };
 }
-// Task 1 runs, so that a look waits for its end.
-void with_a_look_waiting(Rig &rig)
+// Starts task 1, so that a poll waits for its end.
+void start_waiting_poll(Rig &rig)
 {
     rig.settled();
     rig.start(1, 1);
     rig.run(500);
-    ASSERT_TRUE(begun(rig, "1.1"));
+    ASSERT_TRUE(started_once(rig, "1.1"));
 }
-// A call was not answered lately.
-void in_doubt(Rig &rig)
+// Lets a call time out, so that calls count as unreliable.
+void make_calls_unreliable(Rig &rig)
 {
-    with_a_look_waiting(rig);
-    starts_of(rig, 2, LOST);
+    start_waiting_poll(rig);
+    set_start_fault_of(rig, 2, LOST);
     rig.start(2, 1);
     rig.run(350);
-    rig.calls_get(CARRIED);
+    rig.set_fault(EXECUTED);
     rig.run(1000);
-    ASSERT_TRUE(begun(rig, "2.1"));
+    ASSERT_TRUE(started_once(rig, "2.1"));
 }
 
 } // namespace
 
-TEST(AgentSilence, an_executor_that_answered_since_is_not_silent)
+TEST(AgentSilence, an_executor_that_responded_since_is_not_silent)
 {
     Rig rig;
-    with_a_look_waiting(rig);
-    starts_of(rig, 2, LOST);
+    start_waiting_poll(rig);
+    set_start_fault_of(rig, 2, LOST);
     rig.start(2, 1);
     rig.run(100);
     rig.start(3, 1);
-    rig.run(220); // the first is given up, the look still waits
-    ASSERT_TRUE(begun(rig, "3.1"));
-    ASSERT_FALSE(begun(rig, "2.1"));
-    EXPECT_EQ(rig.r().executor.silent_ms, 0);
+    rig.run(220); // the start of task 2 has timed out, the poll still waits
+    ASSERT_TRUE(started_once(rig, "3.1"));
+    ASSERT_FALSE(started_once(rig, "2.1"));
+    EXPECT_EQ(rig.report().executor.silent_ms, 0);
     rig.start(4, 1);
     rig.run(10);
-    EXPECT_TRUE(begun(rig, "4.1")) << "what one call met is not held against the next";
+    EXPECT_TRUE(started_once(rig, "4.1")) << "a lost call must not delay the next one";
 }
 
-TEST(AgentSilence, an_executor_that_answered_nothing_since_is_silent)
+TEST(AgentSilence, an_executor_without_a_later_response_is_silent)
 {
     Rig rig;
-    with_a_look_waiting(rig);
-    starts_of(rig, 2, LOST);
+    start_waiting_poll(rig);
+    set_start_fault_of(rig, 2, LOST);
     rig.start(2, 1);
     rig.run(320);
-    starts_of(rig, 9, LOST);
+    set_start_fault_of(rig, 9, LOST);
     rig.start(4, 1);
     rig.run(10);
-    EXPECT_FALSE(begun(rig, "4.1"));
+    EXPECT_FALSE(started_once(rig, "4.1"));
 }
 
-TEST(AgentSilence, an_executor_that_fails_calls_is_taken_for_silent)
+TEST(AgentSilence, an_executor_with_invalid_responses_is_silent)
 {
     Rig rig;
-    with_a_look_waiting(rig);
-    starts_of(rig, 2, FAILED);
+    start_waiting_poll(rig);
+    set_start_fault_of(rig, 2, FAILED);
     int calls = 0;
-    rig.answer_delay = [&] { return calls++ ? 0 : 10; };
+    rig.response_delay = [&] { return calls++ ? 0 : 10; };
     rig.start(2, 1);
     rig.start(3, 1);
     rig.run(10);
-    ASSERT_TRUE(begun(rig, "3.1")); // and answered, before the failure comes
+    ASSERT_TRUE(started_once(rig, "3.1")); // its response arrives before the failed one
     rig.run(8);
-    starts_of(rig, 9, LOST);
+    set_start_fault_of(rig, 9, LOST);
     rig.start(4, 1);
     rig.run(10);
-    EXPECT_FALSE(begun(rig, "4.1"));
+    EXPECT_FALSE(started_once(rig, "4.1"));
 }
 
-TEST(AgentSilence, a_look_that_is_lost_in_doubt_hides_an_end_for_a_quarter_of_a_second)
+TEST(AgentSilence, while_calls_are_unreliable_a_lost_poll_hides_an_end_for_a_quarter_of_a_second)
 {
     Rig rig;
-    in_doubt(rig);
+    make_calls_unreliable(rig);
     int64_t lost_at = 0;
-    rig.fate = [&](const Call &c) {
-        if (c.what != "look" || lost_at)
-            return CARRIED;
+    rig.fault = [&](const Call &call) {
+        if (call.method != "poll" || lost_at)
+            return EXECUTED;
         lost_at = rig.now;
         return LOST;
     };
     while (!lost_at)
         rig.run(1);
     rig.run(10);
-    rig.ex.end({1, 1}, END_DONE);
+    rig.executor.end({1, 1}, END_DONE);
     rig.run(230);
     EXPECT_EQ(rig.how_ended(1), END_DONE);
 }
 
-TEST(AgentSilence, a_start_that_is_lost_in_doubt_is_sent_again_soon)
+TEST(AgentSilence, while_calls_are_unreliable_a_lost_start_is_sent_again_soon)
 {
     Rig rig;
-    in_doubt(rig);
-    starts_of(rig, 5, LOST);
-    int64_t before = rig.times("start");
+    make_calls_unreliable(rig);
+    set_start_fault_of(rig, 5, LOST);
+    int64_t before = rig.count_calls("start");
     rig.start(5, 1);
     rig.run(10);
-    rig.calls_get(CARRIED);
+    rig.set_fault(EXECUTED);
     rig.run(130);
-    EXPECT_EQ(rig.times("start"), before + 2);
-    EXPECT_TRUE(begun(rig, "5.1"));
+    EXPECT_EQ(rig.count_calls("start"), before + 2);
+    EXPECT_TRUE(started_once(rig, "5.1"));
 }
 
-TEST(AgentSilence, a_slow_executor_is_waited_for_longer_once_it_is_known)
+TEST(AgentSilence, timeouts_follow_a_slow_executor)
 {
     Rig rig;
-    in_doubt(rig);
-    rig.answer_delay = [] { return 150; };
-    rig.ex.stop_ms = 900;
+    make_calls_unreliable(rig);
+    rig.response_delay = [] { return 150; };
+    rig.executor.stop_ms = 900;
     rig.stop(1, 1);
     rig.run(1200);
-    ASSERT_EQ(rig.times("stop"), 2);
+    ASSERT_EQ(rig.count_calls("stop"), 2);
     rig.stop(2, 1);
     rig.run(1000);
-    EXPECT_EQ(rig.times("stop"), 3) << "it was given up too soon";
+    EXPECT_EQ(rig.count_calls("stop"), 3) << "the timeout was too short";
 }
--- a/tests/unit/agent_test.cc
+++ b/tests/unit/agent_test.cc
@@ -1,4 +1,4 @@
-// What an agent does with orders, and what it tells of them.
+// How an agent executes orders, and what it reports about them.
 #include <algorithm>
 #include <string>
 #include <vector>
@@ -7,7 +7,7 @@
 
 using namespace agent_rig;
 
-TEST(Agent, starts_what_it_is_ordered_once)
+TEST(Agent, an_ordered_run_is_started_once)
 {
     Rig rig;
     rig.ready();
@@ -16,15 +16,15 @@
     rig.start(1, 1);
     rig.run(400);
     EXPECT_TRUE(rig.is_active(1, 1));
-    EXPECT_EQ(rig.times("start"), 1);
-    EXPECT_EQ(rig.ex.starts, std::vector<std::string>{"1.1"});
+    EXPECT_EQ(rig.count_calls("start"), 1);
+    EXPECT_EQ(rig.executor.starts, std::vector<std::string>{"1.1"});
 }
 
-TEST(Agent, fence_goes_first_under_each_epoch)
+TEST(Agent, the_first_call_of_an_epoch_raises_the_fencing_epoch)
 {
     Rig rig;
     rig.ready();
-    EXPECT_EQ(rig.sent[0].rfind("look 3 ", 0), 0u);
+    EXPECT_EQ(rig.sent[0].rfind("poll 3 ", 0), 0u);
     rig.start(1, 1);
     rig.run(50);
     size_t before = rig.sent.size();
@@ -33,24 +33,24 @@
     rig.run(1);
     rig.run(60);
     ASSERT_GT(rig.sent.size(), before + 1);
-    EXPECT_EQ(rig.sent[before].rfind("look 4 ", 0), 0u) << "a poll of the former epoch must not hold it up";
+    EXPECT_EQ(rig.sent[before].rfind("poll 4 ", 0), 0u) << "a poll of the former epoch must not delay it";
     EXPECT_EQ(rig.sent[before + 1].rfind("start 4 ", 0), 0u);
-    EXPECT_TRUE(rig.r().ready);
-    EXPECT_EQ(rig.r().epoch, 4);
+    EXPECT_TRUE(rig.report().ready);
+    EXPECT_EQ(rig.report().epoch, 4);
 }
 
-TEST(Agent, orders_under_a_former_epoch_are_not_carried_on)
+TEST(Agent, unsettled_orders_of_a_former_epoch_are_dropped)
 {
     Rig rig;
     rig.settled();
-    rig.starts_get(LOST);
+    rig.set_start_fault(LOST);
     rig.start(1, 1);
     rig.run(100);
-    rig.calls_get(CARRIED);
+    rig.set_fault(EXECUTED);
     rig.epoch = 4;
     rig.orders();
     rig.run(3000);
-    EXPECT_TRUE(rig.ex.starts.empty());
+    EXPECT_TRUE(rig.executor.starts.empty());
     EXPECT_FALSE(rig.is_pending(1));
 }
 
@@ -62,208 +62,208 @@
     rig.grant = false;
     rig.start(1, 1);
     rig.run(500);
-    EXPECT_EQ(rig.times("start"), 0);
-    EXPECT_EQ(rig.r().epoch, 3);
+    EXPECT_EQ(rig.count_calls("start"), 0);
+    EXPECT_EQ(rig.report().epoch, 3);
 }
 
-TEST(Agent, does_nothing_more_once_a_higher_fence_stands)
+TEST(Agent, calls_stop_once_the_executor_knows_a_higher_epoch)
 {
     Rig rig;
     rig.ready();
-    rig.ex.fence = 9;
+    rig.executor.fence_epoch = 9;
     rig.start(1, 1);
     rig.run(300);
     size_t before = rig.sent.size();
     rig.start(2, 1);
     rig.run(3000);
     EXPECT_EQ(rig.sent.size(), before);
-    EXPECT_FALSE(rig.r().ready);
-    EXPECT_TRUE(rig.ex.starts.empty());
+    EXPECT_FALSE(rig.report().ready);
+    EXPECT_TRUE(rig.executor.starts.empty());
     rig.epoch = 10;
     rig.orders();
     rig.run(100);
-    EXPECT_TRUE(rig.r().ready);
+    EXPECT_TRUE(rig.report().ready);
 }
 
-TEST(Agent, start_carried_out_late_is_one_run)
+TEST(Agent, a_start_that_is_executed_late_is_one_run)
 {
     Rig rig;
     rig.settled();
     int tries = 0;
-    rig.fate = [&](const Call &c) { return c.what == "start" && !tries++ ? LATE : CARRIED; };
+    rig.fault = [&](const Call &call) { return call.method == "start" && !tries++ ? LATE : EXECUTED; };
     rig.start(1, 1);
     rig.run(300);
     EXPECT_TRUE(rig.is_pending(1));
     rig.run(2000);
     EXPECT_TRUE(rig.is_active(1, 1));
     EXPECT_FALSE(rig.is_pending(1));
-    EXPECT_EQ(rig.ex.starts.size(), 1u);
+    EXPECT_EQ(rig.executor.starts.size(), 1u);
 }
 
-// The first call may still be carried out, so a refusal of the second proves nothing.
-TEST(Agent, refusal_after_an_unanswered_start_is_settled_by_a_stop)
+// The first call may still be executed, so a refusal of the second proves nothing.
+TEST(Agent, a_refusal_after_a_start_without_response_is_settled_by_a_stop)
 {
     Rig rig;
     rig.settled();
     rig.late_ms = 4000;
-    rig.ex.room = 0;
+    rig.executor.capacity = 0;
     int tries = 0;
-    rig.fate = [&](const Call &c) { return c.what == "start" && !tries++ ? LATE : CARRIED; };
+    rig.fault = [&](const Call &call) { return call.method == "start" && !tries++ ? LATE : EXECUTED; };
     rig.after = [&] { EXPECT_EQ(rig.refusal(1), 0); };
     rig.start(1, 1);
     rig.run(2500);
     EXPECT_EQ(rig.how_ended(1), END_ABSENT);
-    rig.ex.room = 10;
+    rig.executor.capacity = 10;
     rig.run(4000);
-    EXPECT_TRUE(rig.ex.starts.empty());
+    EXPECT_TRUE(rig.executor.starts.empty());
 }
 
-TEST(Agent, plain_refusals_are_told_until_seen_and_never_tried_again)
+TEST(Agent, refusals_are_reported_until_acknowledged_and_never_retried)
 {
     Rig rig;
     rig.settled();
-    rig.ex.room = 0;
+    rig.executor.capacity = 0;
     rig.start(1, 1);
     rig.run(700);
     EXPECT_EQ(rig.refusal(1), REFUSED_ROOM);
     rig.ends_seen(1, 1);
     rig.run(700);
     EXPECT_EQ(rig.refusal(1), 0);
-    rig.ex.room = 10;
-    rig.start(1, 1); // an order that was long on its way
+    rig.executor.capacity = 10;
+    rig.start(1, 1); // an order that arrives late
     rig.run(700);
-    EXPECT_TRUE(rig.ex.starts.empty());
+    EXPECT_TRUE(rig.executor.starts.empty());
     rig.start(1, 2);
     rig.run(700);
-    EXPECT_EQ(rig.ex.starts, std::vector<std::string>{"1.2"});
+    EXPECT_EQ(rig.executor.starts, std::vector<std::string>{"1.2"});
 }
 
-TEST(Agent, sick_executor_is_asked_again_and_then_refused)
+TEST(Agent, an_unavailable_executor_is_retried_and_then_reported)
 {
     Rig rig;
     rig.settled();
-    rig.ex.sick = 2;
+    rig.executor.unavailable_starts = 2;
     rig.start(1, 1);
     rig.run(1200);
     EXPECT_TRUE(rig.is_active(1, 1));
-    rig.ex.sick = 100;
+    rig.executor.unavailable_starts = 100;
     rig.start(2, 1);
     rig.run(2500);
     EXPECT_EQ(rig.refusal(2), REFUSED_SICK);
 }
 
-TEST(Agent, end_is_told_until_committed_and_seen_never_before)
+TEST(Agent, an_end_is_reported_until_committed_and_only_then_acknowledged)
 {
     Rig rig;
     rig.ready();
     rig.start(1, 1);
     rig.run(500);
-    rig.ex.end({1, 1}, END_DONE);
+    rig.executor.end({1, 1}, END_DONE);
     int64_t ended_at = rig.now;
     rig.run(30);
-    EXPECT_EQ(rig.how_ended(1), END_DONE) << "told at once";
+    EXPECT_EQ(rig.how_ended(1), END_DONE) << "reported at once";
     EXPECT_LE(rig.reports_at.back() - ended_at, 30);
     rig.run(7000);
     EXPECT_EQ(rig.how_ended(1), END_DONE);
-    EXPECT_EQ(rig.ex.last_seen, 0);
+    EXPECT_EQ(rig.executor.last_seen, 0);
     rig.seen = 1;
     rig.orders();
     rig.run(700);
     EXPECT_EQ(rig.how_ended(1), 0);
-    EXPECT_EQ(rig.ex.last_seen, 1);
+    EXPECT_EQ(rig.executor.last_seen, 1);
     rig.seen = 0;
     rig.orders();
-    rig.run(6000); // the executor itself checks that seen never falls
+    rig.run(6000); // the simulated executor checks that seen never falls
 }
 
-TEST(Agent, draining_executor_is_told_to_start_nothing)
+TEST(Agent, a_draining_executor_gets_no_starts)
 {
     Rig rig;
     rig.settled();
-    rig.beat("A", 100, 1);
+    rig.heartbeat("A", 100, 1);
     EXPECT_EQ(rig.last_status, 200);
-    rig.beat("A", 99, 0); // an older one that came late
+    rig.heartbeat("A", 99, 0); // an older heartbeat that arrives late
     rig.start(1, 1);
     rig.run(1000);
-    EXPECT_EQ(rig.times("start"), 0);
+    EXPECT_EQ(rig.count_calls("start"), 0);
     EXPECT_EQ(rig.refusal(1), REFUSED_ROOM);
-    EXPECT_TRUE(rig.r().executor.draining);
+    EXPECT_TRUE(rig.report().executor.draining);
 }
 
-TEST(Agent, start_in_doubt_when_draining_begins_is_settled_by_a_stop)
+TEST(Agent, an_uncertain_start_is_settled_by_a_stop_when_draining_begins)
 {
     Rig rig;
     rig.settled();
     rig.late_ms = 3000;
-    rig.starts_get(LATE);
+    rig.set_start_fault(LATE);
     rig.start(1, 1);
     rig.run(200);
-    rig.beat("A", 100, 1);
+    rig.heartbeat("A", 100, 1);
     rig.run(2500);
     EXPECT_EQ(rig.how_ended(1), END_ABSENT);
-    EXPECT_EQ(rig.times("start"), 1);
+    EXPECT_EQ(rig.count_calls("start"), 1);
     rig.run(3000);
-    EXPECT_TRUE(rig.ex.starts.empty());
+    EXPECT_TRUE(rig.executor.starts.empty());
 }
 
-TEST(Agent, stop_of_what_never_came_is_told_as_absent)
+TEST(Agent, a_stop_of_a_run_that_never_started_is_reported_as_absent)
 {
     Rig rig;
     rig.settled();
     rig.late_ms = 2500;
-    rig.starts_get(LATE);
+    rig.set_start_fault(LATE);
     rig.start(1, 1);
     rig.run(300);
     rig.stop(1, 1);
     rig.run(300);
     EXPECT_EQ(rig.how_ended(1), END_ABSENT);
     rig.run(4000);
-    EXPECT_TRUE(rig.ex.starts.empty()) << "the late start was turned away";
+    EXPECT_TRUE(rig.executor.starts.empty()) << "the late start was refused";
     EXPECT_EQ(rig.how_ended(1), END_ABSENT);
     rig.ends_seen(1, 1);
     rig.run(400);
     EXPECT_EQ(rig.how_ended(1), 0);
 }
 
-TEST(Agent, stop_of_what_runs_ends_it_there)
+TEST(Agent, a_stop_ends_an_active_run)
 {
     Rig rig;
     rig.ready();
     rig.start(1, 1);
     rig.run(300);
     int tries = 0;
-    rig.fate = [&](const Call &c) { return c.what == "stop" && !tries++ ? LOST : CARRIED; };
+    rig.fault = [&](const Call &call) { return call.method == "stop" && !tries++ ? LOST : EXECUTED; };
     rig.stop(1, 1);
     rig.run(1500);
     EXPECT_EQ(rig.how_ended(1), END_STOPPED);
-    EXPECT_EQ(rig.times("stop"), 2);
+    EXPECT_EQ(rig.count_calls("stop"), 2);
     rig.stop(1, 1);
     rig.run(300);
-    EXPECT_EQ(rig.times("stop"), 2) << "it has ended";
+    EXPECT_EQ(rig.count_calls("stop"), 2) << "it has ended";
 }
 
-// It is carried out late and ends at once, and the second call is turned away as old
-// before any look shows the end.
-TEST(Agent, run_that_ended_before_its_start_was_answered_is_told_as_ended)
+// The first call is executed late and the run ends at once. The second call is refused as outdated before any poll
+// shows the end.
+TEST(Agent, a_run_that_ended_before_the_response_to_its_start_is_reported_as_ended)
 {
     Rig rig;
     rig.settled();
     int tries = 0, polls = 0;
-    rig.fate = [&](const Call &c) {
-        if (c.what == "look")
-            return tries && polls++ ? LOST : CARRIED;
+    rig.fault = [&](const Call &call) {
+        if (call.method == "poll")
+            return tries && polls++ ? LOST : EXECUTED;
         if (!tries++)
             return LOST;
         if (tries == 2) {
-            rig.ex.active[{1, 1}] = 1;
-            rig.ex.end({1, 1}, END_DONE);
+            rig.executor.active[{1, 1}] = 1;
+            rig.executor.end({1, 1}, END_DONE);
         }
-        return CARRIED;
+        return EXECUTED;
     };
     rig.after = [&] {
         EXPECT_EQ(rig.refusal(1), 0);
         if (tries == 2)
-            polls = 0; // they are answered again
+            polls = 0; // polls get responses again
     };
     rig.start(1, 1);
     rig.run(3500);
@@ -275,68 +275,68 @@
 {
     Rig rig;
     rig.settled();
-    int64_t before = rig.ex.polls;
+    int64_t before = rig.executor.polls;
     rig.run(20000);
-    EXPECT_LE(rig.ex.polls - before, 5) << "nothing runs";
+    EXPECT_LE(rig.executor.polls - before, 5) << "nothing runs";
     rig.start(1, 1);
     rig.run(1000);
-    before = rig.ex.polls;
+    before = rig.executor.polls;
     rig.run(10000);
-    EXPECT_LE(rig.ex.polls - before, 11) << "one long poll a second";
+    EXPECT_LE(rig.executor.polls - before, 11) << "one long poll per second";
     EXPECT_TRUE(rig.is_active(1, 1));
 }
 
-// How long after a run's end the leader hears of it where the poll meant to show it is lost, when so many runs have
-// ended before, one each gap_ms.
-static int64_t told_after_lost_poll_ms(int64_t runs, int64_t gap_ms)
+// Time in ms from the end of a run to its report, when the poll that would show it is lost and that many runs ended
+// before, one every gap_ms.
+static int64_t report_delay_after_lost_poll_ms(int64_t runs, int64_t gap_ms)
 {
     Rig rig;
     rig.settled();
     for (int64_t task = 1; task <= runs; task++) {
         rig.start(task, 1);
         rig.run(gap_ms);
-        rig.ex.end({1, task}, END_DONE);
+        rig.executor.end({1, task}, END_DONE);
         rig.run(100);
         EXPECT_EQ(rig.how_ended(task), END_DONE);
-        rig.seen = rig.ex.seq;
+        rig.seen = rig.executor.seq;
     }
     int64_t last = runs + 1, lost = 0, ms = 0;
-    rig.fate = [&](const Call &c) { return c.what == "look" && !lost++ ? LOST : CARRIED; };
+    rig.fault = [&](const Call &call) { return call.method == "poll" && !lost++ ? LOST : EXECUTED; };
     rig.start(last, 1);
     rig.run(400);
     EXPECT_GT(lost, 0);
-    rig.ex.end({1, last}, END_DONE);
+    rig.executor.end({1, last}, END_DONE);
     for (; rig.how_ended(last) != END_DONE && ms < 5000; ms += 10)
         rig.run(10);
     return ms;
 }
 
-TEST(Agent, a_lost_poll_is_missed_soon_where_runs_end_often) { EXPECT_LE(told_after_lost_poll_ms(12, 100), 500); }
+TEST(Agent, a_lost_poll_is_noticed_soon_if_runs_end_often) { EXPECT_LE(report_delay_after_lost_poll_ms(12, 100), 500); }
 
-TEST(Agent, calls_at_once_are_bounded)
+TEST(Agent, concurrent_calls_are_limited)
 {
     Rig rig;
     rig.ready();
-    size_t most = 0;
+    size_t max_starts = 0;
     rig.after = [&] {
         size_t starts = 0;
-        for (const Call &c : rig.under)
-            starts += c.done && c.what == "start";
-        most = std::max(most, starts);
+        for (const Call &call : rig.in_flight)
+            starts += call.done && call.method == "start";
+        max_starts = std::max(max_starts, starts);
     };
     std::vector<struct run_start> starts;
     for (int64_t i = 0; i < 40; i++)
         starts.push_back({1, i, 1, (char *)"text", nullptr});
-    rig.orders([&](struct agent_orders &o) { o.starts = starts.data(), o.n_starts = 40; });
+    rig.orders([&](struct agent_orders &message) { message.starts = starts.data(), message.n_starts = 40; });
     rig.run(1000);
-    EXPECT_EQ(rig.ex.starts.size(), 40u);
-    EXPECT_LE(most, 3u);
-    EXPECT_EQ(rig.r().n_active, 40);
+    EXPECT_EQ(rig.executor.starts.size(), 40u);
+    EXPECT_LE(max_starts, 3u);
+    EXPECT_EQ(rig.report().n_active, 40);
 }
 
-TEST(Agent, answers_other_requests_as_unknown)
+TEST(Agent, other_requests_get_not_found)
 {
     Rig rig;
-    rig.beat("A", 1, 0, BEAT_ALIVE, "other");
+    rig.heartbeat("A", 1, 0, BEAT_ALIVE, "other");
     EXPECT_EQ(rig.last_status, 404);
 }
--- a/tests/unit/executor_response_test.cc
+++ b/tests/unit/executor_response_test.cc
@@ -1,4 +1,4 @@
-// Responses of executors: only what the kind has can be read.
+// Decoded responses and calls in flight: a member can be read only if the kind has it.
 #include <gtest/gtest.h>
 
 extern "C" {
