--- a/src/proc/disk.c
+++ b/src/proc/disk.c
@@ -1,4 +1,4 @@
-/* The disk: one flat folder; append, truncate, atomic rename, and syncs of files and folder. */
+/* The disk: files in one flat directory, with append, truncate, atomic rename, and syncs of files and directory. */
 #include <dirent.h>
 #include <errno.h>
 #include <fcntl.h>
@@ -10,7 +10,7 @@
 #include "base/error.h"
 #include "proc/real.h"
 
-static struct real *real_of(struct world *w) { return (struct real *)w; }
+static struct real *real_of(struct world *world) { return (struct real *)world; }
 
 static const char *path_of(struct real *real, const char *name)
 {
@@ -21,7 +21,7 @@
     return path;
 }
 
-static void forget(struct real *real, const char *name)
+static void close_file(struct real *real, const char *name)
 {
     for (int i = 0; i < COUNT_OF(real->files); i++)
         if (!strcmp(real->files[i].name, name)) {
@@ -46,9 +46,9 @@
     return fd;
 }
 
-static enum sagehitch_error disk_list(struct world *w, void (*each)(void *arg, const char *name), void *arg)
+static enum sagehitch_error disk_list(struct world *world, void (*each)(void *arg, const char *name), void *arg)
 {
-    DIR *dir = opendir(real_of(w)->folder);
+    DIR *dir = opendir(real_of(world)->folder);
     struct dirent *entry;
     if (!dir)
         return ERROR_DISK;
@@ -59,10 +59,10 @@
     return ERROR_NONE;
 }
 
-static enum sagehitch_error disk_read(struct world *w, const char *name, struct bytes *to)
+static enum sagehitch_error disk_read(struct world *world, const char *name, struct bytes *to)
 {
     char chunk[65536];
-    int fd = open(path_of(real_of(w), name), O_RDONLY | O_CLOEXEC);
+    int fd = open(path_of(real_of(world), name), O_RDONLY | O_CLOEXEC);
     if (fd < 0)
         return errno == ENOENT ? ERROR_NO_SUCH : ERROR_DISK;
     ssize_t n;
@@ -72,9 +72,9 @@
     return n < 0 ? ERROR_DISK : ERROR_NONE;
 }
 
-static enum sagehitch_error disk_add(struct world *w, const char *name, const void *at, int64_t len)
+static enum sagehitch_error disk_add(struct world *world, const char *name, const void *at, int64_t len)
 {
-    int fd = open_for_add(real_of(w), name);
+    int fd = open_for_add(real_of(world), name);
     const char *from = at;
     if (fd < 0)
         return ERROR_DISK;
@@ -90,40 +90,40 @@
     return ERROR_NONE;
 }
 
-static enum sagehitch_error disk_cut(struct world *w, const char *name, int64_t len)
+static enum sagehitch_error disk_cut(struct world *world, const char *name, int64_t len)
 {
-    return truncate(path_of(real_of(w), name), len) ? ERROR_DISK : ERROR_NONE;
+    return truncate(path_of(real_of(world), name), len) ? ERROR_DISK : ERROR_NONE;
 }
 
-static enum sagehitch_error disk_sync(struct world *w, const char *name)
+static enum sagehitch_error disk_sync(struct world *world, const char *name)
 {
-    int fd = open_for_add(real_of(w), name);
+    int fd = open_for_add(real_of(world), name);
     return fd < 0 || fdatasync(fd) ? ERROR_DISK : ERROR_NONE;
 }
 
-static enum sagehitch_error disk_sync_names(struct world *w)
+static enum sagehitch_error disk_sync_names(struct world *world)
 {
-    int fd = open(real_of(w)->folder, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+    int fd = open(real_of(world)->folder, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
     int rc = fd < 0 || fsync(fd) ? ERROR_DISK : ERROR_NONE;
     if (fd >= 0)
         close(fd);
     return rc;
 }
 
-static enum sagehitch_error disk_rename(struct world *w, const char *from, const char *to)
+static enum sagehitch_error disk_rename(struct world *world, const char *from, const char *to)
 {
-    forget(real_of(w), from);
-    forget(real_of(w), to);
-    return rename(path_of(real_of(w), from), path_of(real_of(w), to)) ? ERROR_DISK : ERROR_NONE;
+    close_file(real_of(world), from);
+    close_file(real_of(world), to);
+    return rename(path_of(real_of(world), from), path_of(real_of(world), to)) ? ERROR_DISK : ERROR_NONE;
 }
 
-static enum sagehitch_error disk_remove(struct world *w, const char *name)
+static enum sagehitch_error disk_remove(struct world *world, const char *name)
 {
-    forget(real_of(w), name);
-    return unlink(path_of(real_of(w), name)) && errno != ENOENT ? ERROR_DISK : ERROR_NONE;
+    close_file(real_of(world), name);
+    return unlink(path_of(real_of(world), name)) && errno != ENOENT ? ERROR_DISK : ERROR_NONE;
 }
 
-enum sagehitch_error folder_start(struct real *real, const char *folder)
+enum sagehitch_error disk_start(struct real *real, const char *folder)
 {
     struct stat st;
     real->folder = must_dup(folder);
@@ -132,7 +132,7 @@
     return stat(folder, &st) || !S_ISDIR(st.st_mode) ? ERROR_DISK : ERROR_NONE;
 }
 
-void folder_end(struct real *real)
+void disk_end(struct real *real)
 {
     for (int i = 0; i < COUNT_OF(real->files); i++)
         if (*real->files[i].name)
@@ -140,4 +140,4 @@
     free(real->folder);
 }
 
-void folder_calls(struct world_calls *calls) { WORLD_TAKE_DISK(calls); }
+void disk_set_calls(struct world_calls *calls) { WORLD_TAKE_DISK(calls); }
--- a/src/proc/http_in.c
+++ b/src/proc/http_in.c
@@ -1,5 +1,5 @@
-/* HTTP server: libmicrohttpd driven by the libev loop through its epoll descriptor. A request that must wait is
- * suspended, and resumed when its answer comes. */
+/* HTTP server: libmicrohttpd, driven by the libev loop through its epoll descriptor. A request without an immediate
+ * response is suspended, and resumed when the response is given. */
 #include <arpa/inet.h>
 #include <netinet/tcp.h>
 #include <stdio.h>
@@ -15,37 +15,37 @@
 
 enum {
     BODY_MAX = 8 << 20,
-    BODY_MS = 60000, /* from a request's head to the end of its body */
-    CONNECTION_BYTES = 32 << 10,
-    CONNECTIONS = 3000,
-    IDLE_S = 60,
+    BODY_TIMEOUT_MS = 60000, /* from the head of a request to the end of its body */
+    CONNECTION_MEMORY_BYTES = 32 << 10,
+    CONNECTIONS_MAX = 3000,
+    IDLE_TIMEOUT_S = 60,
     BACKLOG = 1024
 };
 
-/* A request. begun_ms: when its head was there. Invariant: slot is its cell in real->requests from when the whole body
- * was received until the connection is done with it. */
+/* A request. head_ms: when its head was received. Invariant: slot is its cell in real->requests from when the whole
+ * body was received until the connection has completed the request. */
 struct request {
     struct real *real;
     struct MHD_Connection *connection;
-    char *path, *answer;
+    char *path, *response_body;
     struct bytes body;
-    int64_t slot, retry_ms, begun_ms;
-    int status, too_large, asked, suspended;
+    int64_t slot, retry_ms, head_ms;
+    int status, too_large, dispatched, suspended;
 };
 
 struct request_cell {
     struct request *request;
 };
 
-void api_flush(struct real *real)
+void http_server_flush(struct real *real)
 {
-    if (real->answers_due)
-        api_poke(real);
+    if (real->responses_pending)
+        http_server_run(real);
 }
 
-void api_poke(struct real *real)
+void http_server_run(struct real *real)
 {
-    real->answers_due = 0;
+    real->responses_pending = 0;
     MHD_run(real->daemon);
     MHD_UNSIGNED_LONG_LONG wait_ms;
     ev_timer_stop(real->loop, &real->daemon_timer);
@@ -58,19 +58,19 @@
 static void daemon_event(struct ev_loop *loop, ev_io *io, int events)
 {
     (void)loop, (void)events;
-    api_poke(io->data);
+    http_server_run(io->data);
 }
 
 static void daemon_timer(struct ev_loop *loop, ev_timer *timer, int events)
 {
     (void)loop, (void)events;
-    api_poke(timer->data);
+    http_server_run(timer->data);
 }
 
-static enum MHD_Result queue_answer(struct request *request)
+static enum MHD_Result queue_response(struct request *request)
 {
     struct MHD_Response *response =
-        MHD_create_response_from_buffer(strlen(request->answer), request->answer, MHD_RESPMEM_MUST_COPY);
+        MHD_create_response_from_buffer(strlen(request->response_body), request->response_body, MHD_RESPMEM_MUST_COPY);
     MHD_add_response_header(response, "Content-Type", "application/json");
     if (request->retry_ms) {
         char seconds[24];
@@ -84,29 +84,29 @@
     return result;
 }
 
-void api_reply(struct world *w, int64_t slot, int status, int64_t retry_ms, const char *body)
+void http_server_respond(struct world *world, int64_t slot, int status, int64_t retry_ms, const char *body)
 {
-    struct real *real = (struct real *)w;
+    struct real *real = (struct real *)world;
     struct request_cell *cell = slab_at(&real->requests, slot);
-    if (!cell || cell->request->answer)
+    if (!cell || cell->request->response_body)
         return;
     struct request *request = cell->request;
     request->status = status;
     request->retry_ms = retry_ms;
-    request->answer = must_dup(body ? body : "");
+    request->response_body = must_dup(body ? body : "");
     if (request->suspended) {
         request->suspended = 0;
         MHD_resume_connection(request->connection);
-        real->answers_due = 1;
+        real->responses_pending = 1;
         ev_timer_stop(real->loop, &real->daemon_timer);
         ev_timer_set(&real->daemon_timer, 0., 0.);
         ev_timer_start(real->loop, &real->daemon_timer);
     }
 }
 
-static const char *header_of(const struct http_request *web, const char *name)
+static const char *header_of(const struct http_request *http_request, const char *name)
 {
-    return MHD_lookup_connection_value(web->arg, MHD_HEADER_KIND, name);
+    return MHD_lookup_connection_value(http_request->arg, MHD_HEADER_KIND, name);
 }
 
 static void request_dispatch(struct request *request, const char *method)
@@ -114,28 +114,29 @@
     struct real *real = request->real;
     const char *body = request->body.len ? (char *)request->body.at : "";
     if (!real->role.web) {
-        real->role.request(real->role.arg, request->slot, method, request->path, body, request->body.len);
+        real->role.on_plain_request(real->role.arg, request->slot, method, request->path, body, request->body.len);
         return;
     }
     const union MHD_ConnectionInfo *info =
         MHD_get_connection_info(request->connection, MHD_CONNECTION_INFO_SOCKET_CONTEXT);
-    const struct web_listener *at = info->socket_context;
-    struct http_request web = {.entry = at->entry,
-                               .method = method,
-                               .path = request->path,
-                               .body = body,
-                               .len = request->body.len,
-                               .header = header_of,
-                               .arg = request->connection};
-    real->role.web(real->role.arg, request->slot, &web);
+    const struct http_listener *listener = info->socket_context;
+    struct http_request http_request = {.entry = listener->entry,
+                                        .method = method,
+                                        .path = request->path,
+                                        .body = body,
+                                        .len = request->body.len,
+                                        .header = header_of,
+                                        .arg = request->connection};
+    real->role.web(real->role.arg, request->slot, &http_request);
 }
 
-/* Takes a part of a body. MHD_NO ends the connection. */
+/* Appends a part of the body. MHD_NO closes the connection. */
 static enum MHD_Result body_add(struct request *request, const char *data, size_t size)
 {
-    struct world *w = &request->real->base;
-    if (world_ms(w) - request->begun_ms > BODY_MS) {
-        world_note(w, EV_REQUEST_DROPPED, "slow path=%.100s bytes=%lld", request->path, (long long)request->body.len);
+    struct world *world = &request->real->base;
+    if (world_ms(world) - request->head_ms > BODY_TIMEOUT_MS) {
+        world_note(world, EV_REQUEST_DROPPED, "slow path=%.100s bytes=%lld", request->path,
+                   (long long)request->body.len);
         return MHD_NO;
     }
     if (request->body.len + (int64_t)size <= BODY_MAX) {
@@ -143,7 +144,7 @@
         return MHD_YES;
     }
     if (!request->too_large)
-        world_note(w, EV_REQUEST_DROPPED, "large path=%.100s most=%d", request->path, BODY_MAX);
+        world_note(world, EV_REQUEST_DROPPED, "large path=%.100s most=%d", request->path, BODY_MAX);
     request->too_large = 1;
     return MHD_YES;
 }
@@ -158,7 +159,7 @@
         return MHD_NO;
     if (!request->connection) {
         request->connection = connection;
-        request->begun_ms = world_ms(&real->base);
+        request->head_ms = world_ms(&real->base);
         return MHD_YES;
     }
     if (*size) {
@@ -166,11 +167,11 @@
         *size = 0;
         return result;
     }
-    if (request->answer)
-        return queue_answer(request);
-    if (request->asked)
+    if (request->response_body)
+        return queue_response(request);
+    if (request->dispatched)
         return MHD_YES;
-    request->asked = 1;
+    request->dispatched = 1;
     request->slot = slab_take(&real->requests, sizeof(struct request_cell));
     ((struct request_cell *)slab_at(&real->requests, request->slot))->request = request;
     if (real->closing)
@@ -179,8 +180,8 @@
         world_answer(&real->base, request->slot, ERROR_TOO_LARGE, "the body is over %d bytes", BODY_MAX);
     else
         request_dispatch(request, method);
-    if (request->answer)
-        return queue_answer(request);
+    if (request->response_body)
+        return queue_response(request);
     request->suspended = 1;
     MHD_suspend_connection(connection);
     return MHD_YES;
@@ -204,7 +205,7 @@
         return;
     slab_free(&request->real->requests, request->slot);
     free(request->path);
-    free(request->answer);
+    free(request->response_body);
     bytes_free(&request->body);
     free(request);
     *cls = NULL;
@@ -226,22 +227,22 @@
 
 static struct sockaddr_in address(uint64_t addr)
 {
-    struct sockaddr_in at = {.sin_family = AF_INET, .sin_port = htons((uint16_t)(addr & 0xffff))};
-    at.sin_addr.s_addr = htonl((uint32_t)(addr >> 16));
-    return at;
+    struct sockaddr_in socket_addr = {.sin_family = AF_INET, .sin_port = htons((uint16_t)(addr & 0xffff))};
+    socket_addr.sin_addr.s_addr = htonl((uint32_t)(addr >> 16));
+    return socket_addr;
 }
 
-int api_start(struct real *real)
+int http_server_start(struct real *real)
 {
-    struct sockaddr_in at = address(real->base.http_addr);
+    struct sockaddr_in socket_addr = address(real->base.http_addr);
     real->daemon = MHD_start_daemon(MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, handle, real,
-                                    MHD_OPTION_SOCK_ADDR, &at, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u,
+                                    MHD_OPTION_SOCK_ADDR, &socket_addr, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u,
                                     MHD_OPTION_URI_LOG_CALLBACK, request_begin, real, MHD_OPTION_NOTIFY_COMPLETED,
                                     request_completed, real, MHD_OPTION_CONNECTION_TIMEOUT, 60u, MHD_OPTION_END);
     return watch_daemon(real);
 }
 
-/* --- one server behind several listeners ---------------------------------------- */
+/* --- one server with several listeners ------------------------------------------ */
 
 static void connection_event(void *arg, struct MHD_Connection *connection, void **context,
                              enum MHD_ConnectionNotificationCode code)
@@ -254,41 +255,41 @@
 
 static void listener_event(struct ev_loop *loop, ev_io *io, int events)
 {
-    struct web_listener *at = io->data;
-    struct real *real = at->real;
+    struct http_listener *listener = io->data;
+    struct real *real = listener->real;
     struct sockaddr_in from;
     socklen_t len = sizeof from;
-    int fd, on = 1, taken = 0;
+    int fd, on = 1, accepted = 0;
     (void)loop, (void)events;
-    while ((fd = accept4(at->fd, (struct sockaddr *)&from, &len, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0) {
+    while ((fd = accept4(listener->fd, (struct sockaddr *)&from, &len, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0) {
         setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-        real->entry = at - real->listeners;
-        MHD_add_connection(real->daemon, fd, (struct sockaddr *)&from, len); /* closes fd where it fails */
+        real->entry = listener - real->listeners;
+        MHD_add_connection(real->daemon, fd, (struct sockaddr *)&from, len); /* closes fd if it fails */
         len = sizeof from;
-        taken = 1;
+        accepted = 1;
     }
-    if (taken)
-        api_poke(real);
+    if (accepted)
+        http_server_run(real);
 }
 
 static enum sagehitch_error listen_at(struct real *real, int64_t entry, uint64_t addr)
 {
-    struct web_listener *at = &real->listeners[real->n_listeners];
-    struct sockaddr_in in = address(addr);
+    struct http_listener *listener = &real->listeners[real->n_listeners];
+    struct sockaddr_in socket_addr = address(addr);
     int on = 1;
-    *at = (struct web_listener){.real = real, .entry = entry};
-    at->fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    if (at->fd < 0)
+    *listener = (struct http_listener){.real = real, .entry = entry};
+    listener->fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+    if (listener->fd < 0)
         return ERROR_BAD_SETTING;
     real->n_listeners++;
-    setsockopt(at->fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-    if (bind(at->fd, (struct sockaddr *)&in, sizeof in) || listen(at->fd, BACKLOG)) {
+    setsockopt(listener->fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+    if (bind(listener->fd, (struct sockaddr *)&socket_addr, sizeof socket_addr) || listen(listener->fd, BACKLOG)) {
         fprintf(stderr, "sagehitch: cannot listen on %s\n", addr_text(addr));
         return ERROR_BAD_SETTING;
     }
-    ev_io_init(&at->io, listener_event, at->fd, EV_READ);
-    at->io.data = at;
-    ev_io_start(real->loop, &at->io);
+    ev_io_init(&listener->io, listener_event, listener->fd, EV_READ);
+    listener->io.data = listener;
+    ev_io_start(real->loop, &listener->io);
     return ERROR_NONE;
 }
 
@@ -299,8 +300,8 @@
         MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME | MHD_USE_NO_LISTEN_SOCKET | MHD_USE_SUPPRESS_DATE_NO_CLOCK, 0, NULL,
         NULL, handle, real, MHD_OPTION_URI_LOG_CALLBACK, request_begin, real, MHD_OPTION_NOTIFY_COMPLETED,
         request_completed, real, MHD_OPTION_NOTIFY_CONNECTION, connection_event, real,
-        MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_BYTES, MHD_OPTION_CONNECTION_LIMIT,
-        (unsigned)CONNECTIONS, MHD_OPTION_CONNECTION_TIMEOUT, (unsigned)IDLE_S, MHD_OPTION_END);
+        MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_MEMORY_BYTES, MHD_OPTION_CONNECTION_LIMIT,
+        (unsigned)CONNECTIONS_MAX, MHD_OPTION_CONNECTION_TIMEOUT, (unsigned)IDLE_TIMEOUT_S, MHD_OPTION_END);
     enum sagehitch_error rc = watch_daemon(real);
     for (int64_t entry = 0; !rc && entry < ENTRY_COUNT; entry++)
         if (addrs[entry])
@@ -308,13 +309,13 @@
     return rc;
 }
 
-void api_end(struct real *real)
+void http_server_end(struct real *real)
 {
     for (int64_t i = 0; i < real->n_listeners; i++)
         close(real->listeners[i].fd);
     if (!real->daemon)
         return;
-    real->closing = 1; /* the role has ended: what arrives now must not reach it */
+    real->closing = 1; /* the role has ended: later requests must not reach it */
     for (int64_t i = 0; i < real->requests.cap; i++) {
         struct request_cell *cell = slab_at(&real->requests, slab_number(&real->requests, i));
         if (cell && cell->request->suspended)
--- a/src/proc/http_out.c
+++ b/src/proc/http_out.c
@@ -1,4 +1,4 @@
-/* HTTP client: libcurl's multi interface on the libev loop. */
+/* HTTP client: the multi interface of libcurl on the libev loop. */
 #include <netinet/in.h>
 #include <netinet/tcp.h>
 #include <stdio.h>
@@ -8,63 +8,64 @@
 
 #include "proc/real.h"
 
-/* A call in flight, freed after done() was called. headers: owned, NULL: the common ones; repeatable: it only reads;
- * headed: the head of the response is complete. Invariant: of one that is not repeatable no byte is sent on a second
- * connection once any was sent on a first. */
-struct out {
+/* A call in flight, freed after done() was called. headers: owned, NULL: the common headers; repeatable: the request
+ * has no side effects (GET); head_complete: the head of the response is complete. Invariant: once a byte of a call that
+ * is not repeatable was sent on a connection, none is sent on another. */
+struct transfer {
     struct real *real;
     CURL *easy;
     struct curl_slist *headers;
-    struct bytes got;
+    struct bytes received;
     char url[160];
     char *body;
-    int repeatable, headed;
+    int repeatable, head_complete;
     call_done *done;
     void *arg;
     int64_t tag;
 };
 
-struct out_io {
+struct socket_watcher {
     ev_io io;
     struct real *real;
 };
 
-static void finish(struct real *real)
+static void finish_calls(struct real *real)
 {
     CURLMsg *msg;
     int left;
     while ((msg = curl_multi_info_read(real->multi, &left))) {
-        struct out *out;
+        struct transfer *transfer;
         long status = 0;
         if (msg->msg != CURLMSG_DONE)
             continue;
         CURLcode code = msg->data.result;
-        curl_easy_getinfo(msg->easy_handle, CURLINFO_PRIVATE, &out);
+        curl_easy_getinfo(msg->easy_handle, CURLINFO_PRIVATE, &transfer);
         curl_easy_getinfo(msg->easy_handle, CURLINFO_RESPONSE_CODE, &status);
-        curl_multi_remove_handle(real->multi, out->easy);
+        curl_multi_remove_handle(real->multi, transfer->easy);
         if (real->n_idle < COUNT_OF(real->idle)) {
-            curl_easy_reset(out->easy);
-            real->idle[real->n_idle++] = out->easy;
+            curl_easy_reset(transfer->easy);
+            real->idle[real->n_idle++] = transfer->easy;
         } else {
-            curl_easy_cleanup(out->easy);
+            curl_easy_cleanup(transfer->easy);
         }
-        curl_slist_free_all(out->headers);
+        curl_slist_free_all(transfer->headers);
         real->n_calls--;
-        bytes_add(&out->got, "", 0);
-        out->done(out->arg, out->tag, code || !out->headed ? 0 : (int)status, (char *)out->got.at, out->got.len);
-        bytes_free(&out->got);
-        free(out->body);
-        free(out);
+        bytes_add(&transfer->received, "", 0);
+        transfer->done(transfer->arg, transfer->tag, code || !transfer->head_complete ? 0 : (int)status,
+                       (char *)transfer->received.at, transfer->received.len);
+        bytes_free(&transfer->received);
+        free(transfer->body);
+        free(transfer);
     }
 }
 
 static void io_event(struct ev_loop *loop, ev_io *io, int events)
 {
-    struct real *real = ((struct out_io *)io)->real;
+    struct real *real = ((struct socket_watcher *)io)->real;
     int running, flags = (events & EV_READ ? CURL_CSELECT_IN : 0) | (events & EV_WRITE ? CURL_CSELECT_OUT : 0);
     (void)loop;
     curl_multi_socket_action(real->multi, io->fd, flags, &running);
-    finish(real);
+    finish_calls(real);
 }
 
 static void timer_event(struct ev_loop *loop, ev_timer *timer, int events)
@@ -73,10 +74,10 @@
     int running;
     (void)loop, (void)events;
     curl_multi_socket_action(real->multi, CURL_SOCKET_TIMEOUT, 0, &running);
-    finish(real);
+    finish_calls(real);
 }
 
-static int on_timer(CURLM *multi, long wait_ms, void *arg)
+static int on_curl_timer(CURLM *multi, long wait_ms, void *arg)
 {
     struct real *real = arg;
     (void)multi;
@@ -88,10 +89,10 @@
     return 0;
 }
 
-static int on_socket(CURL *easy, curl_socket_t fd, int what, void *arg, void *socket_arg)
+static int on_curl_socket(CURL *easy, curl_socket_t fd, int what, void *arg, void *socket_arg)
 {
     struct real *real = arg;
-    struct out_io *io = socket_arg;
+    struct socket_watcher *io = socket_arg;
     (void)easy;
     if (what == CURL_POLL_REMOVE) {
         if (io) {
@@ -116,47 +117,47 @@
 
 static size_t on_data(char *at, size_t size, size_t n, void *arg)
 {
-    struct out *out = arg;
-    if (out->got.len + (int64_t)(size * n) > (64 << 20))
+    struct transfer *transfer = arg;
+    if (transfer->received.len + (int64_t)(size * n) > (64 << 20))
         return 0;
-    bytes_add(&out->got, at, (int64_t)(size * n));
+    bytes_add(&transfer->received, at, (int64_t)(size * n));
     return size * n;
 }
 
-/* A response with an incomplete head is none; libcurl would report the status in its first line. */
+/* Tracks whether the head is complete: libcurl reports the status in its first line also if the rest is missing. */
 static size_t on_header(char *at, size_t size, size_t n, void *arg)
 {
-    struct out *out = arg;
+    struct transfer *transfer = arg;
     if (size * n > 5 && !memcmp(at, "HTTP/", 5))
-        out->headed = 0; /* the first head, or one after a 100 */
+        transfer->head_complete = 0; /* the first head, or the head that follows a 100 */
     else if (size * n == 2 && !memcmp(at, "\r\n", 2))
-        out->headed = 1;
+        transfer->head_complete = 1;
     return size * n;
 }
 
-/* libcurl repeats a request by itself where a kept connection ended before any byte of a response. What was sent may
- * have arrived, so only the caller may repeat it; a connection that was reset while idle takes no byte, and then a new
- * one is safe. */
-static int may_begin(const struct out *out)
+/* Whether the request may be sent on the next connection. libcurl repeats a request by itself if a kept connection
+ * ended before any byte of the response. A request of which bytes were sent may have arrived, so only the caller may
+ * repeat it. On a connection that was reset while idle no byte is sent, so a new connection is safe. */
+static int may_send(const struct transfer *transfer)
 {
     long sent_bytes = 0;
-    curl_easy_getinfo(out->easy, CURLINFO_REQUEST_SIZE, &sent_bytes);
-    return out->repeatable || !sent_bytes;
+    curl_easy_getinfo(transfer->easy, CURLINFO_REQUEST_SIZE, &sent_bytes);
+    return transfer->repeatable || !sent_bytes;
 }
 
-/* Before a request goes out on a connection, a new or a kept one. */
-static int on_request(void *arg, char *peer_ip, char *own_ip, int peer_port, int own_port)
+/* Called before a request is sent on a connection, new or kept. */
+static int on_before_request(void *arg, char *peer_ip, char *own_ip, int peer_port, int own_port)
 {
     (void)peer_ip, (void)own_ip, (void)peer_port, (void)own_port;
-    return may_begin(arg) ? CURL_PREREQFUNC_OK : CURL_PREREQFUNC_ABORT;
+    return may_send(arg) ? CURL_PREREQFUNC_OK : CURL_PREREQFUNC_ABORT;
 }
 
-/* Before a new connection. A peer that vanished is given up as early as in net.c. */
-static int on_open(void *arg, curl_socket_t fd, curlsocktype purpose)
+/* Called before a new connection is opened. The timeout for a peer that does not respond is the same as in net.c. */
+static int on_before_connect(void *arg, curl_socket_t fd, curlsocktype purpose)
 {
     int wait_ms = 3000;
     (void)purpose;
-    if (!may_begin(arg))
+    if (!may_send(arg))
         return CURL_SOCKOPT_ERROR;
     setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &wait_ms, sizeof wait_ms);
     return CURL_SOCKOPT_OK;
@@ -168,57 +169,58 @@
 }
 
 /* Sets the options of a handle that is new or was reset. */
-static void set_options(struct out *out, const struct http_call *call)
-{
-    curl_easy_setopt(out->easy, CURLOPT_URL, out->url);
-    curl_easy_setopt(out->easy, CURLOPT_NOSIGNAL, 1L);
-    curl_easy_setopt(out->easy, CURLOPT_TIMEOUT_MS, (long)call->wait_ms);
-    curl_easy_setopt(out->easy, CURLOPT_HTTPHEADER, out->headers ? out->headers : out->real->headers);
-    curl_easy_setopt(out->easy, CURLOPT_WRITEFUNCTION, on_data);
-    curl_easy_setopt(out->easy, CURLOPT_WRITEDATA, out);
-    curl_easy_setopt(out->easy, CURLOPT_HEADERFUNCTION, on_header);
-    curl_easy_setopt(out->easy, CURLOPT_HEADERDATA, out);
-    curl_easy_setopt(out->easy, CURLOPT_PREREQFUNCTION, on_request);
-    curl_easy_setopt(out->easy, CURLOPT_PREREQDATA, out);
-    curl_easy_setopt(out->easy, CURLOPT_PRIVATE, out);
-    curl_easy_setopt(out->easy, CURLOPT_PROXY, "");
-    curl_easy_setopt(out->easy, CURLOPT_SOCKOPTFUNCTION, on_open);
-    curl_easy_setopt(out->easy, CURLOPT_SOCKOPTDATA, out);
-    if (out->repeatable)
+static void set_options(struct transfer *transfer, const struct http_call *call)
+{
+    curl_easy_setopt(transfer->easy, CURLOPT_URL, transfer->url);
+    curl_easy_setopt(transfer->easy, CURLOPT_NOSIGNAL, 1L);
+    curl_easy_setopt(transfer->easy, CURLOPT_TIMEOUT_MS, (long)call->wait_ms);
+    curl_easy_setopt(transfer->easy, CURLOPT_HTTPHEADER,
+                     transfer->headers ? transfer->headers : transfer->real->headers);
+    curl_easy_setopt(transfer->easy, CURLOPT_WRITEFUNCTION, on_data);
+    curl_easy_setopt(transfer->easy, CURLOPT_WRITEDATA, transfer);
+    curl_easy_setopt(transfer->easy, CURLOPT_HEADERFUNCTION, on_header);
+    curl_easy_setopt(transfer->easy, CURLOPT_HEADERDATA, transfer);
+    curl_easy_setopt(transfer->easy, CURLOPT_PREREQFUNCTION, on_before_request);
+    curl_easy_setopt(transfer->easy, CURLOPT_PREREQDATA, transfer);
+    curl_easy_setopt(transfer->easy, CURLOPT_PRIVATE, transfer);
+    curl_easy_setopt(transfer->easy, CURLOPT_PROXY, "");
+    curl_easy_setopt(transfer->easy, CURLOPT_SOCKOPTFUNCTION, on_before_connect);
+    curl_easy_setopt(transfer->easy, CURLOPT_SOCKOPTDATA, transfer);
+    if (transfer->repeatable)
         return;
-    curl_easy_setopt(out->easy, CURLOPT_POSTFIELDS, out->body);
-    curl_easy_setopt(out->easy, CURLOPT_CUSTOMREQUEST, call->method);
+    curl_easy_setopt(transfer->easy, CURLOPT_POSTFIELDS, transfer->body);
+    curl_easy_setopt(transfer->easy, CURLOPT_CUSTOMREQUEST, call->method);
 }
 
-void out_call(struct world *world, const struct http_call *call)
+void http_client_call(struct world *world, const struct http_call *call)
 {
     struct real *real = (struct real *)world;
-    struct out *out = must_alloc(sizeof *out);
-    *out = (struct out){.real = real,
-                        .done = call->done,
-                        .arg = call->arg,
-                        .tag = call->tag,
-                        .body = must_dup(call->body ? call->body : "")};
-    out->repeatable = !strcmp(call->method, "GET");
-    snprintf(out->url, sizeof out->url, "http://%s%.100s", addr_text(call->to), call->path);
-    out->easy = real->n_idle ? real->idle[--real->n_idle] : curl_easy_init();
+    struct transfer *transfer = must_alloc(sizeof *transfer);
+    *transfer = (struct transfer){.real = real,
+                                  .done = call->done,
+                                  .arg = call->arg,
+                                  .tag = call->tag,
+                                  .body = must_dup(call->body ? call->body : "")};
+    transfer->repeatable = !strcmp(call->method, "GET");
+    snprintf(transfer->url, sizeof transfer->url, "http://%s%.100s", addr_text(call->to), call->path);
+    transfer->easy = real->n_idle ? real->idle[--real->n_idle] : curl_easy_init();
     if (call->header)
-        out->headers = curl_slist_append(common_headers(), call->header);
-    set_options(out, call);
+        transfer->headers = curl_slist_append(common_headers(), call->header);
+    set_options(transfer, call);
     real->n_calls++;
-    curl_multi_add_handle(real->multi, out->easy);
+    curl_multi_add_handle(real->multi, transfer->easy);
 }
 
-void out_start(struct real *real)
+void http_client_start(struct real *real)
 {
     curl_global_init(CURL_GLOBAL_NOTHING);
     real->multi = curl_multi_init();
     real->headers = common_headers();
     ev_timer_init(&real->multi_timer, timer_event, 1., 0.);
     real->multi_timer.data = real;
-    curl_multi_setopt(real->multi, CURLMOPT_SOCKETFUNCTION, on_socket);
+    curl_multi_setopt(real->multi, CURLMOPT_SOCKETFUNCTION, on_curl_socket);
     curl_multi_setopt(real->multi, CURLMOPT_SOCKETDATA, real);
-    curl_multi_setopt(real->multi, CURLMOPT_TIMERFUNCTION, on_timer);
+    curl_multi_setopt(real->multi, CURLMOPT_TIMERFUNCTION, on_curl_timer);
     curl_multi_setopt(real->multi, CURLMOPT_TIMERDATA, real);
 }
 
@@ -228,7 +230,7 @@
     curl_multi_setopt(real->multi, CURLMOPT_MAXCONNECTS, kept);
 }
 
-void out_end(struct real *real)
+void http_client_end(struct real *real)
 {
     while (real->n_idle)
         curl_easy_cleanup(real->idle[--real->n_idle]);
--- a/src/proc/local.c
+++ b/src/proc/local.c
@@ -1,4 +1,4 @@
-/* Local settings: table, file and checks. */
+/* Local settings: schema, parser and checks. */
 #include "proc/local.h"
 
 #include <ctype.h>
--- a/src/proc/main.c
+++ b/src/proc/main.c
@@ -1,4 +1,4 @@
-/* Command line: finds the role and reads its settings. */
+/* Command line: selects the role and reads its settings. */
 #include <glib.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -16,9 +16,9 @@
     int needs;
 } roles[] = {
     {"keeper", "one of the three machines with a disk", role_keeper, NEED_LISTEN | NEED_HTTP | NEED_DATA},
-    {"node", "a machine that owns shards and homes executors", role_node, NEED_LISTEN | NEED_HTTP},
-    {"executor", "stand-in executor", role_executor, NEED_HTTP | NEED_NAME},
-    {"caller", "stand-in caller", role_caller, 0},
+    {"node", "a machine that owns shards and commands executors", role_node, NEED_LISTEN | NEED_HTTP},
+    {"executor", "simulated executor", role_executor, NEED_HTTP | NEED_NAME},
+    {"caller", "simulated caller", role_caller, 0},
 };
 
 static void usage(FILE *to)
@@ -26,14 +26,15 @@
     fprintf(to, "usage: sagehitch ROLE [--config FILE] [--NAME VALUE ...]\n\nroles:\n");
     for (int i = 0; i < COUNT_OF(roles); i++)
         fprintf(to, "  %-9s %s\n", roles[i].name, roles[i].what);
-    fprintf(to, "  ctl       look at and change a running cluster; see sagehitch ctl --help\n"
-                "  check     fold executors' journals and say whether a rule was broken\n"
+    fprintf(to, "  ctl       inspect and change a running cluster; see sagehitch ctl --help\n"
+                "  check     check executors' journals for broken invariants\n"
                 "  runbook   check or run a runbook; see sagehitch runbook --help\n"
-                "  platform  controller or agent on the users' platform, told by its settings file\n\n"
+                "  platform  controller or agent on the users' platform, configured by a settings file\n\n"
                 "sagehitch ROLE --help lists the settings of a role, which a file may hold too.\n");
 }
 
-/* Parses flags. They are the local settings by name, so one table checks both. */
+/* Parses flags. Their names are those of the local settings, so local_schema checks both. strict 0: other arguments
+ * follow. */
 static int parse(struct local *local, const char *role, int *argc, char ***argv, int strict)
 {
     static char *values[64];
@@ -119,7 +120,7 @@
         local_free(&local);
         return rc ? 1 : 0;
     }
-    fprintf(stderr, "sagehitch: no role %s\n", role);
+    fprintf(stderr, "sagehitch: unknown role %s\n", role);
     usage(stderr);
     local_free(&local);
     return 1;
--- a/src/proc/net.c
+++ b/src/proc/net.c
@@ -1,4 +1,4 @@
-/* Frames: one outgoing TCP connection for each peer, and UDP for frames that may be lost. */
+/* Frames: one outgoing TCP connection to each peer, and UDP for frames that may be lost. */
 #include <arpa/inet.h>
 #include <errno.h>
 #include <fcntl.h>
@@ -12,56 +12,63 @@
 #include "base/error.h"
 #include "proc/real.h"
 
-enum { AGAIN_MS = 100, CONNECT_MS = 1000, STUCK_MS = 2000, CHECK_MS = 100, SMALL = 16 << 10 };
+enum {
+    RECONNECT_MS = 100,
+    CONNECT_TIMEOUT_MS = 1000,
+    STALL_TIMEOUT_MS = 2000,
+    CHECK_INTERVAL_MS = 100,
+    KEPT_BUFFER_MAX = 16 << 10
+};
 
-/* An outgoing connection. Invariants: queue owns a reference to each frame in it; frame `first` is being sent, `sent`
- * bytes of it are; everything is dropped with a lost connection. waiting: bytes queued; moved_ms: when a byte was last
- * sent, or the queue became non-empty. */
-struct net_out {
+/* An outgoing connection. Invariants: queue owns a reference to each frame in it; the frame at index first is being
+ * sent, and sent_bytes of it have been; the queue is dropped when the connection is lost. progress_ms: when a byte was
+ * last sent, or the queue became non-empty. */
+struct out_connection {
     struct real *real;
     uint64_t to;
     int fd;
     ev_io io;
     struct blob **queue;
-    int64_t n, first, sent, waiting, again_ms, opened_ms, moved_ms;
+    int64_t n_queue, first, sent_bytes, queued_bytes, reconnect_ms, opened_ms, progress_ms;
     int connected;
 };
 
-/* An incoming connection, in the list real->ins; got: bytes of a frame that is not complete. */
-struct net_in {
+/* An incoming connection, in the list real->in_connections. received: bytes of a frame that is not complete yet. */
+struct in_connection {
     struct real *real;
-    struct net_in *next, *previous;
+    struct in_connection *next, *previous;
     int fd;
     ev_io io;
-    struct bytes got;
+    struct bytes received;
 };
 
 static struct sockaddr_in address(uint64_t addr)
 {
-    struct sockaddr_in in = {.sin_family = AF_INET, .sin_port = htons((uint16_t)(addr & 0xffff))};
-    in.sin_addr.s_addr = htonl((uint32_t)(addr >> 16));
-    return in;
+    struct sockaddr_in socket_addr = {.sin_family = AF_INET, .sin_port = htons((uint16_t)(addr & 0xffff))};
+    socket_addr.sin_addr.s_addr = htonl((uint32_t)(addr >> 16));
+    return socket_addr;
 }
 
-static void out_drop(struct net_out *out)
+static void out_disconnect(struct out_connection *out)
 {
     if (out->fd >= 0) {
         ev_io_stop(out->real->loop, &out->io);
         close(out->fd);
     }
     out->fd = -1;
-    for (int64_t i = out->first; i < out->n; i++)
+    for (int64_t i = out->first; i < out->n_queue; i++)
         blob_drop(out->queue[i]);
-    out->n = out->first = out->sent = out->waiting = 0;
-    out->again_ms = world_ms(&out->real->base) + AGAIN_MS;
+    out->n_queue = out->first = out->sent_bytes = out->queued_bytes = 0;
+    out->reconnect_ms = world_ms(&out->real->base) + RECONNECT_MS;
 }
 
-/* Writes as much of the queue as the connection takes now. Returns 0, or -1 where it is broken. */
-static int out_write(struct net_out *out)
+/* Sends as much of the queue as the connection accepts now. Returns 0, or -1 if the connection is broken. */
+static int out_write(struct out_connection *out)
 {
-    while (out->first < out->n) {
+    while (out->first < out->n_queue) {
         struct bytes *frame = &out->queue[out->first]->bytes;
-        ssize_t n = send(out->fd, frame->at + out->sent, (size_t)(frame->len - out->sent), MSG_DONTWAIT | MSG_NOSIGNAL);
+        ssize_t n = send(out->fd, frame->at + out->sent_bytes, (size_t)(frame->len - out->sent_bytes),
+                         MSG_DONTWAIT | MSG_NOSIGNAL);
         if (n < 0 && (errno == EAGAIN || errno == ENOTCONN || errno == EINPROGRESS))
             break;
         if (n < 0 && errno == EINTR)
@@ -69,35 +76,35 @@
         if (n <= 0)
             return -1;
         out->connected = 1;
-        out->moved_ms = world_ms(&out->real->base);
-        out->sent += n;
-        out->waiting -= n;
-        if (out->sent < frame->len)
+        out->progress_ms = world_ms(&out->real->base);
+        out->sent_bytes += n;
+        out->queued_bytes -= n;
+        if (out->sent_bytes < frame->len)
             continue;
         blob_drop(out->queue[out->first++]);
-        out->sent = 0;
+        out->sent_bytes = 0;
     }
-    if (out->first == out->n)
-        out->first = out->n = 0;
+    if (out->first == out->n_queue)
+        out->first = out->n_queue = 0;
     return 0;
 }
 
 static void out_event(struct ev_loop *loop, ev_io *io, int events)
 {
-    struct net_out *out = io->data;
+    struct out_connection *out = io->data;
     char sink[256];
     ssize_t n = recv(out->fd, sink, sizeof sink, MSG_DONTWAIT);
     (void)events;
     if (n == 0 || (n < 0 && errno != EAGAIN && errno != EINTR && errno != ENOTCONN) || out_write(out)) {
-        out_drop(out);
+        out_disconnect(out);
         return;
     }
     ev_io_stop(loop, io);
-    ev_io_set(io, out->fd, EV_READ | (out->n ? EV_WRITE : 0));
+    ev_io_set(io, out->fd, EV_READ | (out->n_queue ? EV_WRITE : 0));
     ev_io_start(loop, io);
 }
 
-static void out_open(struct net_out *out)
+static void out_connect(struct out_connection *out)
 {
     struct sockaddr_in to = address(out->to);
     int on = 1;
@@ -110,7 +117,7 @@
     if (connect(out->fd, (struct sockaddr *)&to, sizeof to) && errno != EINPROGRESS) {
         close(out->fd);
         out->fd = -1;
-        out->again_ms = world_ms(&out->real->base) + AGAIN_MS;
+        out->reconnect_ms = world_ms(&out->real->base) + RECONNECT_MS;
         return;
     }
     out->opened_ms = world_ms(&out->real->base);
@@ -120,14 +127,14 @@
     ev_io_start(out->real->loop, &out->io);
 }
 
-static struct net_out *out_to(struct real *real, uint64_t to)
+static struct out_connection *find_out_connection(struct real *real, uint64_t to)
 {
-    for (int64_t i = 0; i < real->n_outs; i++)
-        if (real->outs[i]->to == to)
-            return real->outs[i];
-    struct net_out *out = must_alloc(sizeof *out);
-    *out = (struct net_out){.real = real, .to = to, .fd = -1};
-    *list_more(real->outs, real->n_outs) = out;
+    for (int64_t i = 0; i < real->n_out_connections; i++)
+        if (real->out_connections[i]->to == to)
+            return real->out_connections[i];
+    struct out_connection *out = must_alloc(sizeof *out);
+    *out = (struct out_connection){.real = real, .to = to, .fd = -1};
+    *list_more(real->out_connections, real->n_out_connections) = out;
     return out;
 }
 
@@ -135,29 +142,29 @@
 {
     struct real *real = (struct real *)world;
     if (lossy && frame->bytes.len < 1400 && real->udp_fd >= 0) {
-        struct sockaddr_in in = address(to);
-        sendto(real->udp_fd, frame->bytes.at, (size_t)frame->bytes.len, MSG_DONTWAIT, (struct sockaddr *)&in,
-               sizeof in);
+        struct sockaddr_in socket_addr = address(to);
+        sendto(real->udp_fd, frame->bytes.at, (size_t)frame->bytes.len, MSG_DONTWAIT, (struct sockaddr *)&socket_addr,
+               sizeof socket_addr);
         return;
     }
-    struct net_out *out = out_to(real, to);
-    if (out->fd < 0 && world_ms(world) >= out->again_ms)
-        out_open(out);
-    if (out->fd < 0 || out->waiting + frame->bytes.len > real->out_max)
+    struct out_connection *out = find_out_connection(real, to);
+    if (out->fd < 0 && world_ms(world) >= out->reconnect_ms)
+        out_connect(out);
+    if (out->fd < 0 || out->queued_bytes + frame->bytes.len > real->out_max)
         return;
-    int idle = !out->n;
+    int idle = !out->n_queue;
     if (out->first > 1000) {
-        out->n -= out->first;
-        memmove(out->queue, out->queue + out->first, sizeof *out->queue * (size_t)out->n);
+        out->n_queue -= out->first;
+        memmove(out->queue, out->queue + out->first, sizeof *out->queue * (size_t)out->n_queue);
         out->first = 0;
     }
-    *list_more(out->queue, out->n) = blob_hold(frame);
-    out->waiting += frame->bytes.len;
+    *list_more(out->queue, out->n_queue) = blob_hold(frame);
+    out->queued_bytes += frame->bytes.len;
     if (!idle)
         return;
-    out->moved_ms = world_ms(world);
-    /* at once: the turn may go on with a sync, and what is sent here must not wait for it */
-    if (!out->connected || out_write(out) || out->n) {
+    out->progress_ms = world_ms(world);
+    /* sent at once: this iteration of the loop may go on to a disk sync, and the frame must not wait for that */
+    if (!out->connected || out_write(out) || out->n_queue) {
         ev_io_stop(real->loop, &out->io);
         ev_io_set(&out->io, out->fd, EV_READ | EV_WRITE);
         ev_io_start(real->loop, &out->io);
@@ -167,72 +174,72 @@
 void net_on_timer(struct real *real)
 {
     int64_t now_ms = world_ms(&real->base);
-    if (now_ms < real->outs_due_ms)
+    if (now_ms < real->next_connection_check_ms)
         return;
-    real->outs_due_ms = now_ms + CHECK_MS;
-    for (int64_t i = 0; i < real->n_outs; i++) {
-        struct net_out *out = real->outs[i];
-        if (out->fd >= 0 && ((!out->connected && out->n && now_ms - out->opened_ms > CONNECT_MS) ||
-                             (out->n && now_ms - out->moved_ms > STUCK_MS)))
-            out_drop(out);
+    real->next_connection_check_ms = now_ms + CHECK_INTERVAL_MS;
+    for (int64_t i = 0; i < real->n_out_connections; i++) {
+        struct out_connection *out = real->out_connections[i];
+        if (out->fd >= 0 && ((!out->connected && out->n_queue && now_ms - out->opened_ms > CONNECT_TIMEOUT_MS) ||
+                             (out->n_queue && now_ms - out->progress_ms > STALL_TIMEOUT_MS)))
+            out_disconnect(out);
     }
 }
 
-static void in_begin(struct real *real, struct net_in *in)
+static void in_open(struct real *real, struct in_connection *in)
 {
-    in->next = real->ins;
+    in->next = real->in_connections;
     if (in->next)
         in->next->previous = in;
-    real->ins = in;
+    real->in_connections = in;
     ev_io_start(real->loop, &in->io);
 }
 
-static void in_end(struct net_in *in)
+static void in_close(struct in_connection *in)
 {
     if (in->next)
         in->next->previous = in->previous;
     if (in->previous)
         in->previous->next = in->next;
     else
-        in->real->ins = in->next;
+        in->real->in_connections = in->next;
     ev_io_stop(in->real->loop, &in->io);
     close(in->fd);
-    bytes_free(&in->got);
+    bytes_free(&in->received);
     free(in);
 }
 
 static void in_event(struct ev_loop *loop, ev_io *io, int events)
 {
-    struct net_in *in = io->data;
+    struct in_connection *in = io->data;
     char chunk[65536];
     (void)loop, (void)events;
     ssize_t n = recv(in->fd, chunk, sizeof chunk, MSG_DONTWAIT);
     if (n < 0 && (errno == EAGAIN || errno == EINTR))
         return;
     if (n <= 0) {
-        in_end(in);
+        in_close(in);
         return;
     }
-    bytes_add(&in->got, chunk, n);
-    int64_t off = 0;
-    while (in->got.len - off >= FRAME_HEAD) {
-        int64_t len = frame_length(in->got.at + off, in->real->cluster);
+    bytes_add(&in->received, chunk, n);
+    int64_t offset = 0;
+    while (in->received.len - offset >= FRAME_HEAD) {
+        int64_t len = frame_length(in->received.at + offset, in->real->cluster);
         if (len < 0) {
-            /* the role drops and counts it; the rest of the stream cannot be decoded */
-            in->real->role.take(in->real->role.arg, in->got.at + off, in->got.len - off);
-            in_end(in);
+            /* the role drops and counts the bytes; the rest of the stream cannot be decoded */
+            in->real->role.take(in->real->role.arg, in->received.at + offset, in->received.len - offset);
+            in_close(in);
             return;
         }
-        if (in->got.len - off < len)
+        if (in->received.len - offset < len)
             break;
-        in->real->role.take(in->real->role.arg, in->got.at + off, len);
-        off += len;
+        in->real->role.take(in->real->role.arg, in->received.at + offset, len);
+        offset += len;
     }
-    in->got.len -= off;
-    if (!in->got.len && in->got.cap > SMALL)
-        bytes_free(&in->got);
-    if (off && in->got.len)
-        memmove(in->got.at, in->got.at + off, (size_t)in->got.len);
+    in->received.len -= offset;
+    if (!in->received.len && in->received.cap > KEPT_BUFFER_MAX)
+        bytes_free(&in->received);
+    if (offset && in->received.len)
+        memmove(in->received.at, in->received.at + offset, (size_t)in->received.len);
 }
 
 static void listen_event(struct ev_loop *loop, ev_io *io, int events)
@@ -241,11 +248,11 @@
     int fd;
     (void)loop, (void)events;
     while ((fd = accept4(real->listen_fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0) {
-        struct net_in *in = must_alloc(sizeof *in);
-        *in = (struct net_in){.real = real, .fd = fd};
+        struct in_connection *in = must_alloc(sizeof *in);
+        *in = (struct in_connection){.real = real, .fd = fd};
         ev_io_init(&in->io, in_event, fd, EV_READ);
         in->io.data = in;
-        in_begin(real, in);
+        in_open(real, in);
     }
 }
 
@@ -264,13 +271,13 @@
 
 enum sagehitch_error net_start(struct real *real)
 {
-    struct sockaddr_in at = address(real->base.self);
+    struct sockaddr_in socket_addr = address(real->base.self);
     int on = 1;
     real->listen_fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     real->udp_fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     setsockopt(real->listen_fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-    if (bind(real->listen_fd, (struct sockaddr *)&at, sizeof at) || listen(real->listen_fd, 1024) ||
-        bind(real->udp_fd, (struct sockaddr *)&at, sizeof at))
+    if (bind(real->listen_fd, (struct sockaddr *)&socket_addr, sizeof socket_addr) || listen(real->listen_fd, 1024) ||
+        bind(real->udp_fd, (struct sockaddr *)&socket_addr, sizeof socket_addr))
         return ERROR_BAD_SETTING;
     ev_io_init(&real->listen_io, listen_event, real->listen_fd, EV_READ);
     real->listen_io.data = real;
@@ -283,14 +290,14 @@
 
 void net_end(struct real *real)
 {
-    while (real->ins)
-        in_end(real->ins);
-    for (int64_t i = 0; i < real->n_outs; i++) {
-        out_drop(real->outs[i]);
-        free(real->outs[i]->queue);
-        free(real->outs[i]);
+    while (real->in_connections)
+        in_close(real->in_connections);
+    for (int64_t i = 0; i < real->n_out_connections; i++) {
+        out_disconnect(real->out_connections[i]);
+        free(real->out_connections[i]->queue);
+        free(real->out_connections[i]);
     }
-    free(real->outs);
+    free(real->out_connections);
     if (real->listen_fd >= 0)
         close(real->listen_fd);
     if (real->udp_fd >= 0)
--- a/src/proc/notes.c
+++ b/src/proc/notes.c
@@ -1,4 +1,4 @@
-/* The log: numbered events to log4c. */
+/* The event log: writes numbered events to log4c. */
 #include <log4c.h>
 #include <string.h>
 
@@ -14,7 +14,7 @@
     return priorities[level];
 }
 
-void notes_level(const char *level)
+void event_log_set_level(const char *level)
 {
     static const char *const names[] = {"debug", "info", "warn", "error"};
     for (int i = 0; i < COUNT_OF(names); i++)
@@ -30,15 +30,15 @@
     log4c_appender_set_layout(appender, log4c_layout_get("dated"));
     log4c_category_set_appender(category, appender);
     log4c_category_set_additivity(category, 0);
-    notes_level(level);
+    event_log_set_level(level);
 }
 
 void notes_end(void) { log4c_fini(); }
 
-void notes_take(struct world *w, int event, const char *text)
+void event_log_write(struct world *world, int event, const char *text)
 {
     const struct event_kind *kind = event_kind(event);
-    (void)w;
+    (void)world;
     if (kind)
         log4c_category_log(category, priority_of(kind->level), "E%d %s: %s", kind->no, kind->text, text);
 }
--- a/src/proc/real.c
+++ b/src/proc/real.c
@@ -1,4 +1,4 @@
-/* The world of a real process: clocks, timer, signals, start and end. */
+/* The runtime of a process: clocks, timer, signals, start and end. */
 #include "proc/real.h"
 
 #include <fcntl.h>
@@ -20,22 +20,22 @@
     return (int64_t)ts.tv_sec * 1000 + ts.tv_nsec / 1000000;
 }
 
-static int64_t mono_ms(struct world *w)
+static int64_t mono_ms(struct world *world)
 {
-    (void)w;
+    (void)world;
     return clock_ms(CLOCK_MONOTONIC);
 }
 
-static int64_t wall_ms(struct world *w)
+static int64_t wall_ms(struct world *world)
 {
-    (void)w;
+    (void)world;
     return clock_ms(CLOCK_REALTIME);
 }
 
-static uint64_t random_u64(struct world *w)
+static uint64_t random_u64(struct world *world)
 {
     static uint64_t state;
-    (void)w;
+    (void)world;
     if (!state) {
         int fd = open("/dev/urandom", O_RDONLY | O_CLOEXEC);
         if (fd < 0 || read(fd, &state, sizeof state) != sizeof state)
@@ -64,7 +64,7 @@
 {
     struct real *real = prepare->data;
     (void)loop, (void)events;
-    api_flush(real);
+    http_server_flush(real);
     if (real->role.flush)
         real->role.flush(real->role.arg);
 }
@@ -99,9 +99,9 @@
     if (!rc)
         rc = local_check(&next, 0, why, sizeof why);
     if (rc) {
-        world_note(&real->base, EV_PARAMS_DENIED, "%s", *why ? why : "started from flags only");
+        world_note(&real->base, EV_PARAMS_DENIED, "%s", *why ? why : "no settings file, only flags");
     } else {
-        notes_level(next.log_level);
+        event_log_set_level(next.log_level);
         if (real->role.reread)
             real->role.reread(real->role.arg, &next);
         world_note(&real->base, EV_PARAMS_READ, "file=%s", next.file);
@@ -123,10 +123,10 @@
                                        .wall_ms = wall_ms,
                                        .random = random_u64,
                                        .send = net_send,
-                                       .call = out_call,
-                                       .answer = api_reply,
-                                       .note = notes_take};
-    folder_calls(&calls);
+                                       .call = http_client_call,
+                                       .answer = http_server_respond,
+                                       .note = event_log_write};
+    disk_set_calls(&calls);
     *real = (struct real){.base = {.calls = &calls, .self = local->listen_addr, .http_addr = local->http_addr},
                           .local = local,
                           .listen_fd = -1,
@@ -136,9 +136,9 @@
                           .out_max = OUT_MAX};
     real->cluster = (uint32_t)hash_text(local->cluster);
     real->loop = ev_default_loop(EVFLAG_AUTO);
-    out_start(real);
-    if (local->data && *local->data && folder_start(real, local->data)) {
-        fprintf(stderr, "sagehitch: data folder %s cannot be used\n", local->data);
+    http_client_start(real);
+    if (local->data && *local->data && disk_start(real, local->data)) {
+        fprintf(stderr, "sagehitch: cannot use data directory %s\n", local->data);
         return ERROR_DISK;
     }
     return ERROR_NONE;
@@ -151,7 +151,7 @@
         fprintf(stderr, "sagehitch: cannot listen on %s\n", local->listen);
         return ERROR_BAD_SETTING;
     }
-    if (http && api_start(real)) {
+    if (http && http_server_start(real)) {
         fprintf(stderr, "sagehitch: cannot listen on %s\n", local->http);
         return ERROR_BAD_SETTING;
     }
@@ -161,9 +161,9 @@
     ev_prepare_init(&real->prepare, on_prepare);
     real->prepare.data = real;
     ev_prepare_start(real->loop, &real->prepare);
-    watch_signal(real, &real->term, SIGTERM, on_term);
-    watch_signal(real, &real->intr, SIGINT, on_term);
-    watch_signal(real, &real->hup, SIGHUP, on_hup);
+    watch_signal(real, &real->sigterm_watcher, SIGTERM, on_term);
+    watch_signal(real, &real->sigint_watcher, SIGINT, on_term);
+    watch_signal(real, &real->sighup_watcher, SIGHUP, on_hup);
     return ERROR_NONE;
 }
 
@@ -176,8 +176,8 @@
 
 void real_end(struct real *real)
 {
-    api_end(real);
-    out_end(real);
+    http_server_end(real);
+    http_client_end(real);
     net_end(real);
-    folder_end(real);
+    disk_end(real);
 }
--- a/src/proc/real.h
+++ b/src/proc/real.h
@@ -1,5 +1,6 @@
-/* The world of a real process: one libev loop, frames over TCP and UDP, HTTP by libmicrohttpd and libcurl, a folder as
- * the disk, log4c for events. The simulator has a world of its own (sim/). */
+/* The runtime of a process, which implements struct world: one libev loop, frames over TCP and UDP, HTTP by
+ * libmicrohttpd and libcurl, a directory as the disk, log4c for events. The simulator has its own implementation
+ * (sim/). */
 #ifndef SAGEHITCH_REAL_H
 #define SAGEHITCH_REAL_H
 #include <curl/curl.h>
@@ -13,44 +14,46 @@
 
 struct real;
 struct http_request; /* controller/codec.h */
-/* Most HTTP listeners of one process. */
+/* Maximum number of HTTP listeners of a process. */
 enum { LISTENERS = 3 };
 
-/* Callbacks of a role, NULL where it has none. arg is passed to each. */
+/* Callbacks of a role; NULL: it has none of that kind. arg is passed to each. flush is called before each wait of the
+ * loop; leave begins the shutdown of the role, and left tells whether it is complete. */
 struct role {
     void *arg;
     void (*on_timer)(void *arg);
     void (*take)(void *arg, const uint8_t *at, int64_t len);
-    void (*request)(void *arg, int64_t slot, const char *method, const char *path, const char *body, int64_t len);
+    void (*on_plain_request)(void *arg, int64_t slot, const char *method, const char *path, const char *body,
+                             int64_t len);
     void (*web)(void *arg, int64_t slot,
-                const struct http_request *request); /* in place of request, where there are several listeners */
-    void (*hup)(void *arg);                          /* on SIGHUP, in place of reading the local settings again */
+                const struct http_request *request); /* in place of on_plain_request, for several listeners */
+    void (*hup)(void *arg);                          /* on SIGHUP, in place of reload */
     void (*flush)(void *arg);
     void (*leave)(void *arg);
     int (*left)(void *arg);
-    void (*reread)(void *arg, const struct local *local);
+    void (*reread)(void *arg, const struct local *local); /* applies the local settings that were read on SIGHUP */
 };
 
-struct net_out;
-struct net_in;
+struct out_connection;
+struct in_connection;
 /* A file kept open for appending. */
 struct disk_file {
     char name[64];
     int fd;
 };
 
-/* A listening socket; entry: enum entry of controller/codec.h, passed on with its requests. */
-struct web_listener {
+/* A listening socket. entry: enum entry of controller/codec.h, which its requests carry. */
+struct http_listener {
     struct real *real;
     int64_t entry;
     int fd;
     ev_io io;
 };
 
-/* A process. timer_ms (timer interval), leave_ms (longest shutdown) and out_max (bytes queued to one peer) may be
- * changed between real_start() and real_open(). */
+/* A process. timer_ms (timer interval), leave_ms (time limit of the shutdown) and out_max (maximum bytes queued to one
+ * peer) may be changed between real_start() and real_open(). */
 struct real {
-    struct world base; /* must be first: a struct world is cast back to its struct real */
+    struct world base; /* must be first: a struct world is cast to its struct real */
     struct ev_loop *loop;
     struct role role;
     struct local *local;
@@ -58,19 +61,19 @@
     /* frames */
     int listen_fd, udp_fd;
     ev_io listen_io, udp_io;
-    struct net_out **outs;
-    int64_t n_outs, outs_due_ms;
-    struct net_in *ins;
-    /* HTTP in */
+    struct out_connection **out_connections;
+    int64_t n_out_connections, next_connection_check_ms;
+    struct in_connection *in_connections;
+    /* HTTP server */
     struct MHD_Daemon *daemon;
     ev_io daemon_io;
     ev_timer daemon_timer;
-    int answers_due; /* connections were resumed since the server ran last */
+    int responses_pending; /* connections were resumed since the server last ran */
     struct slab requests;
-    struct web_listener listeners[LISTENERS];
-    int64_t n_listeners, entry; /* entry: of the connection being accepted */
-    int closing;                /* requests are answered 503 and no longer passed to the role */
-    /* HTTP out */
+    struct http_listener listeners[LISTENERS];
+    int64_t n_listeners, entry; /* entry: of the connection that is being accepted */
+    int closing;                /* requests get a 503 and are no longer passed to the role */
+    /* HTTP client */
     CURLM *multi;
     ev_timer multi_timer;
     int64_t n_calls;
@@ -84,57 +87,59 @@
     /* the loop */
     ev_timer on_timer;
     ev_prepare prepare;
-    ev_signal term, intr, hup;
+    ev_signal sigterm_watcher, sigint_watcher, sighup_watcher;
     int64_t leaving_ms, timer_ms, leave_ms, out_max;
 };
 
-/* Sets up the process, without opening ports. local is borrowed. Returns 0, or an error that was printed. */
+/* Initializes the process without opening ports. local is borrowed. Returns 0, or an error that was printed. */
 enum sagehitch_error real_start(struct real *real, struct local *local);
-/* Opens the ports for frames and one HTTP listener, if asked for, and starts timer and signals. Returns 0, or an error
- * that was printed. */
+/* Opens the ports for frames (if frames) and one HTTP listener (if http), and starts the timer and the signal handlers.
+ * Returns 0, or an error that was printed. */
 enum sagehitch_error real_open(struct real *real, int frames, int http);
 /* Opens the HTTP listeners at these addresses, by enum entry; 0: none. Returns 0 or an error. */
 enum sagehitch_error web_open(struct real *real, const int64_t addrs[LISTENERS]);
-/* Runs the loop until the role has left after SIGTERM or SIGINT, leave_ms have passed, or a second signal came. */
+/* Runs the loop until, after SIGTERM or SIGINT, the role has left, leave_ms have passed, or a second signal arrives. */
 void real_run(struct real *real);
 /* Closes everything that was opened. */
 void real_end(struct real *real);
 
-/* Frames (net.c): opens and closes the ports at real->base.self. Returns 0 or ERROR_BAD_SETTING. */
+/* Frames (net.c): open and close the ports at real->base.self. net_start() returns 0 or ERROR_BAD_SETTING. */
 enum sagehitch_error net_start(struct real *real);
 void net_end(struct real *real);
-/* Drops connections that do not open, or have not moved a byte for long. */
+/* Closes outgoing connections that do not open in time or make no progress. */
 void net_on_timer(struct real *real);
-/* Sends a frame, of which it takes a reference; lossy ones that fit go by UDP. Frames may be lost without notice. */
-void net_send(struct world *w, uint64_t to, struct blob *frame, int lossy);
-/* HTTP server (http_in.c): one listener at real->base.http_addr. Returns 0 or ERROR_BAD_SETTING. */
-int api_start(struct real *real);
-/* Answers waiting requests that the process is stopping, and closes the server. */
-void api_end(struct real *real);
-/* Lets the server handle what is ready, and sets its timer. */
-void api_poke(struct real *real);
-/* Sends the answers given since the server ran last, if there are any. */
-void api_flush(struct real *real);
-/* Answers a request; body is copied. A slot that is unknown or answered already is ignored. retry_ms: for Retry-After,
- * 0: none. */
-void api_reply(struct world *w, int64_t slot, int status, int64_t retry_ms, const char *body);
-/* HTTP client (http_out.c). */
-void out_start(struct real *real);
-/* Limits connections per host, and connections that are kept open. */
+/* Sends a frame, to which it takes a reference. A lossy frame goes by UDP if it fits into a datagram. Frames may be
+ * lost without notice. */
+void net_send(struct world *world, uint64_t to, struct blob *frame, int lossy);
+/* HTTP server (http_in.c): starts it with one listener at real->base.http_addr. Returns 0 or ERROR_BAD_SETTING. */
+int http_server_start(struct real *real);
+/* Responds to all waiting requests that the process is stopping, and stops the server. */
+void http_server_end(struct real *real);
+/* Lets the server handle its connections that are ready, and sets its timer. */
+void http_server_run(struct real *real);
+/* Sends the responses given since the server last ran, if there are any. */
+void http_server_flush(struct real *real);
+/* Responds to a request; body is copied. Ignored if the slot is unknown or already has a response. retry_ms: value of
+ * Retry-After, 0: no such header. */
+void http_server_respond(struct world *world, int64_t slot, int status, int64_t retry_ms, const char *body);
+/* HTTP client (http_out.c): starts it. */
+void http_client_start(struct real *real);
+/* Limits the connections per host, and those kept open for later calls. */
 void out_limit(struct real *real, long host_connections, long kept);
-void out_end(struct real *real);
-/* Calls a peer; call->done() follows exactly once, unless out_end() comes first, with status 0 where there was no
- * complete response. A request other than GET is not sent again once a byte of it was sent. Strings are copied. */
-void out_call(struct world *w, const struct http_call *call);
-/* Disk (disk.c): a flat folder, created where it is missing. Returns 0 or ERROR_DISK. */
-enum sagehitch_error folder_start(struct real *real, const char *folder);
-void folder_end(struct real *real);
-/* Fills in the disk functions of the world. */
-void folder_calls(struct world_calls *calls);
-/* Log (notes.c): events as lines on stderr. level: debug, info, warn or error. */
+void http_client_end(struct real *real);
+/* Calls a peer. call->done() is called exactly once, with status 0 if there was no complete response; it is not called
+ * after http_client_end(). A request other than GET is not sent again once a byte of it was sent. Strings are copied.
+ */
+void http_client_call(struct world *world, const struct http_call *call);
+/* Disk (disk.c): a flat directory, created if it is missing. Returns 0 or ERROR_DISK. */
+enum sagehitch_error disk_start(struct real *real, const char *folder);
+void disk_end(struct real *real);
+/* Sets the disk functions in the table of a world. */
+void disk_set_calls(struct world_calls *calls);
+/* Event log (notes.c): events as lines on stderr. level: debug, info, warn or error. */
 void notes_start(const char *level);
-void notes_level(const char *level);
+void event_log_set_level(const char *level);
 void notes_end(void);
 /* Logs an event of base/events.h. */
-void notes_take(struct world *w, int event, const char *text);
+void event_log_write(struct world *world, int event, const char *text);
 #endif
--- a/src/proc/roles.c
+++ b/src/proc/roles.c
@@ -1,4 +1,4 @@
-/* The roles as processes: each core connected to the world of proc/real.h. */
+/* The roles as processes: connects each core to the runtime (proc/real.h). */
 #include "proc/roles.h"
 
 #include <errno.h>
@@ -22,13 +22,13 @@
                                .boot = real->base.calls->wall_ms(&real->base)};
 }
 
-static int begin(struct real *real, struct local *local)
+static int start_process(struct real *real, struct local *local)
 {
     notes_start(local->log_level);
     return real_start(real, local);
 }
 
-static int finish(struct real *real, int rc)
+static int end_process(struct real *real, int rc)
 {
     real_end(real);
     notes_end();
@@ -57,11 +57,11 @@
 {
     static struct real real;
     static struct keeper keeper;
-    int rc = begin(&real, local);
+    int rc = start_process(&real, local);
     real.role = (struct role){.arg = &keeper,
                               .on_timer = keeper_on_timer_arg,
                               .take = keeper_take_arg,
-                              .request = keeper_request_arg,
+                              .on_plain_request = keeper_request_arg,
                               .flush = keeper_flush_arg,
                               .leave = keeper_leave_arg,
                               .left = keeper_left_arg,
@@ -75,7 +75,7 @@
             real_run(&real);
         keeper_end(&keeper);
     }
-    return finish(&real, rc);
+    return end_process(&real, rc);
 }
 
 /* --- node ----------------------------------------------------------------------------- */
@@ -99,11 +99,11 @@
 {
     static struct real real;
     static struct node node;
-    int rc = begin(&real, local);
+    int rc = start_process(&real, local);
     real.role = (struct role){.arg = &node,
                               .on_timer = node_on_timer_arg,
                               .take = node_take_arg,
-                              .request = node_request_arg,
+                              .on_plain_request = node_request_arg,
                               .leave = node_leave_arg,
                               .left = node_left_arg,
                               .reread = node_reread};
@@ -115,7 +115,7 @@
             real_run(&real);
         node_end(&node);
     }
-    return finish(&real, rc);
+    return end_process(&real, rc);
 }
 
 /* --- executor --------------------------------------------------------------------------- */
@@ -124,10 +124,10 @@
     struct executor executor;
     struct local *local;
     FILE *journal;
-    struct world *w;
+    struct world *world;
 };
 
-static void executor_journal(void *arg, const struct exec_record *r)
+static void executor_journal(void *arg, const struct exec_record *record)
 {
     static const char *const events[] = {"start", "end", "refuse"};
     struct executor_role *role = arg;
@@ -136,10 +136,10 @@
     fprintf(role->journal,
             "{\"atMs\":%lld,\"executor\":\"%s\",\"incarnation\":%lld,\"event\":\"%s\",\"job\":%lld,\"no\":%lld,"
             "\"attempt\":%lld,\"cores\":%lld,\"memMb\":%lld,\"outcome\":\"%s\",\"capCores\":%lld,\"capMb\":%lld}\n",
-            (long long)role->w->calls->mono_ms(role->w), r->executor, (long long)r->incarnation, events[r->event],
-            (long long)r->job, (long long)r->no, (long long)r->attempt, (long long)r->cores, (long long)r->mem_mb,
-            r->outcome ? r->outcome : "", (long long)role->executor.state.cores,
-            (long long)role->executor.state.mem_mb);
+            (long long)role->world->calls->mono_ms(role->world), record->executor, (long long)record->incarnation,
+            events[record->event], (long long)record->job, (long long)record->no, (long long)record->attempt,
+            (long long)record->cores, (long long)record->mem_mb, record->outcome ? record->outcome : "",
+            (long long)role->executor.state.cores, (long long)role->executor.state.mem_mb);
     (void)fflush(role->journal);
 }
 
@@ -156,16 +156,16 @@
 }
 static int executor_left_arg(void *arg)
 {
-    const struct executor *e = &((struct executor_role *)arg)->executor;
-    return (!e->n_work && !e->n_ended) || world_ms(e->w) >= e->leave_at_ms;
+    const struct executor *executor = &((struct executor_role *)arg)->executor;
+    return (!executor->n_work && !executor->n_ended) || world_ms(executor->world) >= executor->leave_at_ms;
 }
-static void executor_faults(void *arg, const struct local *local)
+static void executor_reload_faults(void *arg, const struct local *local)
 {
-    struct executor *e = &((struct executor_role *)arg)->executor;
-    e->fail_pct = local->fail_pct;
-    e->stall_pct = local->stall_pct;
-    e->slow_pct = local->slow_pct;
-    e->stop_ms = local->stop_ms;
+    struct executor *executor = &((struct executor_role *)arg)->executor;
+    executor->fail_pct = local->fail_pct;
+    executor->stall_pct = local->stall_pct;
+    executor->slow_pct = local->slow_pct;
+    executor->stop_ms = local->stop_ms;
 }
 
 int role_executor(struct local *local)
@@ -177,15 +177,15 @@
     char *save = NULL, *list = must_dup(local->services), path[1200];
     for (char *one = strtok_r(list, ", ", &save); one && n < COUNT_OF(services); one = strtok_r(NULL, ", ", &save))
         services[n++] = one;
-    int rc = begin(&real, local);
+    int rc = start_process(&real, local);
     real.role = (struct role){.arg = &role,
                               .on_timer = executor_on_timer_arg,
-                              .request = executor_request_arg,
+                              .on_plain_request = executor_request_arg,
                               .leave = executor_leave_arg,
                               .left = executor_left_arg,
-                              .reread = executor_faults};
+                              .reread = executor_reload_faults};
     role.local = local;
-    role.w = &real.base;
+    role.world = &real.base;
     if (!rc) {
         struct exec_setup setup = {.name = local->name,
                                    .cluster = local->cluster,
@@ -202,7 +202,7 @@
         executor_start(&role.executor, &real.base, &setup);
         role.executor.journal = executor_journal;
         role.executor.journal_arg = &role;
-        executor_faults(&role, local);
+        executor_reload_faults(&role, local);
         if (local->data) {
             snprintf(path, sizeof path, "%s/journal.jsonl", local->data);
             role.journal = fopen(path, "a");
@@ -215,7 +215,7 @@
             (void)fclose(role.journal);
     }
     free(list);
-    return finish(&real, rc);
+    return end_process(&real, rc);
 }
 
 /* --- caller ------------------------------------------------------------------------------- */
@@ -242,7 +242,7 @@
         fprintf(stderr, "sagehitch: deployment: expected dackhuset or dau-suoi-am\n");
         return 1;
     }
-    int rc = begin(&real, local);
+    int rc = start_process(&real, local);
     snprintf(name, sizeof name, "%.20s-%llx", local->name ? local->name : "caller",
              (unsigned long long)(real.base.calls->random(&real.base) >> 24));
     real.role = (struct role){.arg = &role, .on_timer = caller_on_timer_arg};
@@ -262,5 +262,5 @@
         puts(report);
         free(report);
     }
-    return finish(&real, rc);
+    return end_process(&real, rc);
 }
--- a/tests/proc/answers_test.cc
+++ b/tests/proc/answers_test.cc
@@ -1,6 +1,7 @@
-// Whose answer: thousands of requests on hundreds of connections that pipeline, send a byte at a time, close and
-// reset, answered in any order, late, twice, or after their caller went away. Each answer carries what only its own
-// request can have caused, and is checked where it arrives.
+// The HTTP server under concurrent requests; guards against a response that reaches another request. Thousands of
+// requests on hundreds of connections are pipelined, sent byte by byte, closed or reset, and answered in any order,
+// late, twice, or after their client disconnected. Each response contains the id of its request, which the client
+// checks.
 #include <map>
 #include <memory>
 #include <random>
@@ -12,28 +13,28 @@
 namespace
 {
 
-enum Manner { PLAIN, PIPELINE, SLOW, RESET_INSIDE, RESET_AFTER, CLOSE_AFTER, CLOSE_HALF, MANNERS };
+enum SendMode { PLAIN, PIPELINE, SLOW, RESET_IN_REQUEST, RESET_AFTER, CLOSE_AFTER, CLOSE_HALF, SEND_MODES };
 
-struct Waiting {
+struct PendingRequest {
     int64_t slot;
     std::string id;
 };
 
-std::string answer_of(const std::string &id)
+std::string response_for(const std::string &id)
 {
     size_t more = std::stoul(id) % 50 == 7 ? 150000 : std::stoul(id) % 7 * 30;
     return "for " + id + " " + std::string(more, (char)('a' + std::stoul(id) % 26));
 }
 
-// The serving side: it knows of a request only what it was handed.
-struct Door : Rig {
+// The server. Of a request it knows only what the HTTP server passed to it.
+struct Server : Rig {
     std::mt19937 random;
     uint16_t port;
-    std::vector<Waiting> waiting, former; // former: answered before, or long ago
-    std::map<std::string, int> taken;
-    int64_t stale = 0;
+    std::vector<PendingRequest> pending, answered_requests;
+    std::map<std::string, int> received;
+    int64_t stale_responses = 0;
 
-    explicit Door(unsigned seed) : random(seed)
+    explicit Server(unsigned seed) : random(seed)
     {
         int fd = listen_anywhere();
         port = port_of(fd);
@@ -47,63 +48,65 @@
 
     static void on_web(void *arg, int64_t slot, const struct http_request *request)
     {
-        Door *door = (Door *)arg;
+        Server *server = (Server *)arg;
         std::string id = request->path + 1, body(request->body, (size_t)request->len);
         const char *header = request->header(request, "X-Id");
         EXPECT_EQ(header ? header : "", id) << "the header is another request's";
         EXPECT_EQ(body, "body of " + id) << "the body is another request's";
-        EXPECT_EQ(++door->taken[id], 1) << id << " was handed on twice";
-        door->waiting.push_back({slot, id});
-        if (door->one_in(10)) // at once, from within
-            door->give(door->waiting.size() - 1);
+        EXPECT_EQ(++server->received[id], 1) << id << " was passed on twice";
+        server->pending.push_back({slot, id});
+        if (server->one_in(10)) // within the callback
+            server->respond(server->pending.size() - 1);
     }
-    void give(size_t i)
+    void respond(size_t i)
     {
-        Waiting at = waiting[i];
-        waiting.erase(waiting.begin() + (long)i);
-        former.push_back(at);
-        real.base.calls->answer(&real.base, at.slot, 200, 0, answer_of(at.id).c_str());
+        PendingRequest at = pending[i];
+        pending.erase(pending.begin() + (long)i);
+        answered_requests.push_back(at);
+        real.base.calls->answer(&real.base, at.slot, 200, 0, response_for(at.id).c_str());
     }
-    // Some are answered, in any order; some that were answered, or whose caller is gone, once more, and falsely.
-    void answer_some()
+    // Responds to some requests in any order, and sends stale responses to some that were answered or disconnected.
+    void respond_to_some()
     {
-        for (int i = 0; i < 6 && !waiting.empty() && one_in(2); i++)
-            give(random() % waiting.size());
-        for (int i = 0; i < 3 && !former.empty(); i++, stale++) {
-            const Waiting &old = former[former.size() - 1 - random() % std::min<size_t>(former.size(), 500)];
+        for (int i = 0; i < 6 && !pending.empty() && one_in(2); i++)
+            respond(random() % pending.size());
+        for (int i = 0; i < 3 && !answered_requests.empty(); i++, stale_responses++) {
+            const PendingRequest &old = answered_requests[answered_requests.size() - 1 -
+                                                          random() % std::min<size_t>(answered_requests.size(), 500)];
             real.base.calls->answer(&real.base, old.slot, 200, 0, ("stale " + old.id).c_str());
         }
     }
 };
 
-struct Counts {
+struct Totals {
     int64_t sent = 0, answered = 0, abandoned = 0, connections = 0;
 };
 
-// One connection: requests of one manner, then its end.
+// A connection that sends requests in one mode and then ends.
 struct Client {
     int fd;
-    Manner manner;
+    SendMode mode;
     std::string out, in;
-    std::vector<std::string> ids; // of requests not answered yet, in the order sent
-    std::vector<std::string> later;
-    size_t cut = std::string::npos; // RESET_INSIDE: so many bytes are sent
-    int patience;                   // turns until the end, once all is sent
+    std::vector<std::string> ids; // of the requests without a response, in the order sent
+    std::vector<std::string> unsent_ids;
+    size_t send_limit = std::string::npos; // RESET_IN_REQUEST: number of bytes that are sent before the reset
+    int turns_left;                        // turns until the connection ends, once everything is sent
     bool ended = false;
 
-    Client(Door &door, int64_t &next_id, Counts &counts)
-        : fd(connect_to(door.port)), manner((Manner)(door.random() % MANNERS)), patience((int)(door.random() % 30))
+    Client(Server &server, int64_t &next_id, Totals &counts)
+        : fd(connect_to(server.port)), mode((SendMode)(server.random() % SEND_MODES)),
+          turns_left((int)(server.random() % 30))
     {
         counts.connections++;
-        size_t n = 1 + door.random() % 8;
+        size_t n = 1 + server.random() % 8;
         for (size_t i = 0; i < n; i++)
-            later.push_back(std::to_string(next_id++));
+            unsent_ids.push_back(std::to_string(next_id++));
         counts.sent += (int64_t)n;
         next();
-        while (manner != PLAIN && manner != SLOW && !later.empty())
+        while (mode != PLAIN && mode != SLOW && !unsent_ids.empty())
             next();
-        if (manner == RESET_INSIDE)
-            cut = 1 + door.random() % out.size();
+        if (mode == RESET_IN_REQUEST)
+            send_limit = 1 + server.random() % out.size();
     }
     ~Client()
     {
@@ -112,15 +115,15 @@
     }
     void next()
     {
-        std::string id = later.front(), body = "body of " + id;
-        later.erase(later.begin());
+        std::string id = unsent_ids.front(), body = "body of " + id;
+        unsent_ids.erase(unsent_ids.begin());
         ids.push_back(id);
         out += "POST /" + id + " HTTP/1.1\r\nHost: x\r\nX-Id: " + id +
                "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     }
-    void finish(bool by_reset, Counts &counts)
+    void finish(bool by_reset, Totals &counts)
     {
-        counts.abandoned += (int64_t)(ids.size() + later.size());
+        counts.abandoned += (int64_t)(ids.size() + unsent_ids.size());
         if (by_reset)
             reset(fd);
         else
@@ -128,48 +131,48 @@
         fd = -1;
         ended = true;
     }
-    bool has_to_be_answered() const { return manner == PLAIN || manner == PIPELINE || manner == SLOW; }
+    bool expects_responses() const { return mode == PLAIN || mode == PIPELINE || mode == SLOW; }
 
-    void write(Counts &counts)
+    void write(Totals &counts)
     {
-        size_t most = manner == SLOW ? 1 : std::min(out.size(), cut);
+        size_t most = mode == SLOW ? 1 : std::min(out.size(), send_limit);
         ssize_t n = out.empty() || !most ? 0 : send(fd, out.data(), most, MSG_DONTWAIT | MSG_NOSIGNAL);
         if (n > 0) {
             out.erase(0, (size_t)n);
-            cut -= cut == std::string::npos ? 0 : (size_t)n;
+            send_limit -= send_limit == std::string::npos ? 0 : (size_t)n;
         }
-        bool sent = out.empty() || !cut;
-        if (!sent || patience-- > 0 || has_to_be_answered())
+        bool sent = out.empty() || !send_limit;
+        if (!sent || turns_left-- > 0 || expects_responses())
             return;
-        if (manner == CLOSE_HALF) {
+        if (mode == CLOSE_HALF) {
             shutdown(fd, SHUT_WR);
-            if (patience < -2000)
+            if (turns_left < -2000)
                 finish(false, counts);
         } else {
-            finish(manner != CLOSE_AFTER, counts);
+            finish(mode != CLOSE_AFTER, counts);
         }
     }
-    void read(Counts &counts)
+    void read(Totals &counts)
     {
         char bytes[65536];
-        ssize_t n = fd < 0 ? -1 : recv(fd, bytes, manner == SLOW ? 7 : sizeof bytes, MSG_DONTWAIT);
+        ssize_t n = fd < 0 ? -1 : recv(fd, bytes, mode == SLOW ? 7 : sizeof bytes, MSG_DONTWAIT);
         if (n == 0 || (n < 0 && fd >= 0 && errno != EAGAIN && errno != EINTR && errno != ENOTCONN)) {
-            EXPECT_FALSE(has_to_be_answered() && !ids.empty()) << "the door ended a connection of manner " << manner;
+            EXPECT_FALSE(expects_responses() && !ids.empty()) << "the server closed a connection of mode " << mode;
             finish(false, counts);
             return;
         }
         if (n > 0)
             in.append(bytes, (size_t)n);
-        while (take_answer(counts))
+        while (take_response(counts))
             ;
-        if (has_to_be_answered() && ids.empty() && !ended) {
-            if (later.empty())
+        if (expects_responses() && ids.empty() && !ended) {
+            if (unsent_ids.empty())
                 finish(false, counts);
             else
                 next();
         }
     }
-    bool take_answer(Counts &counts)
+    bool take_response(Totals &counts)
     {
         size_t head = in.find("\r\n\r\n"), at = in.find("Content-Length: ");
         if (head == std::string::npos)
@@ -181,25 +184,25 @@
             return false;
         std::string body = in.substr(head + 4, len);
         in.erase(0, head + 4 + len);
-        EXPECT_FALSE(ids.empty()) << "an answer to nothing: " << body.substr(0, 60);
+        EXPECT_FALSE(ids.empty()) << "a response without a request: " << body.substr(0, 60);
         if (ids.empty())
             return false;
-        EXPECT_TRUE(body == answer_of(ids[0])) << "request " << ids[0] << " got: " << body.substr(0, 60);
+        EXPECT_TRUE(body == response_for(ids[0])) << "request " << ids[0] << " got: " << body.substr(0, 60);
         ids.erase(ids.begin());
         counts.answered++;
         return true;
     }
 };
 
-Counts crowd(unsigned seed, int64_t requests, size_t at_once)
+Totals run_clients(unsigned seed, int64_t requests, size_t max_clients)
 {
-    Door door(seed);
-    Counts counts;
+    Server server(seed);
+    Totals counts;
     std::vector<std::unique_ptr<Client>> clients;
     int64_t next_id = 1;
     auto turn = [&] {
-        while (clients.size() < at_once && next_id < requests)
-            clients.push_back(std::make_unique<Client>(door, next_id, counts));
+        while (clients.size() < max_clients && next_id < requests)
+            clients.push_back(std::make_unique<Client>(server, next_id, counts));
         for (size_t i = 0; i < clients.size();) {
             clients[i]->write(counts);
             if (!clients[i]->ended)
@@ -209,27 +212,27 @@
             else
                 i++;
         }
-        door.answer_some();
+        server.respond_to_some();
     };
-    EXPECT_TRUE(door.until([&] { return testing::Test::HasFailure() || (next_id >= requests && clients.empty()); },
-                           60000, turn))
-        << clients.size() << " connections hang, one of manner " << (clients.empty() ? -1 : clients[0]->manner);
-    // those whose callers went away are answered too, to nobody
-    while (!door.waiting.empty())
-        door.give(0);
-    door.until([&] { return !door.real.requests.used; }, 2000);
-    EXPECT_EQ(door.real.requests.used, 0) << "requests are kept though all callers are gone";
-    EXPECT_GT(door.stale, counts.sent / 4);
+    EXPECT_TRUE(server.until([&] { return testing::Test::HasFailure() || (next_id >= requests && clients.empty()); },
+                             60000, turn))
+        << clients.size() << " connections do not end, one of mode " << (clients.empty() ? -1 : clients[0]->mode);
+    // requests whose clients disconnected get a response too
+    while (!server.pending.empty())
+        server.respond(0);
+    server.until([&] { return !server.real.requests.used; }, 2000);
+    EXPECT_EQ(server.real.requests.used, 0) << "requests are kept although all clients have disconnected";
+    EXPECT_GT(server.stale_responses, counts.sent / 4);
     return counts;
 }
 
 } // namespace
 
-TEST(Answers, each_goes_to_the_request_that_caused_it)
+TEST(HttpServer, each_response_goes_to_its_request)
 {
-    Counts all;
+    Totals all;
     for (unsigned seed = 1; seed <= 4 && !HasFailure(); seed++) {
-        Counts counts = crowd(seed, 3000, 150);
+        Totals counts = run_clients(seed, 3000, 150);
         EXPECT_FALSE(HasFailure()) << "seed " << seed;
         all.sent += counts.sent;
         all.answered += counts.answered;
--- a/tests/proc/at_once_test.cc
+++ b/tests/proc/at_once_test.cc
@@ -1,4 +1,4 @@
-// What a turn sends is on its way before the turn ends, since it may end in a sync that takes long.
+// Frames and responses are sent before the current iteration of the loop ends, since it may end with a slow disk sync.
 #include <poll.h>
 
 #include "proc_rig.h"
@@ -8,13 +8,13 @@
 namespace
 {
 
-enum { MOST_MS = 20000 };
+enum { MAX_MS = 20000 };
 
-// Waits for bytes without turning any loop of ours.
+// Waits until fd is readable, without running any event loop of this process.
 bool readable(int fd)
 {
     struct pollfd at = {fd, POLLIN, 0};
-    return poll(&at, 1, MOST_MS) == 1;
+    return poll(&at, 1, MAX_MS) == 1;
 }
 
 struct blob *blob_of(const std::string &text)
@@ -33,7 +33,7 @@
 
 } // namespace
 
-TEST(AtOnce, AFrameOnAnOpenConnectionLeavesWithinTheTurn)
+TEST(PromptSend, AFrameOnAnOpenConnectionIsSentAtOnce)
 {
     Rig sender;
     int listening = listen_anywhere(), fd = -1;
@@ -47,9 +47,9 @@
             got += fd >= 0 ? received(fd) : "";
             return got == "first ";
         },
-        MOST_MS));
+        MAX_MS));
     net_send(&sender.real.base, to, second, 0);
-    EXPECT_TRUE(readable(fd)) << "and no loop has turned";
+    EXPECT_TRUE(readable(fd)) << "without running the loop";
     EXPECT_EQ(received(fd), "second");
     blob_drop(first);
     blob_drop(second);
@@ -57,29 +57,29 @@
     close(listening);
 }
 
-TEST(AtOnce, AnAnswerLeavesWhenTheTurnBegins)
+TEST(PromptSend, AFlushSendsTheResponses)
 {
-    Rig door;
-    int picked = listen_anywhere();
-    uint16_t port = port_of(picked);
-    close(picked);
+    Rig server;
+    int probe_fd = listen_anywhere();
+    uint16_t port = port_of(probe_fd);
+    close(probe_fd);
     static int64_t slot;
     slot = -1;
-    door.real.role.web = [](void *, int64_t at, const struct http_request *) { slot = at; };
+    server.real.role.web = [](void *, int64_t at, const struct http_request *) { slot = at; };
     int64_t addrs[LISTENERS] = {(int64_t)loopback(port)};
-    ASSERT_EQ(web_open(&door.real, addrs), 0);
+    ASSERT_EQ(web_open(&server.real, addrs), 0);
     int fd = connect_to(port);
     const std::string request = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n";
     bool sent = false;
-    ASSERT_TRUE(door.until(
+    ASSERT_TRUE(server.until(
         [&] {
             sent = sent || send(fd, request.data(), request.size(), MSG_NOSIGNAL) == (ssize_t)request.size();
             return slot >= 0;
         },
-        MOST_MS));
-    api_reply(&door.real.base, slot, 200, 0, "{}");
-    api_flush(&door.real);
-    EXPECT_TRUE(readable(fd)) << "and no loop has turned";
+        MAX_MS));
+    http_server_respond(&server.real.base, slot, 200, 0, "{}");
+    http_server_flush(&server.real);
+    EXPECT_TRUE(readable(fd)) << "without running the loop";
     EXPECT_EQ(received(fd).substr(0, 12), "HTTP/1.1 200");
     close(fd);
 }
--- a/tests/proc/calls_test.cc
+++ b/tests/proc/calls_test.cc
@@ -1,4 +1,4 @@
-// What is sent how often when connections break: a call that may not be repeated is sent once.
+// The HTTP client on connections that break; guards against a second delivery of a call that is not repeatable.
 #include "standin.h"
 
 using namespace proc_rig;
@@ -13,48 +13,48 @@
     int64_t took_ms = 0;
 };
 
-constexpr int64_t PATIENT_MS = 20000, SHORT_MS = 25;
+constexpr int64_t LONG_TIMEOUT_MS = 20000, SHORT_TIMEOUT_MS = 25;
 
-struct Calls : Rig {
-    struct Under {
+struct ClientRig : Rig {
+    struct Pending {
         Result *result;
         int64_t begun_ms;
     };
 
     static void on_done(void *arg, int64_t tag, int status, const char *body, int64_t len)
     {
-        std::unique_ptr<Under> under((Under *)arg);
+        std::unique_ptr<Pending> pending((Pending *)arg);
         EXPECT_EQ(tag, 42);
-        EXPECT_FALSE(under->result->done) << "told twice";
-        under->result->done = true;
-        under->result->status = status;
-        under->result->body = std::string(body, (size_t)len);
-        under->result->took_ms = mono_ms(nullptr) - under->begun_ms;
+        EXPECT_FALSE(pending->result->done) << "done() was called twice";
+        pending->result->done = true;
+        pending->result->status = status;
+        pending->result->body = std::string(body, (size_t)len);
+        pending->result->took_ms = mono_ms(nullptr) - pending->begun_ms;
     }
-    void call(Standin &to, const char *method, const std::string &path, const std::string &body, int64_t wait_ms,
-              Result &result)
+    void call(FaultyServer &server, const char *method, const std::string &path, const std::string &body,
+              int64_t wait_ms, Result &result)
     {
-        struct http_call call = {to.addr(),
+        struct http_call call = {server.addr(),
                                  method,
                                  path.c_str(),
                                  "Expected-Executor: A",
                                  body.c_str(),
                                  wait_ms,
                                  on_done,
-                                 new Under{&result, mono_ms(nullptr)},
+                                 new Pending{&result, mono_ms(nullptr)},
                                  42};
-        out_call(&real.base, &call);
+        http_client_call(&real.base, &call);
     }
-    Result call_and_wait(Standin &to, const char *method, const std::string &path, const std::string &body,
-                         int64_t wait_ms = PATIENT_MS)
+    Result call_and_wait(FaultyServer &server, const char *method, const std::string &path, const std::string &body,
+                         int64_t wait_ms = LONG_TIMEOUT_MS)
     {
         Result result;
-        call(to, method, path, body, wait_ms, result);
-        EXPECT_TRUE(until([&] { return result.done; }, PATIENT_MS * 2, [&] { to.turn(); }));
-        // whatever is still to come: what curl sends anew arrives within these turns
+        call(server, method, path, body, wait_ms, result);
+        EXPECT_TRUE(until([&] { return result.done; }, LONG_TIMEOUT_MS * 2, [&] { server.turn(); }));
+        // a request that curl sends again arrives within these turns
         for (int i = 0; i < 5; i++) {
             ev_run(real.loop, EVRUN_NOWAIT);
-            to.turn();
+            server.turn();
         }
         return result;
     }
@@ -62,147 +62,149 @@
 
 const std::string BODY = "{\"taskId\":\"one\"}";
 
-// One call whose connection breaks there; kept: on a connection that has carried another call before.
-void broken(const char *method, Fault fault, bool kept)
+// A call whose connection breaks as fault says. kept: the connection carried another call before.
+void call_with_fault(const char *method, Fault fault, bool kept)
 {
-    Calls calls;
-    Standin to;
+    ClientRig client;
+    FaultyServer server;
     if (kept) {
-        ASSERT_EQ(calls.call_and_wait(to, method, "/warm", "warm").status, 200);
+        ASSERT_EQ(client.call_and_wait(server, method, "/warm", "warm").status, 200);
     }
-    int64_t accepted = to.accepted;
-    to.faults["/start"] = fault;
-    Result result = calls.call_and_wait(to, method, "/start", BODY, fault.how == SILENT ? SHORT_MS : PATIENT_MS);
+    int64_t accepted = server.accepted;
+    server.faults["/start"] = fault;
+    Result result =
+        client.call_and_wait(server, method, "/start", BODY, fault.kind == SILENT ? SHORT_TIMEOUT_MS : LONG_TIMEOUT_MS);
     std::string where = std::string(method) + (kept ? ", kept" : ", fresh") +
-                        (fault.in_answer ? ", answer" : ", request") + " byte " + std::to_string(fault.byte) + " how " +
-                        std::to_string(fault.how);
-    int arrived = to.arrivals.count(BODY) ? to.arrivals[BODY] : 0;
+                        (fault.in_response ? ", response" : ", request") + " byte " + std::to_string(fault.byte) +
+                        " kind " + std::to_string(fault.kind);
+    int arrived = server.arrivals.count(BODY) ? server.arrivals[BODY] : 0;
     EXPECT_LE(arrived, 1) << where << ": it arrived more than once";
-    EXPECT_EQ(to.accepted - accepted, kept ? 0 : 1) << where << ": it was begun anew";
-    bool whole = fault.in_answer && fault.byte >= to.answer_to(BODY).size();
+    EXPECT_EQ(server.accepted - accepted, kept ? 0 : 1) << where << ": it was sent on a second connection";
+    bool whole = fault.in_response && fault.byte >= server.response_to(BODY).size();
     EXPECT_EQ(result.status, whole ? 200 : 0) << where;
-    EXPECT_EQ(arrived, fault.in_answer ? 1 : 0) << where;
+    EXPECT_EQ(arrived, fault.in_response ? 1 : 0) << where;
     if (whole) {
         EXPECT_EQ(result.body, BODY) << where;
     }
-    if (fault.how != SILENT) {
-        EXPECT_LT(result.took_ms, PATIENT_MS / 4) << where << ": a lost connection is no silence";
+    if (fault.kind != SILENT) {
+        EXPECT_LT(result.took_ms, LONG_TIMEOUT_MS / 4)
+            << where << ": a broken connection must not wait for the timeout";
     }
 }
 
 } // namespace
 
-TEST(Calls, one_that_may_not_be_repeated_is_sent_once_wherever_its_connection_breaks)
+TEST(HttpClient, a_call_that_is_not_repeatable_is_sent_once_wherever_its_connection_breaks)
 {
-    size_t answer = Standin().answer_to(BODY).size();
+    size_t response_size = FaultyServer().response_to(BODY).size();
     for (bool kept : {false, true})
-        for (How how : {RESET, CLOSED, SILENT}) {
-            size_t step = how == SILENT ? 16 : 1;
-            // a kept one that ends before any byte: a_connection_closed_while_idle...
+        for (FaultKind kind : {RESET, CLOSED, SILENT}) {
+            size_t step = kind == SILENT ? 16 : 1;
+            // kept, byte 0: see a_connection_closed_while_idle_costs_no_call
             for (size_t byte = kept; byte < 130 && !testing::Test::HasFailure(); byte += step)
-                broken("POST", {how, false, byte}, kept);
-            for (size_t byte = 0; byte < answer && !testing::Test::HasFailure(); byte += step)
-                broken("POST", {how, true, byte}, kept);
-            broken("POST", {how, true, answer}, kept);
+                call_with_fault("POST", {kind, false, byte}, kept);
+            for (size_t byte = 0; byte < response_size && !testing::Test::HasFailure(); byte += step)
+                call_with_fault("POST", {kind, true, byte}, kept);
+            call_with_fault("POST", {kind, true, response_size}, kept);
         }
 }
 
-TEST(Calls, one_of_many_bytes_is_sent_once_too)
+TEST(HttpClient, a_large_call_is_sent_once)
 {
     std::string big(300000, 'x');
     for (size_t byte : {(size_t)1, (size_t)1000, (size_t)100000, big.size()}) {
-        Calls calls;
-        Standin to;
-        ASSERT_EQ(calls.call_and_wait(to, "POST", "/warm", "1").status, 200);
-        to.faults["/start"] = {RESET, false, byte};
-        EXPECT_EQ(calls.call_and_wait(to, "POST", "/start", big).status, 0) << byte;
-        EXPECT_EQ(to.accepted, 1) << byte;
+        ClientRig client;
+        FaultyServer server;
+        ASSERT_EQ(client.call_and_wait(server, "POST", "/warm", "1").status, 200);
+        server.faults["/start"] = {RESET, false, byte};
+        EXPECT_EQ(client.call_and_wait(server, "POST", "/start", big).status, 0) << byte;
+        EXPECT_EQ(server.accepted, 1) << byte;
     }
 }
 
-TEST(Calls, one_without_a_body_is_sent_once_too)
+TEST(HttpClient, a_call_without_a_body_is_sent_once)
 {
-    Calls calls;
-    Standin to;
-    ASSERT_EQ(calls.call_and_wait(to, "POST", "/warm", "").status, 200);
-    to.faults["/start"] = {RESET, true, 0};
-    EXPECT_EQ(calls.call_and_wait(to, "POST", "/start", "").status, 0);
-    EXPECT_EQ(to.arrivals["/start"], 1);
+    ClientRig client;
+    FaultyServer server;
+    ASSERT_EQ(client.call_and_wait(server, "POST", "/warm", "").status, 200);
+    server.faults["/start"] = {RESET, true, 0};
+    EXPECT_EQ(client.call_and_wait(server, "POST", "/start", "").status, 0);
+    EXPECT_EQ(server.arrivals["/start"], 1);
 }
 
-TEST(Calls, one_that_only_reads_is_begun_anew_where_its_kept_connection_broke)
+TEST(HttpClient, a_get_is_sent_again_if_its_kept_connection_breaks)
 {
-    Calls calls;
-    Standin to;
-    ASSERT_EQ(calls.call_and_wait(to, "GET", "/warm", "").status, 200);
-    to.faults["/look"] = {RESET, true, 0};
-    EXPECT_EQ(calls.call_and_wait(to, "GET", "/look", "").status, 200);
-    EXPECT_EQ(to.accepted, 2);
+    ClientRig client;
+    FaultyServer server;
+    ASSERT_EQ(client.call_and_wait(server, "GET", "/warm", "").status, 200);
+    server.faults["/look"] = {RESET, true, 0};
+    EXPECT_EQ(client.call_and_wait(server, "GET", "/look", "").status, 200);
+    EXPECT_EQ(server.accepted, 2);
 }
 
-// What follows on a call that broke goes out on a new connection; those that end well share one.
-TEST(Calls, connections_are_kept_and_a_broken_one_is_not_used_again)
+// Calls that succeed share a connection; the call after a failed one opens a new connection.
+TEST(HttpClient, connections_are_kept_and_a_broken_one_is_not_used_again)
 {
-    Calls calls;
-    Standin to;
+    ClientRig client;
+    FaultyServer server;
     for (int i = 0; i < 20; i++)
-        ASSERT_EQ(calls.call_and_wait(to, "POST", "/start", std::to_string(i)).status, 200);
-    EXPECT_EQ(to.accepted, 1);
-    to.faults["/start"] = {SILENT, true, 10};
-    EXPECT_EQ(calls.call_and_wait(to, "POST", "/start", "x", SHORT_MS).status, 0);
+        ASSERT_EQ(client.call_and_wait(server, "POST", "/start", std::to_string(i)).status, 200);
+    EXPECT_EQ(server.accepted, 1);
+    server.faults["/start"] = {SILENT, true, 10};
+    EXPECT_EQ(client.call_and_wait(server, "POST", "/start", "x", SHORT_TIMEOUT_MS).status, 0);
     for (int i = 0; i < 20; i++)
-        ASSERT_EQ(calls.call_and_wait(to, "POST", "/start", "y" + std::to_string(i)).status, 200);
-    EXPECT_EQ(to.accepted, 2);
-    for (auto &[body, n] : to.arrivals)
+        ASSERT_EQ(client.call_and_wait(server, "POST", "/start", "y" + std::to_string(i)).status, 200);
+    EXPECT_EQ(server.accepted, 2);
+    for (auto &[body, n] : server.arrivals)
         EXPECT_EQ(n, 1) << body;
 }
 
-// One whose peer closed it while it lay idle is known before anything is sent on it.
-TEST(Calls, a_connection_closed_while_idle_costs_a_new_one_and_no_call)
+// The client notices that its peer closed an idle connection before it sends anything on it.
+TEST(HttpClient, a_connection_closed_while_idle_costs_no_call)
 {
-    for (How how : {RESET, CLOSED}) {
-        Calls calls;
-        Standin to;
-        ASSERT_EQ(calls.call_and_wait(to, "POST", "/start", "1").status, 200);
-        Standin::end(*to.connections[0], how);
-        EXPECT_EQ(calls.call_and_wait(to, "POST", "/start", "2").status, 200) << "ended how " << how;
-        EXPECT_EQ(to.accepted, 2);
+    for (FaultKind kind : {RESET, CLOSED}) {
+        ClientRig client;
+        FaultyServer server;
+        ASSERT_EQ(client.call_and_wait(server, "POST", "/start", "1").status, 200);
+        FaultyServer::end(*server.connections[0], kind);
+        EXPECT_EQ(client.call_and_wait(server, "POST", "/start", "2").status, 200) << "ended with kind " << kind;
+        EXPECT_EQ(server.accepted, 2);
     }
 }
 
-TEST(Calls, no_redirect_is_followed_and_no_proxy_is_asked)
+TEST(HttpClient, no_redirect_is_followed_and_no_proxy_is_used)
 {
     setenv("http_proxy", "http://127.0.0.1:9", 1);
     setenv("all_proxy", "http://127.0.0.1:9", 1);
-    Calls calls;
-    Standin to, other;
-    to.status = "307 Temporary Redirect";
-    to.extra = "Location: http://127.0.0.1:" + std::to_string(other.port) + "/start\r\n";
-    Result result = calls.call_and_wait(to, "POST", "/start", BODY);
+    ClientRig client;
+    FaultyServer server, other;
+    server.status = "307 Temporary Redirect";
+    server.extra = "Location: http://127.0.0.1:" + std::to_string(other.port) + "/start\r\n";
+    Result result = client.call_and_wait(server, "POST", "/start", BODY);
     unsetenv("http_proxy");
     unsetenv("all_proxy");
     EXPECT_EQ(result.status, 307);
-    EXPECT_EQ(to.arrivals[BODY], 1);
+    EXPECT_EQ(server.arrivals[BODY], 1);
     other.turn();
     EXPECT_EQ(other.accepted, 0);
 }
 
-// Handles are used again: nothing of a former call is in the next one, nor in its answer.
-TEST(Calls, a_handle_keeps_nothing_of_its_former_call)
+// A curl handle that is used again carries nothing of its previous call into the next call or its response.
+TEST(HttpClient, a_reused_handle_keeps_nothing_of_its_previous_call)
 {
-    Calls calls;
-    Standin to;
+    ClientRig client;
+    FaultyServer server;
     for (int i = 0; i < 200 && !testing::Test::HasFailure(); i++) {
         std::string id = std::to_string(i), path = "/start" + id;
         bool get = i % 3 == 1, breaks = i % 5 == 2;
         if (breaks)
-            to.faults[path] = {i % 2 ? RESET : CLOSED, true, 20};
-        Result result = calls.call_and_wait(to, get ? "GET" : "POST", path, "body " + id);
+            server.faults[path] = {i % 2 ? RESET : CLOSED, true, 20};
+        Result result = client.call_and_wait(server, get ? "GET" : "POST", path, "body " + id);
         EXPECT_EQ(result.status, breaks ? 0 : 200) << i;
         if (!breaks) {
             EXPECT_EQ(result.body, get ? path : "body " + id) << i;
         }
-        EXPECT_EQ(to.arrivals[get ? path : "body " + id], 1) << i;
+        EXPECT_EQ(server.arrivals[get ? path : "body " + id], 1) << i;
     }
-    EXPECT_EQ(calls.real.n_calls, 0);
+    EXPECT_EQ(client.real.n_calls, 0);
 }
--- a/tests/proc/cluster_rig.h
+++ b/tests/proc/cluster_rig.h
@@ -1,6 +1,6 @@
-// Whole controllers on real sockets in one process: each has its own loop, frames over TCP and UDP, an HTTP server and
-// a disk in memory. Time is virtual, one millisecond a turn, so verdicts do not hang on how busy the machine is. Frames
-// pass links that can be slow, held or cut.
+// Controllers on real sockets in one process: each has its own event loop, frames over TCP and UDP, an HTTP server and
+// a disk in memory. Time is virtual, one millisecond per turn, so results do not depend on the load of the machine.
+// Frames go through links that can be slow, held or cut.
 #ifndef SAGEHITCH_TESTS_CLUSTER_RIG_H
 #define SAGEHITCH_TESTS_CLUSTER_RIG_H
 #include <map>
@@ -20,23 +20,26 @@
 
 struct Cluster;
 
-// One start of a controller; it ends as a process does that is killed: its sockets are closed, nothing is said.
+// One start of a controller. It ends like a killed process: its sockets are closed without any message.
 struct Process : Rig {
     Cluster &cluster;
     size_t number;
     struct controller *controller = nullptr;
-    std::map<int64_t, int> answers; // by slot
+    std::map<int64_t, int> responses; // by slot
     MemoryDisk &disk;
 
-    Process(Cluster &of, size_t machine, MemoryDisk &on) : cluster(of), number(machine), disk(on) {}
+    Process(Cluster &owner, size_t machine, MemoryDisk &machine_disk)
+        : cluster(owner), number(machine), disk(machine_disk)
+    {
+    }
     ~Process()
     {
-        table.answer = api_reply; // what waits is answered to callers that are gone already
+        table.answer = http_server_respond; // the clients of waiting requests have disconnected already
         table.send = [](struct world *, uint64_t, struct blob *, int) {};
         if (controller)
             controller_free(controller);
     }
-    static Process *of(struct world *w) { return (Process *)((struct real *)w)->role.arg; }
+    static Process *process_of(struct world *w) { return (Process *)((struct real *)w)->role.arg; }
     void start(bool with_disk, bool first_start, int64_t boot, const struct api_codec *codec);
 };
 
@@ -47,8 +50,8 @@
     std::unique_ptr<Process> process;
     int64_t starts = 0;
     std::vector<std::string> events; // as "NUMBER TEXT"
-    // Whether an event of that number with that text was told.
-    bool told(int number, const std::string &text) const
+    // Whether an event with that number and that text was logged.
+    bool logged(int number, const std::string &text) const
     {
         std::string begin = std::to_string(number) + " ";
         for (const std::string &event : events)
@@ -71,19 +74,20 @@
         return now;
     }
 
-    // with_disk controllers that may vote, then without that only pass requests on.
-    Cluster(unsigned seed, size_t with_disk, size_t without, const struct api_codec *of) : random(seed), codec(of)
+    // with_disk: number of controllers that may vote; without_disk: number of those that only forward requests.
+    Cluster(unsigned seed, size_t with_disk, size_t without_disk, const struct api_codec *api)
+        : random(seed), codec(api)
     {
-        // an address block of this process alone: tests may run beside each other
+        // each test process has its own address block, so that tests can run in parallel
         uint64_t block = INADDR_LOOPBACK + ((uint64_t)(1 + getpid() % 60000) << 8);
-        for (size_t i = 0; i < with_disk + without; i++) {
-            auto m = std::make_unique<Machine>();
-            m->addr = (block + i) << 16 | FRAME_PORT;
-            m->http_addr = (block + i) << 16 | HTTP_PORT;
-            m->with_disk = i < with_disk;
-            if (m->with_disk)
-                seeds.push_back((int64_t)m->addr);
-            machines.push_back(std::move(m));
+        for (size_t i = 0; i < with_disk + without_disk; i++) {
+            auto machine = std::make_unique<Machine>();
+            machine->addr = (block + i) << 16 | FRAME_PORT;
+            machine->http_addr = (block + i) << 16 | HTTP_PORT;
+            machine->with_disk = i < with_disk;
+            if (machine->with_disk)
+                seeds.push_back((int64_t)machine->addr);
+            machines.push_back(std::move(machine));
         }
         for (size_t from = 0; from < machines.size(); from++)
             for (size_t to = 0; to < machines.size(); to++)
@@ -92,7 +96,7 @@
         for (size_t i = 0; i < machines.size(); i++)
             boot(i, true);
     }
-    size_t one_of(size_t n) { return random() % n; }
+    size_t random_below(size_t n) { return random() % n; }
     size_t machine_at(uint64_t addr) const
     {
         for (size_t i = 0; i < machines.size(); i++)
@@ -103,14 +107,14 @@
     void kill(size_t i) { machines[i]->process.reset(); }
     void boot(size_t i, bool first_start)
     {
-        Machine &m = *machines[i];
-        m.process = std::make_unique<Process>(*this, i, m.disk);
-        m.process->real.base.self = m.addr;
-        m.process->real.base.http_addr = m.http_addr;
-        int64_t boot_number = (now_ms() << 12) + (int64_t)i * 100 + m.starts++;
-        m.process->start(m.with_disk, first_start, boot_number, codec);
+        Machine &machine = *machines[i];
+        machine.process = std::make_unique<Process>(*this, i, machine.disk);
+        machine.process->real.base.self = machine.addr;
+        machine.process->real.base.http_addr = machine.http_addr;
+        int64_t boot_number = (now_ms() << 12) + (int64_t)i * 100 + machine.starts++;
+        machine.process->start(machine.with_disk, first_start, boot_number, codec);
     }
-    // The one that dispatches now; machines.size(): none, or not known.
+    // The machine that dispatches now; machines.size(): none, or unknown.
     size_t leader() const
     {
         for (size_t i = 0; i < machines.size(); i++)
@@ -118,7 +122,7 @@
                 return i;
         return machines.size();
     }
-    // All links to and from a machine.
+    // Applies change to all links to and from a machine.
     template <class Change> void each_link_of(size_t machine, Change change)
     {
         for (auto &[ends, link] : links)
@@ -133,37 +137,37 @@
         struct world *w = &machines[from]->process->real.base;
         if (!lossy)
             net_send(w, link->second->addr(), frame, 0);
-        else if (now_ms() >= link->second->held_until_ms && one_of(20))
+        else if (now_ms() >= link->second->held_until_ms && random_below(20))
             net_send(w, to, frame, 1);
     }
     void turn()
     {
         now_ms()++;
         turns++;
-        for (auto &m : machines) {
-            if (!m->process)
+        for (auto &machine : machines) {
+            if (!machine->process)
                 continue;
-            ev_run(m->process->real.loop, EVRUN_NOWAIT);
+            ev_run(machine->process->real.loop, EVRUN_NOWAIT);
             if (turns % TIMER_TURNS == 0) {
-                net_on_timer(&m->process->real);
-                controller_on_timer(m->process->controller);
+                net_on_timer(&machine->process->real);
+                controller_on_timer(machine->process->controller);
             }
-            controller_flush(m->process->controller);
+            controller_flush(machine->process->controller);
         }
         for (auto &[ends, link] : links)
             link->turn(now_ms());
     }
-    // Turns until done() or so many turns are over; returns done().
+    // Runs turns until done() or at most max_turns; returns done().
     bool until(
-        const std::function<bool()> &done, int64_t most_turns, const std::function<void()> &between = [] {})
+        const std::function<bool()> &done, int64_t max_turns, const std::function<void()> &between = [] {})
     {
-        for (int64_t i = 0; !done() && i < most_turns && !testing::Test::HasFailure(); i++) {
+        for (int64_t i = 0; !done() && i < max_turns && !testing::Test::HasFailure(); i++) {
             turn();
             between();
         }
         return done();
     }
-    // Links as they should be.
+    // Ends all delays and cuts.
     void heal()
     {
         for (auto &[ends, link] : links) {
@@ -178,16 +182,16 @@
     table.mono_ms = [](struct world *) { return Cluster::now_ms(); };
     table.wall_ms = [](struct world *) { return 1700000000000 + Cluster::now_ms(); };
     table.send = [](struct world *w, uint64_t to, struct blob *frame, int lossy) {
-        of(w)->cluster.send(of(w)->number, to, frame, lossy);
+        process_of(w)->cluster.send(process_of(w)->number, to, frame, lossy);
     };
     table.answer = [](struct world *w, int64_t slot, int status, int64_t retry_ms, const char *body) {
-        EXPECT_EQ(++of(w)->answers[slot], 1) << "a request was answered twice, now: " << body;
-        api_reply(w, slot, status, retry_ms, body);
+        EXPECT_EQ(++process_of(w)->responses[slot], 1) << "a request was answered twice, now: " << body;
+        http_server_respond(w, slot, status, retry_ms, body);
     };
     table.note = [](struct world *w, int event, const char *text) {
-        of(w)->cluster.machines[of(w)->number]->events.push_back(std::to_string(event) + " " + text);
+        process_of(w)->cluster.machines[process_of(w)->number]->events.push_back(std::to_string(event) + " " + text);
     };
-    MemoryDisk::fill(&table, [](struct world *w) -> MemoryDisk & { return of(w)->disk; });
+    MemoryDisk::fill(&table, [](struct world *w) -> MemoryDisk & { return process_of(w)->disk; });
     real.role.arg = this;
     real.role.take = [](void *arg, const uint8_t *at, int64_t len) {
         controller_take(((Process *)arg)->controller, at, len);
--- a/tests/proc/frames_test.cc
+++ b/tests/proc/frames_test.cc
@@ -1,5 +1,6 @@
-// Frames on real connections: whatever the pieces in which bytes arrive or leave, and wherever a connection ends, the
-// receiver takes whole frames, a prefix of what was sent on that connection, in order, never mixed with another's.
+// Frames on real connections; guards against partial, mixed or repeated frames. In whatever pieces bytes are sent and
+// received, and wherever a connection ends, the receiver gets whole frames: a prefix, in order, of those sent on that
+// connection.
 #include <map>
 #include <random>
 
@@ -10,9 +11,9 @@
 namespace
 {
 
-enum { MOST_MS = 60000, TURNS_AFTER = 20 };
+enum { MAX_MS = 60000, TURNS_AFTER = 20 };
 
-// A frame that says which it is, with a body of so many bytes more. Its body is not looked at here.
+// A frame whose body begins with its number, followed by size bytes. These tests do not decode the body.
 std::string frame_of(int64_t number, size_t size, const char *cluster = "test")
 {
     struct bytes body = {};
@@ -29,10 +30,10 @@
     return frame;
 }
 
-// A process that takes frames, and keeps them as they came; dropped: what a role would count as none.
+// A process that keeps the frames it receives. dropped: number of calls with bytes that are not a valid frame.
 struct Receiver : Rig {
     uint16_t port;
-    std::vector<std::string> taken;
+    std::vector<std::string> received;
     int64_t dropped = 0;
 
     Receiver()
@@ -48,7 +49,7 @@
             if (frame_parse(&frame, at, len, r->real.cluster))
                 r->dropped++;
             else
-                r->taken.emplace_back((const char *)at, (size_t)len);
+                r->received.emplace_back((const char *)at, (size_t)len);
         };
         EXPECT_EQ(net_start(&real), ERROR_NONE);
     }
@@ -57,10 +58,10 @@
         for (int i = 0; i < n; i++)
             ev_run(real.loop, EVRUN_NOWAIT);
     }
-    // Until so many frames were taken or dropped.
-    bool got(size_t frames)
+    // Runs the loop until that many frames were received or dropped; returns whether they were.
+    bool wait_for(size_t frames)
     {
-        return until([&] { return taken.size() + (size_t)dropped >= frames; }, MOST_MS);
+        return until([&] { return received.size() + (size_t)dropped >= frames; }, MAX_MS);
     }
 };
 
@@ -68,7 +69,7 @@
 {
     ASSERT_EQ(send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL), (ssize_t)bytes.size());
 }
-// Connects, and waits for the connection where the receiver runs in the same thread.
+// Connects, and runs the loop of the receiver, which is in the same thread, until it has accepted.
 int connected(Receiver &to)
 {
     int fd = connect_to(to.port);
@@ -78,34 +79,34 @@
 
 } // namespace
 
-TEST(Frames, are_taken_whole_in_whatever_pieces_they_arrive)
+TEST(Frames, are_received_whole_in_whatever_pieces_they_arrive)
 {
     Receiver to;
     const std::vector<std::string> frames = {frame_of(1, 5), frame_of(2, 0), frame_of(3, 90)};
     std::string all = frames[0] + frames[1] + frames[2];
     for (size_t cut = 0; cut <= all.size() && !HasFailure(); cut++) {
-        to.taken.clear();
+        to.received.clear();
         int fd = connected(to);
         send_all(fd, all.substr(0, cut));
         to.turns();
         send_all(fd, all.substr(cut));
-        EXPECT_TRUE(to.got(3));
-        EXPECT_EQ(to.taken, frames) << "in two pieces, the first of " << cut << " bytes";
+        EXPECT_TRUE(to.wait_for(3));
+        EXPECT_EQ(to.received, frames) << "in two pieces, the first of " << cut << " bytes";
         close(fd);
     }
-    to.taken.clear();
+    to.received.clear();
     int fd = connected(to);
     for (char byte : all) {
         send_all(fd, std::string(1, byte));
         to.turns(2);
     }
-    EXPECT_TRUE(to.got(3));
-    EXPECT_EQ(to.taken, frames) << "byte by byte";
+    EXPECT_TRUE(to.wait_for(3));
+    EXPECT_EQ(to.received, frames) << "byte by byte";
     EXPECT_EQ(to.dropped, 0);
     close(fd);
 }
 
-TEST(Frames, one_that_is_cut_off_is_not_taken_and_leaves_nothing_behind)
+TEST(Frames, a_truncated_frame_is_dropped_and_affects_no_other)
 {
     const std::vector<std::string> frames = {frame_of(1, 5), frame_of(2, 0), frame_of(3, 90)};
     std::string all = frames[0] + frames[1] + frames[2], next = frame_of(4, 10);
@@ -115,24 +116,24 @@
             std::vector<std::string> expected;
             for (size_t i = 0, end = 0; i < frames.size() && (end += frames[i].size()) <= cut; i++)
                 expected.push_back(frames[i]);
-            to.taken.clear();
+            to.received.clear();
             int fd = connected(to), other = connected(to);
             send_all(fd, all.substr(0, cut));
-            EXPECT_TRUE(to.got(expected.size()));
+            EXPECT_TRUE(to.wait_for(expected.size()));
             to.turns();
             by_reset ? reset(fd) : (void)close(fd);
             expected.push_back(next);
             send_all(other, next);
-            EXPECT_TRUE(to.got(expected.size()));
+            EXPECT_TRUE(to.wait_for(expected.size()));
             to.turns();
-            EXPECT_EQ(to.taken, expected) << "cut after " << cut << " bytes";
+            EXPECT_EQ(to.received, expected) << "cut after " << cut << " bytes";
             close(other);
         }
         EXPECT_EQ(to.dropped, 0);
     }
 }
 
-TEST(Frames, what_follows_a_head_that_is_none_is_not_taken)
+TEST(Frames, bytes_after_an_invalid_head_are_not_received)
 {
     Receiver to;
     std::string good = frame_of(1, 5), far = good, version = good, kind = good;
@@ -141,13 +142,13 @@
     version[2]++;
     kind[3] = FRAME_LAST;
     for (const std::string &bad : {far, version, kind, frame_of(1, 5, "another"), std::string(64, 'x')}) {
-        to.taken.clear();
+        to.received.clear();
         to.dropped = 0;
         int fd = connected(to);
         send_all(fd, good + bad + good);
-        EXPECT_TRUE(to.got(2));
+        EXPECT_TRUE(to.wait_for(2));
         to.turns();
-        EXPECT_EQ(to.taken, std::vector<std::string>{good});
+        EXPECT_EQ(to.received, std::vector<std::string>{good});
         EXPECT_EQ(to.dropped, 1);
         char byte;
         ssize_t n = recv(fd, &byte, 1, MSG_DONTWAIT);
@@ -156,41 +157,41 @@
     }
 }
 
-TEST(Frames, one_with_a_wrong_checksum_is_dropped_alone)
+TEST(Frames, only_the_frame_with_a_wrong_checksum_is_dropped)
 {
     Receiver to;
     std::string good = frame_of(1, 5), bad = good;
     bad[FRAME_HEAD] ^= 1;
     int fd = connected(to);
     send_all(fd, good + bad + good);
-    EXPECT_TRUE(to.got(3));
-    EXPECT_EQ(to.taken, (std::vector<std::string>{good, good}));
+    EXPECT_TRUE(to.wait_for(3));
+    EXPECT_EQ(to.received, (std::vector<std::string>{good, good}));
     EXPECT_EQ(to.dropped, 1);
     close(fd);
 }
 
-// The largest there may be is taken; of one that is a byte longer nothing is waited for.
-TEST(Frames, the_limit_is_what_the_head_says)
+// A frame of the maximum size is received. A frame that is one byte longer is dropped once its head has arrived.
+TEST(Frames, the_size_limit_is_checked_in_the_head)
 {
     Receiver to;
     std::string largest = frame_of(1, FRAME_MAX - 2);
     ASSERT_EQ(largest.size(), (size_t)FRAME_HEAD + FRAME_MAX);
     int fd = connected(to);
     size_t sent = 0;
-    EXPECT_TRUE(to.until([&] { return !to.taken.empty(); }, MOST_MS,
+    EXPECT_TRUE(to.until([&] { return !to.received.empty(); }, MAX_MS,
                          [&] {
                              ssize_t n =
                                  send(fd, largest.data() + sent, largest.size() - sent, MSG_DONTWAIT | MSG_NOSIGNAL);
                              sent += n > 0 ? (size_t)n : 0;
                          }));
-    EXPECT_TRUE(to.taken.size() == 1 && to.taken[0] == largest);
+    EXPECT_TRUE(to.received.size() == 1 && to.received[0] == largest);
     close(fd);
     std::string longer = frame_of(2, FRAME_MAX - 1);
     fd = connected(to);
     send_all(fd, longer.substr(0, FRAME_HEAD));
     to.turns();
     close(fd);
-    EXPECT_TRUE(to.until([&] { return !to.real.ins; }, MOST_MS));
+    EXPECT_TRUE(to.until([&] { return !to.real.in_connections; }, MAX_MS));
     EXPECT_EQ(to.dropped, 1) << "it waits for a frame over the limit";
 }
 
@@ -201,10 +202,11 @@
     int fd = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
     std::string good = frame_of(1, 5), large = frame_of(2, 3000);
     std::vector<std::string> all = {good, good.substr(0, good.size() - 1), good + "x", good.substr(0, 10), large, good};
-    for (const std::string &one : all)
-        ASSERT_EQ(sendto(fd, one.data(), one.size(), 0, (struct sockaddr *)&at, sizeof at), (ssize_t)one.size());
-    EXPECT_TRUE(to.got(all.size()));
-    EXPECT_EQ(to.taken, (std::vector<std::string>{good, good}));
+    for (const std::string &datagram : all)
+        ASSERT_EQ(sendto(fd, datagram.data(), datagram.size(), 0, (struct sockaddr *)&at, sizeof at),
+                  (ssize_t)datagram.size());
+    EXPECT_TRUE(to.wait_for(all.size()));
+    EXPECT_EQ(to.received, (std::vector<std::string>{good, good}));
     EXPECT_EQ(to.dropped, 4);
     close(fd);
 }
@@ -212,7 +214,7 @@
 namespace
 {
 
-// A sender of numbered frames that writes them in pieces, and may end inside one.
+// A connection that sends numbered frames in pieces, and may end within a frame.
 struct Connection {
     int fd;
     std::string out;
@@ -223,8 +225,8 @@
 
 } // namespace
 
-// Several connections at once, as an old and a new one of the same peer: pieces of all in any order.
-TEST(Frames, those_of_connections_that_cross_are_not_mixed)
+// Several open connections, like an old and a new one of the same peer. Pieces of all arrive in any order.
+TEST(Frames, frames_of_concurrent_connections_are_not_mixed)
 {
     for (unsigned seed = 1; seed <= 20 && !HasFailure(); seed++) {
         Receiver to;
@@ -256,11 +258,11 @@
             }
             to.turns((int)(random() % 3));
         }
-        EXPECT_TRUE(to.got(whole));
+        EXPECT_TRUE(to.wait_for(whole));
         to.turns(200);
         EXPECT_EQ(to.dropped, 0);
-        std::map<int64_t, size_t> next; // of each connection
-        for (const std::string &frame : to.taken) {
+        std::map<int64_t, size_t> next; // index of the next frame, by connection
+        for (const std::string &frame : to.received) {
             int64_t number = number_in(frame);
             EXPECT_EQ(number % 100, (int64_t)next[number / 100]++) << "seed " << seed << ": not a prefix";
             EXPECT_TRUE(frame == frames[number]) << "seed " << seed << ": frame " << number << " is mixed";
@@ -271,9 +273,9 @@
 namespace
 {
 
-// A sender of frames, and a peer that reads slowly and breaks off anywhere.
+// A sender of frames, and a peer that reads slowly and closes its connection anywhere.
 struct SenderAndPeer {
-    static int64_t &now_ms() // a millisecond a turn
+    static int64_t &now_ms() // advances by a millisecond in each turn
     {
         static int64_t now = 0;
         return now;
@@ -282,7 +284,7 @@
     std::mt19937 random{1};
     int listen_fd = listen_anywhere(), fd = -1;
     uint64_t to = loopback(port_of(listen_fd));
-    std::string got; // on the connection at work
+    std::string buffer; // on the current connection
     std::map<int64_t, std::string> frames;
     int64_t number = 0, last = 0, whole = 0, connections = 0;
 
@@ -290,7 +292,7 @@
     {
         from.table.mono_ms = [](struct world *) { return now_ms(); };
         from.real.out_max = 8 << 20;
-        int bytes = 64 << 10; // so that the sender has to wait inside frames
+        int bytes = 64 << 10; // a small buffer makes the sender wait within frames
         setsockopt(listen_fd, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes);
     }
     ~SenderAndPeer()
@@ -309,19 +311,20 @@
         net_send(&from.real.base, to, frame, 0);
         blob_drop(frame);
     }
-    void take_frames()
+    void check_frames()
     {
-        while (got.size() >= FRAME_HEAD) {
-            int64_t len = frame_length((const uint8_t *)got.data(), from.real.cluster);
+        while (buffer.size() >= FRAME_HEAD) {
+            int64_t len = frame_length((const uint8_t *)buffer.data(), from.real.cluster);
             ASSERT_GT(len, 0) << "no frame begins here";
-            if ((int64_t)got.size() < len)
+            if ((int64_t)buffer.size() < len)
                 return;
-            int64_t one = number_in(got);
-            EXPECT_GT(one, last) << "out of order or twice";
-            EXPECT_TRUE(got.compare(0, (size_t)len, frames[one]) == 0) << "frame " << one << " is mixed";
-            last = one;
+            int64_t frame_number = number_in(buffer);
+            EXPECT_GT(frame_number, last) << "out of order or twice";
+            EXPECT_TRUE(buffer.compare(0, (size_t)len, frames[frame_number]) == 0)
+                << "frame " << frame_number << " is mixed";
+            last = frame_number;
             whole++;
-            got.erase(0, (size_t)len);
+            buffer.erase(0, (size_t)len);
             frames.erase(frames.begin(), frames.upper_bound(last));
         }
     }
@@ -333,29 +336,29 @@
             return;
         std::vector<char> bytes(1 + random() % 8000);
         ssize_t n = recv(fd, bytes.data(), bytes.size(), MSG_DONTWAIT);
-        got.append(bytes.data(), n > 0 ? (size_t)n : 0);
-        take_frames();
+        buffer.append(bytes.data(), n > 0 ? (size_t)n : 0);
+        check_frames();
         if (n && (n < 0 || random() % 400))
             return;
         random() % 2 ? reset(fd) : (void)close(fd);
         fd = -1;
-        got.clear();
+        buffer.clear();
     }
 };
 
 } // namespace
 
-// Each connection carries whole frames in order from its first byte on, and no frame comes on two connections.
-TEST(Frames, each_connection_begins_with_a_whole_frame_and_none_is_sent_twice)
+// Each connection carries whole frames in order from its first byte, and no frame is sent on two connections.
+TEST(Frames, each_connection_begins_with_a_whole_frame_and_no_frame_is_sent_twice)
 {
-    SenderAndPeer both;
-    EXPECT_TRUE(both.from.until([&] { return both.connections > 30 || HasFailure(); }, MOST_MS,
+    SenderAndPeer pair;
+    EXPECT_TRUE(pair.from.until([&] { return pair.connections > 30 || HasFailure(); }, MAX_MS,
                                 [&] {
                                     SenderAndPeer::now_ms()++;
-                                    if (both.random() % 2)
-                                        both.send_one();
-                                    both.read();
+                                    if (pair.random() % 2)
+                                        pair.send_one();
+                                    pair.read();
                                 }));
-    EXPECT_GT(both.whole, 500);
-    EXPECT_LT(both.whole, both.number);
+    EXPECT_GT(pair.whole, 500);
+    EXPECT_LT(pair.whole, pair.number);
 }
--- a/tests/proc/link.h
+++ b/tests/proc/link.h
@@ -1,5 +1,5 @@
-// A link between two processes of a test, in one direction: what is sent to its port is passed on to a process, late,
-// cut off by a reset at any byte, or held back for a while. A stream that was begun before another may end after it.
+// A proxy for one direction between two processes of a test: it forwards the bytes sent to its port to the receiver. It
+// can delay them, hold them for a while, or reset a connection at any byte. An older stream may end after a newer one.
 #ifndef SAGEHITCH_TESTS_LINK_H
 #define SAGEHITCH_TESTS_LINK_H
 #include <deque>
@@ -13,28 +13,28 @@
 class Link
 {
     struct Chunk {
-        int64_t due_ms;
+        int64_t forward_ms;
         std::string bytes;
     };
-    // One connection of the sender and the one that stands for it at the receiver.
+    // A connection of the sender and its forwarded connection to the receiver.
     struct Stream {
         int from = -1, to = -1;
         bool sender_ended = false;
-        std::deque<Chunk> under_way;
+        std::deque<Chunk> in_transit;
     };
     std::vector<std::unique_ptr<Stream>> streams;
     int listen_fd;
     uint64_t receiver;
-    int64_t cut_after = -1; // bytes until the newest stream is reset; -1: not
+    int64_t cut_after = -1; // bytes until the newest stream is reset; -1: no reset
 
-    static void end(Stream &s, bool by_reset)
+    static void end(Stream &stream, bool by_reset)
     {
-        for (int *fd : {&s.from, &s.to}) {
+        for (int *fd : {&stream.from, &stream.to}) {
             if (*fd >= 0)
                 by_reset ? reset(*fd) : (void)close(*fd);
             *fd = -1;
         }
-        s.under_way.clear();
+        stream.in_transit.clear();
     }
     void accept_all()
     {
@@ -46,50 +46,51 @@
             opened++;
         }
     }
-    void read(Stream &s, int64_t now_ms)
+    void read(Stream &stream, int64_t now_ms)
     {
         char bytes[65536];
-        while (s.from >= 0 && !s.sender_ended) {
-            ssize_t n = recv(s.from, bytes, sizeof bytes, MSG_DONTWAIT);
+        while (stream.from >= 0 && !stream.sender_ended) {
+            ssize_t n = recv(stream.from, bytes, sizeof bytes, MSG_DONTWAIT);
             if (n < 0 && (errno == EAGAIN || errno == EINTR))
                 return;
             if (n <= 0)
-                s.sender_ended = true; // what it sent before is still under way
+                stream.sender_ended = true; // its earlier bytes are still forwarded
             else
-                s.under_way.push_back({now_ms + delay_ms, std::string(bytes, (size_t)n)});
+                stream.in_transit.push_back({now_ms + delay_ms, std::string(bytes, (size_t)n)});
         }
     }
-    // How many bytes go out now, at most.
-    size_t allowed(const Stream &s, size_t bytes) const
+    // How many bytes may be forwarded now, at most.
+    size_t max_bytes(const Stream &stream, size_t bytes) const
     {
-        return cut_after < 0 || &s != streams.back().get() ? bytes : std::min(bytes, (size_t)cut_after);
+        return cut_after < 0 || &stream != streams.back().get() ? bytes : std::min(bytes, (size_t)cut_after);
     }
-    void write(Stream &s, int64_t now_ms)
+    void write(Stream &stream, int64_t now_ms)
     {
-        while (s.to >= 0 && !s.under_way.empty() && s.under_way.front().due_ms <= now_ms && now_ms >= held_until_ms) {
-            std::string &bytes = s.under_way.front().bytes;
-            size_t most = allowed(s, bytes.size());
-            ssize_t n = most ? send(s.to, bytes.data(), most, MSG_DONTWAIT | MSG_NOSIGNAL) : 0;
+        while (stream.to >= 0 && !stream.in_transit.empty() && stream.in_transit.front().forward_ms <= now_ms &&
+               now_ms >= held_until_ms) {
+            std::string &bytes = stream.in_transit.front().bytes;
+            size_t most = max_bytes(stream, bytes.size());
+            ssize_t n = most ? send(stream.to, bytes.data(), most, MSG_DONTWAIT | MSG_NOSIGNAL) : 0;
             if (n < 0 && (errno == EAGAIN || errno == EINTR || errno == ENOTCONN))
                 return;
             if (n < 0) {
-                end(s, true);
+                end(stream, true);
                 return;
             }
             bytes.erase(0, (size_t)n);
-            if (cut_after >= 0 && &s == streams.back().get() && (cut_after -= n) <= 0) {
+            if (cut_after >= 0 && &stream == streams.back().get() && (cut_after -= n) <= 0) {
                 cuts++;
                 cut_after = -1;
-                end(s, true);
+                end(stream, true);
                 return;
             }
             if (bytes.empty())
-                s.under_way.pop_front();
+                stream.in_transit.pop_front();
         }
         char byte;
-        bool receiver_ended = s.to >= 0 && recv(s.to, &byte, 1, MSG_DONTWAIT | MSG_PEEK) == 0;
-        if (receiver_ended || (s.sender_ended && s.under_way.empty()))
-            end(s, false);
+        bool receiver_ended = stream.to >= 0 && recv(stream.to, &byte, 1, MSG_DONTWAIT | MSG_PEEK) == 0;
+        if (receiver_ended || (stream.sender_ended && stream.in_transit.empty()))
+            end(stream, false);
     }
 
   public:
@@ -99,8 +100,8 @@
     explicit Link(uint64_t to) : listen_fd(listen_anywhere()), receiver(to) {}
     ~Link()
     {
-        for (auto &s : streams)
-            end(*s, true);
+        for (auto &stream : streams)
+            end(*stream, true);
         close(listen_fd);
     }
     Link(const Link &) = delete;
@@ -109,9 +110,9 @@
     void turn(int64_t now_ms)
     {
         accept_all();
-        for (auto &s : streams) {
-            read(*s, now_ms);
-            write(*s, now_ms);
+        for (auto &stream : streams) {
+            read(*stream, now_ms);
+            write(*stream, now_ms);
         }
         while (!streams.empty() && streams.front()->from < 0)
             streams.erase(streams.begin());
--- a/tests/proc/memory_disk.h
+++ b/tests/proc/memory_disk.h
@@ -1,4 +1,4 @@
-// A disk in memory: what is written lasts, also when the process that wrote it ends.
+// A disk in memory. Everything written is durable, also without a sync and after the process that wrote it has ended.
 #ifndef SAGEHITCH_TESTS_MEMORY_DISK_H
 #define SAGEHITCH_TESTS_MEMORY_DISK_H
 #include <map>
@@ -20,7 +20,7 @@
         static MemoryDisk &(*find)(struct world *) = nullptr;
         return find;
     }
-    // find: the disk of a world.
+    // Sets the disk functions of a table. find: returns the disk of a world.
     static void fill(struct world_calls *calls, MemoryDisk &(*find)(struct world *))
     {
         of() = find;
--- a/tests/proc/orders_test.cc
+++ b/tests/proc/orders_test.cc
@@ -1,5 +1,5 @@
-// Orders of operators that are large, slow, wrong or doubled, over real sockets: each that is not taken is a numbered
-// event, and nothing of it is in force.
+// Configuration changes of operators that are large, slow, invalid or repeated, over real sockets. Guards against a
+// refused change that is not logged as an event or is partly applied.
 #include "plain_caller.h"
 #include "relay_client.h"
 
@@ -12,123 +12,133 @@
 namespace
 {
 
-enum { BOOT_TURNS = 20000, MOST_MS = 60000, BODY_MOST = 8 << 20, SLOW_MOST_S = 60 };
+enum { BOOT_TURNS = 20000, MAX_MS = 60000, BODY_MAX_BYTES = 8 << 20, SLOW_BODY_MAX_S = 60 };
 
 std::string put(const std::string &path, const std::string &body)
 {
     return "PUT " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// A cluster with a first configuration, and calls at its outer node that wait for their answer.
-struct Orders {
+// A cluster with a first configuration, and calls that wait for their response. relay_machine: a controller without a
+// disk, which forwards requests to the leader.
+struct OperatorRequests {
     Cluster cluster{1, 3, 1, &relay_codec};
     Ledger ledger;
-    const size_t outer = 3;
+    const size_t relay_machine = 3;
 
-    Orders()
+    OperatorRequests()
     {
-        for (auto &m : cluster.machines)
-            m->process->real.out_max = 8 << 20; // as on the platform
+        for (auto &machine : cluster.machines)
+            machine->process->real.out_max = 8 << 20; // as on the platform
         EXPECT_TRUE(cluster.until(
-            [&] { return call(outer, put("/config/0/1", "first")).find(" 200 ") != std::string::npos; }, BOOT_TURNS));
+            [&] { return call(relay_machine, put("/config/0/1", "first")).find(" 200 ") != std::string::npos; },
+            BOOT_TURNS));
     }
-    // The whole answer.
+    // Sends a request and returns the whole response.
     std::string call(size_t machine, const std::string &request)
     {
-        PlainCaller caller(cluster.machines[machine]->http_addr);
+        RawClient client(cluster.machines[machine]->http_addr);
         std::string left = request;
-        EXPECT_TRUE(cluster.until([&] { return whole(caller); }, BOOT_TURNS,
+        EXPECT_TRUE(cluster.until([&] { return is_complete(client); }, BOOT_TURNS,
                                   [&] {
                                       ssize_t n =
-                                          send(caller.fd, left.data(), left.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
+                                          send(client.fd, left.data(), left.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
                                       left.erase(0, n > 0 ? (size_t)n : 0);
                                   }));
-        return caller.in;
+        return client.received;
     }
-    static bool whole(PlainCaller &caller)
+    static bool is_complete(RawClient &client)
     {
-        caller.read();
-        size_t head = caller.in.find("\r\n\r\n"), at = caller.in.find("Content-Length: ");
+        client.read();
+        size_t head = client.received.find("\r\n\r\n"), at = client.received.find("Content-Length: ");
         return head != std::string::npos &&
-               caller.in.size() >= head + 4 + std::stoul(caller.in.substr(at + strlen("Content-Length: ")));
+               client.received.size() >= head + 4 + std::stoul(client.received.substr(at + strlen("Content-Length: ")));
     }
-    std::string in_force(size_t machine)
+    std::string current_config(size_t machine)
     {
         std::string answer = call(machine, get("/config"));
         return answer.substr(answer.find("\r\n\r\n") + 4);
     }
-    // The order gets this status, is told as this event at its node, and changes nothing.
-    void refused(const std::string &order, const std::string &status, int event, const std::string &text)
+    // Expects that the request gets this status, is logged as this event on its machine, and changes nothing.
+    void expect_refused(const std::string &request, const std::string &status, int event, const std::string &text)
     {
-        std::string before = in_force(outer);
-        cluster.machines[outer]->events.clear();
-        EXPECT_NE(call(outer, order).find(" " + status + " "), std::string::npos) << text;
-        EXPECT_TRUE(cluster.machines[outer]->told(event, text)) << "no event: " << text;
-        EXPECT_EQ(in_force(outer), before);
+        std::string before = current_config(relay_machine);
+        cluster.machines[relay_machine]->events.clear();
+        EXPECT_NE(call(relay_machine, request).find(" " + status + " "), std::string::npos) << text;
+        EXPECT_TRUE(cluster.machines[relay_machine]->logged(event, text)) << "no event: " << text;
+        EXPECT_EQ(current_config(relay_machine), before);
     }
 };
 
 } // namespace
 
-TEST(Orders, one_of_four_mebibytes_is_in_force_whole)
+TEST(OperatorRequests, a_configuration_of_four_mebibytes_is_applied_whole)
 {
-    Orders orders;
+    OperatorRequests operator_requests;
     std::string body(4 << 20, 'x');
     for (size_t i = 0; i < body.size(); i += 997)
         body[i] = (char)('a' + i % 26);
-    EXPECT_NE(orders.call(orders.outer, put("/config/1/2", body)).find(" 200 "), std::string::npos);
-    for (size_t machine = 0; machine < orders.cluster.machines.size(); machine++)
-        EXPECT_TRUE(orders.in_force(machine) == "kind " + std::to_string(REQUEST_CONFIG_GET) + " " + body) << machine;
+    EXPECT_NE(operator_requests.call(operator_requests.relay_machine, put("/config/1/2", body)).find(" 200 "),
+              std::string::npos);
+    for (size_t machine = 0; machine < operator_requests.cluster.machines.size(); machine++)
+        EXPECT_TRUE(operator_requests.current_config(machine) ==
+                    "kind " + std::to_string(REQUEST_CONFIG_GET) + " " + body)
+            << machine;
 }
 
-TEST(Orders, each_that_is_not_taken_is_an_event_and_changes_nothing)
+TEST(OperatorRequests, each_refused_change_is_logged_and_changes_nothing)
 {
-    Orders orders;
-    orders.refused(put("/config/none/2", "x"), "400", EV_ORDER_REFUSED, "problem=bad_field at=base expected=a number");
-    orders.refused(put("/config/1", "x"), "400", EV_ORDER_REFUSED, "problem=bad_field");
-    EXPECT_NE(orders.call(0, put("/config/1/2", "one")).find(" 200 "), std::string::npos);
-    orders.refused(put("/config/1/2", "another"), "412", EV_ORDER_REFUSED, "version=2 base=1 problem=stale_version");
-    orders.refused(put("/config/1/3", "another"), "412", EV_ORDER_REFUSED, "version=3 base=1 problem=stale_version");
-    EXPECT_NE(orders.call(1, put("/config/1/2", "one")).find(" 200 "), std::string::npos) << "sent again";
-    orders.refused(put("/config/2/3", std::string(BODY_MOST + 1, 'x')), "413", EV_REQUEST_DROPPED,
-                   "large path=/config/2/3");
+    OperatorRequests operator_requests;
+    operator_requests.expect_refused(put("/config/none/2", "x"), "400", EV_ORDER_REFUSED,
+                                     "problem=bad_field at=base expected=a number");
+    operator_requests.expect_refused(put("/config/1", "x"), "400", EV_ORDER_REFUSED, "problem=bad_field");
+    EXPECT_NE(operator_requests.call(0, put("/config/1/2", "one")).find(" 200 "), std::string::npos);
+    operator_requests.expect_refused(put("/config/1/2", "another"), "412", EV_ORDER_REFUSED,
+                                     "version=2 base=1 problem=stale_version");
+    operator_requests.expect_refused(put("/config/1/3", "another"), "412", EV_ORDER_REFUSED,
+                                     "version=3 base=1 problem=stale_version");
+    EXPECT_NE(operator_requests.call(1, put("/config/1/2", "one")).find(" 200 "), std::string::npos)
+        << "the same change again";
+    operator_requests.expect_refused(put("/config/2/3", std::string(BODY_MAX_BYTES + 1, 'x')), "413",
+                                     EV_REQUEST_DROPPED, "large path=/config/2/3");
 }
 
 namespace
 {
 
-struct Door {
-    int64_t now_ms = 0, handed_on = 0;
+struct ServerLog {
+    int64_t now_ms = 0, passed_on = 0;
     std::vector<std::string> events;
 };
 
-// A body of so many bytes, one a second; how many were sent when the connection ended or the request was handed on.
-size_t sent_slowly(Door &door, size_t size)
+// Sends a body of size bytes, one byte per second. Returns the number of bytes that were sent when the connection ended
+// or the request was passed on.
+size_t sent_slowly(ServerLog &log, size_t size)
 {
     Rig rig;
-    static Door *at;
-    at = &door;
+    static ServerLog *at;
+    at = &log;
     rig.table.mono_ms = [](struct world *) { return at->now_ms; };
     rig.table.note = [](struct world *, int event, const char *text) {
         at->events.push_back(std::to_string(event) + " " + text);
     };
-    rig.real.role.web = [](void *, int64_t, const struct http_request *) { at->handed_on++; };
+    rig.real.role.web = [](void *, int64_t, const struct http_request *) { at->passed_on++; };
     int fd = listen_anywhere();
     uint16_t port = port_of(fd);
     close(fd);
     int64_t addrs[LISTENERS] = {(int64_t)loopback(port)};
     EXPECT_EQ(web_open(&rig.real, addrs), 0);
-    PlainCaller caller(loopback(port));
-    caller.send_text("PUT /slow HTTP/1.1\r\nHost: x\r\nContent-Length: " + std::to_string(size) + "\r\n\r\n");
+    RawClient client(loopback(port));
+    client.send_text("PUT /slow HTTP/1.1\r\nHost: x\r\nContent-Length: " + std::to_string(size) + "\r\n\r\n");
     size_t sent = 0;
     char byte;
-    EXPECT_TRUE(rig.until([&] { return door.handed_on || recv(caller.fd, &byte, 1, MSG_DONTWAIT) == 0; }, MOST_MS,
+    EXPECT_TRUE(rig.until([&] { return log.passed_on || recv(client.fd, &byte, 1, MSG_DONTWAIT) == 0; }, MAX_MS,
                           [&] {
-                              for (int i = 0; i < 5; i++) // what was sent before is read
+                              for (int i = 0; i < 5; i++) // the server reads the bytes sent before
                                   ev_run(rig.real.loop, EVRUN_NOWAIT);
-                              if (sent == size || send(caller.fd, "x", 1, MSG_NOSIGNAL) != 1)
+                              if (sent == size || send(client.fd, "x", 1, MSG_NOSIGNAL) != 1)
                                   return;
-                              door.now_ms += 1000;
+                              log.now_ms += 1000;
                               sent++;
                           }));
     return sent;
@@ -136,14 +146,14 @@
 
 } // namespace
 
-TEST(Orders, one_that_comes_a_byte_a_second_is_dropped_in_the_end)
+TEST(OperatorRequests, a_body_of_one_byte_per_second_is_dropped_at_the_time_limit)
 {
-    Door slow, patient;
+    ServerLog slow, steady;
     EXPECT_LT(sent_slowly(slow, 4 << 20), (size_t)10000);
-    EXPECT_EQ(slow.handed_on, 0);
+    EXPECT_EQ(slow.passed_on, 0);
     ASSERT_EQ(slow.events.size(), 1u);
     EXPECT_EQ(slow.events[0].rfind(std::to_string(EV_REQUEST_DROPPED) + " slow path=/slow", 0), 0u) << slow.events[0];
-    EXPECT_EQ(sent_slowly(patient, SLOW_MOST_S / 2), (size_t)SLOW_MOST_S / 2);
-    EXPECT_EQ(patient.handed_on, 1);
-    EXPECT_TRUE(patient.events.empty());
+    EXPECT_EQ(sent_slowly(steady, SLOW_BODY_MAX_S / 2), (size_t)SLOW_BODY_MAX_S / 2);
+    EXPECT_EQ(steady.passed_on, 1);
+    EXPECT_TRUE(steady.events.empty());
 }
--- a/tests/proc/plain_caller.h
+++ b/tests/proc/plain_caller.h
@@ -1,4 +1,4 @@
-// A caller that writes a request when it is told to and keeps whatever comes back.
+// A client for tests that send single requests as text.
 #ifndef SAGEHITCH_TESTS_PLAIN_CALLER_H
 #define SAGEHITCH_TESTS_PLAIN_CALLER_H
 #include "proc_rig.h"
@@ -13,13 +13,13 @@
 
 inline std::string get(const std::string &path) { return "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n"; }
 
-// A caller that sends bytes and keeps what comes back.
-struct PlainCaller {
+// A client that sends bytes and keeps everything it receives.
+struct RawClient {
     int fd;
-    std::string in;
-    explicit PlainCaller(uint64_t addr) : fd(connect_at(addr)) {}
-    ~PlainCaller() { close(fd); }
-    PlainCaller(const PlainCaller &) = delete;
+    std::string received;
+    explicit RawClient(uint64_t addr) : fd(connect_at(addr)) {}
+    ~RawClient() { close(fd); }
+    RawClient(const RawClient &) = delete;
     void send_text(const std::string &text) const
     {
         ASSERT_EQ(send(fd, text.data(), text.size(), MSG_NOSIGNAL), (ssize_t)text.size());
@@ -29,18 +29,18 @@
         char bytes[4096];
         ssize_t n;
         while ((n = recv(fd, bytes, sizeof bytes, MSG_DONTWAIT)) > 0)
-            in.append(bytes, (size_t)n);
+            received.append(bytes, (size_t)n);
     }
-    // Asks once more where it was told to come back.
-    void again(const std::string &path)
+    // Sends the request again if the response was 503.
+    void retry_if_unavailable(const std::string &path)
     {
         read();
         if (status() != 503)
             return;
-        in.clear();
+        received.clear();
         send_text(get(path));
     }
-    int status() const { return in.empty() ? 0 : atoi(in.c_str() + strlen("HTTP/1.1 ")); }
+    int status() const { return received.empty() ? 0 : atoi(received.c_str() + strlen("HTTP/1.1 ")); }
 };
 
 } // namespace proc_rig
--- a/tests/proc/proc_rig.h
+++ b/tests/proc/proc_rig.h
@@ -1,5 +1,5 @@
-// One process's sockets in a test: the real http_in, http_out and net on a loop of their own, loopback addresses,
-// no sleeping: loops are turned until a condition holds.
+// The sockets of one process in a test: the production code of http_in, http_out and net with its own event loop, on
+// loopback addresses. Tests do not sleep: they run loops until a condition holds.
 #ifndef SAGEHITCH_TESTS_PROC_RIG_H
 #define SAGEHITCH_TESTS_PROC_RIG_H
 #include <arpa/inet.h>
@@ -31,9 +31,9 @@
 
 inline int64_t clock_ms(clockid_t id)
 {
-    struct timespec at;
-    clock_gettime(id, &at);
-    return (int64_t)at.tv_sec * 1000 + at.tv_nsec / 1000000;
+    struct timespec now;
+    clock_gettime(id, &now);
+    return (int64_t)now.tv_sec * 1000 + now.tv_nsec / 1000000;
 }
 inline int64_t mono_ms(struct world *) { return clock_ms(CLOCK_MONOTONIC); }
 inline int64_t wall_ms(struct world *) { return clock_ms(CLOCK_REALTIME); }
@@ -44,44 +44,44 @@
 }
 inline void note(struct world *, int, const char *) {}
 
-// 127.0.0.1 at a port, as the world writes addresses.
+// The address of a port on 127.0.0.1, in the format of struct world.
 inline uint64_t loopback(uint16_t port) { return (uint64_t)INADDR_LOOPBACK << 16 | port; }
 inline struct sockaddr_in socket_address(uint16_t port)
 {
-    struct sockaddr_in at = {};
-    at.sin_family = AF_INET;
-    at.sin_port = htons(port);
-    at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    return at;
+    struct sockaddr_in socket_addr = {};
+    socket_addr.sin_family = AF_INET;
+    socket_addr.sin_port = htons(port);
+    socket_addr.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    return socket_addr;
 }
 inline uint16_t port_of(int fd)
 {
-    struct sockaddr_in at = {};
-    socklen_t len = sizeof at;
-    getsockname(fd, (struct sockaddr *)&at, &len);
-    return ntohs(at.sin_port);
+    struct sockaddr_in socket_addr = {};
+    socklen_t len = sizeof socket_addr;
+    getsockname(fd, (struct sockaddr *)&socket_addr, &len);
+    return ntohs(socket_addr.sin_port);
 }
-// A listening socket at a port that the kernel picks.
+// A listening socket at a port chosen by the kernel.
 inline int listen_anywhere()
 {
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    struct sockaddr_in at = socket_address(0);
-    EXPECT_EQ(bind(fd, (struct sockaddr *)&at, sizeof at), 0);
+    struct sockaddr_in socket_addr = socket_address(0);
+    EXPECT_EQ(bind(fd, (struct sockaddr *)&socket_addr, sizeof socket_addr), 0);
     EXPECT_EQ(listen(fd, 1024), 0);
     return fd;
 }
-// Begins a connection to an address of the world.
+// Begins a connection to an address in the format of struct world.
 inline int connect_at(uint64_t addr)
 {
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0), on = 1;
-    struct sockaddr_in at = socket_address((uint16_t)(addr & 0xffff));
-    at.sin_addr.s_addr = htonl((uint32_t)(addr >> 16));
+    struct sockaddr_in socket_addr = socket_address((uint16_t)(addr & 0xffff));
+    socket_addr.sin_addr.s_addr = htonl((uint32_t)(addr >> 16));
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-    EXPECT_TRUE(!connect(fd, (struct sockaddr *)&at, sizeof at) || errno == EINPROGRESS);
+    EXPECT_TRUE(!connect(fd, (struct sockaddr *)&socket_addr, sizeof socket_addr) || errno == EINPROGRESS);
     return fd;
 }
 inline int connect_to(uint16_t port) { return connect_at(loopback(port)); }
-// Ends a connection by a reset, whatever is still on its way.
+// Closes a connection with a reset. Bytes that are still in transit are lost.
 inline void reset(int fd)
 {
     struct linger now = {1, 0};
@@ -89,6 +89,7 @@
     close(fd);
 }
 
+// A process with an event loop and without a role.
 struct Rig {
     struct world_calls table = {};
     struct real real = {};
@@ -99,28 +100,28 @@
         table.wall_ms = wall_ms;
         table.random = random_u64;
         table.send = net_send;
-        table.call = out_call;
-        table.answer = api_reply;
+        table.call = http_client_call;
+        table.answer = http_server_respond;
         table.note = note;
         real.base.calls = &table;
         real.listen_fd = real.udp_fd = -1;
         real.out_max = 128 << 20;
         real.cluster = (uint32_t)hash_text("test");
         real.loop = ev_loop_new(EVFLAG_AUTO);
-        out_start(&real);
+        http_client_start(&real);
     }
     ~Rig()
     {
-        api_end(&real);
-        out_end(&real);
+        http_server_end(&real);
+        http_client_end(&real);
         net_end(&real);
         ev_loop_destroy(real.loop);
     }
-    // Turns the loop, with `between` after each turn, until done() or the time is over; returns done().
+    // Runs the loop, with `between` after each iteration, until done() or the time limit; returns done().
     bool until(
-        const std::function<bool()> &done, int64_t most_ms, const std::function<void()> &between = [] {})
+        const std::function<bool()> &done, int64_t max_ms, const std::function<void()> &between = [] {})
     {
-        int64_t end_ms = mono_ms(nullptr) + most_ms;
+        int64_t end_ms = mono_ms(nullptr) + max_ms;
         while (!done() && mono_ms(nullptr) < end_ms) {
             ev_run(real.loop, EVRUN_NOWAIT);
             between();
--- a/tests/proc/relay_client.h
+++ b/tests/proc/relay_client.h
@@ -1,4 +1,4 @@
-// Callers of a cluster on real sockets, their requests in a codec of the test, and what they may be told of them.
+// Clients of a cluster on real sockets, a codec for their requests, and the checks of the responses they get.
 #ifndef SAGEHITCH_TESTS_RELAY_CLIENT_H
 #define SAGEHITCH_TESTS_RELAY_CLIENT_H
 #include <cinttypes>
@@ -12,22 +12,22 @@
 
 // --- the codec: POST /job/ID, GET /why/ID, PUT /config/BASE/VERSION, GET /config ---
 
-inline int read_request(struct api_request *request, const struct http_request *web,
+inline int read_request(struct api_request *request, const struct http_request *http_request,
                         struct validation_error *validation_error)
 {
     long long first = 0, second = 0;
     request->host = must_dup("host");
     request->path = must_dup("/q/");
-    if (sscanf(web->path, "/job/%llx", &first) == 1) {
+    if (sscanf(http_request->path, "/job/%llx", &first) == 1) {
         struct job_spec *spec = api_request_make_job(request);
         spec->id = first;
         spec->text = must_dup("");
         spec->steps = (struct step_spec *)must_alloc(sizeof(struct step_spec));
         spec->n_steps = 1;
         spec->steps[0].task_count = 1;
-    } else if (sscanf(web->path, "/why/%llx", &first) == 1) {
+    } else if (sscanf(http_request->path, "/why/%llx", &first) == 1) {
         api_request_make_why(request, first);
-    } else if (sscanf(web->path, "/config/%lld/%lld", &first, &second) == 2) {
+    } else if (sscanf(http_request->path, "/config/%lld/%lld", &first, &second) == 2) {
         struct config_change *change = api_request_make_config_put(request);
         change->base = first;
         struct config &config = change->config;
@@ -37,8 +37,8 @@
         *config.services = {must_dup("s"), must_dup("/up"), 0};
         config.queues = (struct queue_config *)must_alloc(sizeof *config.queues);
         *config.queues = {must_dup("q"), must_dup("host"), must_dup("/q/"), must_dup("s"), 1, 3, 200, 1000, 3000};
-        bytes_add(&config.raw, web->body, web->len);
-    } else if (!strcmp(web->method, "PUT")) {
+        bytes_add(&config.raw, http_request->body, http_request->len);
+    } else if (!strcmp(http_request->method, "PUT")) {
         schema_free(&api_request_schema, request);
         *request = {};
         return validation_error_named(validation_error, ERROR_BAD_FIELD, "", "base", "a number");
@@ -47,43 +47,42 @@
     }
     return ERROR_NONE;
 }
-// The text that an answer carries.
-inline std::string text_of(const struct api_response *answer)
+// The text that a response carries.
+inline std::string response_text(const struct api_response *response)
 {
     const struct bytes *text = nullptr;
-    if (answer->kind == REQUEST_WHY)
-        text = &api_response_explanation(answer)->text;
-    if (answer->kind == REQUEST_CONFIG_GET)
-        text = &api_response_document(answer)->text;
+    if (response->kind == REQUEST_WHY)
+        text = &api_response_explanation(response)->text;
+    if (response->kind == REQUEST_CONFIG_GET)
+        text = &api_response_document(response)->text;
     return text ? std::string((const char *)text->at, (size_t)text->len) : "";
 }
 
-// The kind stands in each answer, and the error's name where there is one.
-inline void write_answer(const struct api_response *answer, int *status, char **body)
+// Each response contains the kind of its request, and the name of the error if there is one.
+inline void write_response(const struct api_response *response, int *status, char **body)
 {
-    *status = answer->error == ERROR_GAVE_UP ? 504
-              : answer->error == ERROR_STALE ? 412
-                                             : error_response((int)answer->error)->status;
-    std::string raw = answer->error ? "" : text_of(answer);
-    std::string text =
-        "kind " + std::to_string(answer->kind) + " " + (answer->error ? error_response((int)answer->error)->name : raw);
+    *status = response->error == ERROR_GAVE_UP ? 504
+              : response->error == ERROR_STALE ? 412
+                                               : error_response((int)response->error)->status;
+    std::string raw = response->error ? "" : response_text(response);
+    std::string text = "kind " + std::to_string(response->kind) + " " +
+                       (response->error ? error_response((int)response->error)->name : raw);
     *body = must_dup(text.c_str());
 }
-inline const struct api_codec relay_codec = {read_request, write_answer, nullptr};
+inline const struct api_codec relay_codec = {read_request, write_response, nullptr};
 
-// --- what was asked and told
-// -------------------------------------------------------------------------------------------
+// --- requests and their responses ---------------------------------------------------------------------------------
 
-// A job: how often it was sent, and of these how often it was refused for good (429, 503), acknowledged, or neither.
-struct JobStory {
-    int64_t sent = 0, refused = 0, taken = 0, unknown = 0;
+// Counts for one job: how often it was sent, and how many of these were refused (429, 503), acknowledged, or neither.
+struct JobCounts {
+    int64_t sent = 0, refused = 0, accepted = 0, unknown = 0;
 };
 
 struct Ledger {
-    std::map<int64_t, JobStory> jobs;
-    std::vector<int64_t> taken, unclear;
+    std::map<int64_t, JobCounts> jobs;
+    std::vector<int64_t> accepted, uncertain;
     std::vector<config_register::Call> configs;
-    int64_t newest = 0, clock = 0, told = 0, lost = 0, tokens = 0, doubtful = 0;
+    int64_t newest_version = 0, clock = 0, responses = 0, lost = 0, explanations = 0, timeouts = 0;
 };
 
 struct Request {
@@ -93,16 +92,16 @@
     std::string text;
 };
 
-// One caller: a kept connection to a machine, one request at a time. It may go away before the answer.
+// A client with one connection to a machine and one request at a time. It may disconnect before the response.
 class Client
 {
     Cluster &cluster;
     Ledger &ledger;
     size_t number, machine = 0;
     int fd = -1;
-    std::string in, out;
+    std::string received, unsent;
     Request request;
-    int64_t leaves_ms = 0;
+    int64_t disconnect_ms = 0;
 
     std::string http(const std::string &method, const std::string &path, const std::string &body = "") const
     {
@@ -115,101 +114,102 @@
         snprintf(text, sizeof text, "%016" PRIx64, (uint64_t)id);
         return text;
     }
-    void ask_job(int64_t id)
+    void send_job(int64_t id)
     {
         request.kind = REQUEST_JOB;
         request.job = id;
         ledger.jobs[id].sent++;
         request.text = http("POST", "/job/" + hex(id));
     }
-    void ask_why(int64_t id)
+    void send_why(int64_t id)
     {
         request.kind = REQUEST_WHY;
         request.job = id;
-        request.known = ledger.jobs.count(id) && ledger.jobs[id].taken;
+        request.known = ledger.jobs.count(id) && ledger.jobs[id].accepted;
         request.text = http("GET", "/why/" + hex(id));
     }
-    void ask_config_put()
+    void send_config_put()
     {
-        int64_t base = ledger.newest, version = base + 1 + (int64_t)cluster.one_of(2);
+        int64_t base = ledger.newest_version, version = base + 1 + (int64_t)cluster.random_below(2);
         std::string body = "configuration " + std::to_string(version) + " of " + std::to_string(ledger.clock);
         request.kind = REQUEST_CONFIG_PUT;
         request.config = {true, 0, 0, version, base, body, CONFIG_UNKNOWN};
         request.text = http("PUT", "/config/" + std::to_string(base) + "/" + std::to_string(version), body);
     }
-    // An id that another caller's is not, and that says nothing by itself.
+    // An id that no other client uses, with random-looking digits.
     int64_t fresh_id()
     {
         return (int64_t)(hash_mix((uint64_t)number, (uint64_t)++ledger.clock) & 0x7fffffffffffffff) | 1;
     }
-    void ask()
+    void send_request()
     {
         request = Request();
         ledger.clock++;
-        unsigned what = cluster.random() % 100;
-        if (what < 6 || (!ledger.newest && what < 60)) {
-            ask_config_put();
-        } else if (what < 12 || !ledger.newest) { // the first may be in force though nobody was told
+        unsigned percent = cluster.random() % 100;
+        if (percent < 6 || (!ledger.newest_version && percent < 60)) {
+            send_config_put();
+        } else if (percent < 12 ||
+                   !ledger.newest_version) { // the first change may be applied although its response was lost
             request.kind = REQUEST_CONFIG_GET;
             request.config = {false, 0, 0, 0, 0, "", CONFIG_UNKNOWN};
             request.text = http("GET", "/config");
-        } else if (what < 35 || ledger.taken.empty()) {
-            ask_job(fresh_id());
-        } else if (what < 45 && !ledger.unclear.empty()) {
-            ask_job(ledger.unclear[cluster.one_of(ledger.unclear.size())]); // perhaps taken
+        } else if (percent < 35 || ledger.accepted.empty()) {
+            send_job(fresh_id());
+        } else if (percent < 45 && !ledger.uncertain.empty()) {
+            send_job(ledger.uncertain[cluster.random_below(ledger.uncertain.size())]); // it may have been accepted
         } else {
-            ask_why(what < 50 ? fresh_id() : ledger.taken[cluster.one_of(ledger.taken.size())]);
+            send_why(percent < 50 ? fresh_id() : ledger.accepted[cluster.random_below(ledger.accepted.size())]);
         }
         request.config.began = ++ledger.clock;
-        out = request.text;
-        leaves_ms = cluster.one_of(20) ? 0 : Cluster::now_ms() + (int64_t)cluster.one_of(30);
+        unsent = request.text;
+        disconnect_ms = cluster.random_below(20) ? 0 : Cluster::now_ms() + (int64_t)cluster.random_below(30);
     }
     void end_config(enum config_outcome outcome)
     {
         request.config.outcome = outcome;
         request.config.ended = outcome == CONFIG_UNKNOWN ? INT64_MAX : ++ledger.clock;
         if (outcome == CONFIG_TAKEN)
-            ledger.newest = std::max(ledger.newest, request.config.version);
+            ledger.newest_version = std::max(ledger.newest_version, request.config.version);
         if (request.config.put || outcome == CONFIG_TAKEN)
             ledger.configs.push_back(request.config);
     }
-    // No answer: nothing is known.
+    // Closes the connection without a response: the outcome of the request is unknown.
     void lose()
     {
         if (fd >= 0)
-            cluster.one_of(2) ? reset(fd) : (void)close(fd);
+            cluster.random_below(2) ? reset(fd) : (void)close(fd);
         fd = -1;
-        in.clear();
-        out.clear();
+        received.clear();
+        unsent.clear();
         if (!request.kind)
             return;
         ledger.lost++;
         if (request.kind == REQUEST_JOB)
-            unclear_job();
+            record_uncertain_job();
         if (request.kind == REQUEST_CONFIG_PUT)
             end_config(CONFIG_UNKNOWN);
         request = Request();
     }
-    void unclear_job()
+    void record_uncertain_job()
     {
         ledger.jobs[request.job].unknown++;
-        ledger.unclear.push_back(request.job);
+        ledger.uncertain.push_back(request.job);
     }
-    void told_job(int status)
+    void job_responded(int status)
     {
-        JobStory &job = ledger.jobs[request.job];
-        if (status == 200 && !job.taken++)
-            ledger.taken.push_back(request.job);
+        JobCounts &job = ledger.jobs[request.job];
+        if (status == 200 && !job.accepted++)
+            ledger.accepted.push_back(request.job);
         if (status == 503 || status == 429)
             job.refused++;
         else if (status != 200)
-            unclear_job();
+            record_uncertain_job();
         EXPECT_TRUE(status == 200 || status == 429 || status == 503 || status == 504) << status;
     }
-    void told_why(int status, const std::string &body)
+    void why_responded(int status, const std::string &body)
     {
         std::string job = "job " + hex(request.job) + " queue q";
-        ledger.tokens += status == 200;
+        ledger.explanations += status == 200;
         EXPECT_TRUE(status == 200 || status == 410 || status == 503) << status;
         if (status == 200) {
             EXPECT_NE(body.find(job), std::string::npos) << "asked for " << hex(request.job) << ", got: " << body;
@@ -218,7 +218,7 @@
             EXPECT_FALSE(request.known) << "an acknowledged job is unknown: " << hex(request.job);
         }
     }
-    void told_config(int status, const std::string &body)
+    void config_responded(int status, const std::string &body)
     {
         if (request.kind == REQUEST_CONFIG_PUT) {
             end_config(status == 200 ? CONFIG_TAKEN : status == 412 ? CONFIG_REFUSED : CONFIG_UNKNOWN);
@@ -234,37 +234,37 @@
         request.config.version = atoll(body.c_str() + at + strlen("configuration "));
         end_config(CONFIG_TAKEN);
     }
-    void told(int status, const std::string &body)
+    void responded(int status, const std::string &body)
     {
-        EXPECT_EQ(atoll(body.c_str() + strlen("kind ")), request.kind) << "another's answer: " << body;
-        ledger.told++;
-        ledger.doubtful += status == 504;
+        EXPECT_EQ(atoll(body.c_str() + strlen("kind ")), request.kind) << "response to another request: " << body;
+        ledger.responses++;
+        ledger.timeouts += status == 504;
         if (request.kind == REQUEST_JOB)
-            told_job(status);
+            job_responded(status);
         else if (request.kind == REQUEST_WHY)
-            told_why(status, body);
+            why_responded(status, body);
         else
-            told_config(status, body);
+            config_responded(status, body);
         request = Request();
     }
-    void take_answer()
+    void take_response()
     {
-        size_t head = in.find("\r\n\r\n"), at = in.find("Content-Length: ");
+        size_t head = received.find("\r\n\r\n"), at = received.find("Content-Length: ");
         if (head == std::string::npos || at > head)
             return;
-        size_t len = std::stoul(in.substr(at + strlen("Content-Length: ")));
-        if (in.size() < head + 4 + len)
+        size_t len = std::stoul(received.substr(at + strlen("Content-Length: ")));
+        if (received.size() < head + 4 + len)
             return;
-        int status = atoi(in.c_str() + strlen("HTTP/1.1 "));
-        std::string body = in.substr(head + 4, len);
-        in.erase(0, head + 4 + len);
-        EXPECT_TRUE(request.kind) << "an answer to nothing: " << body;
-        EXPECT_TRUE(in.empty()) << "two answers to one request: " << in;
-        told(status, body);
+        int status = atoi(received.c_str() + strlen("HTTP/1.1 "));
+        std::string body = received.substr(head + 4, len);
+        received.erase(0, head + 4 + len);
+        EXPECT_TRUE(request.kind) << "a response without a request: " << body;
+        EXPECT_TRUE(received.empty()) << "two responses to one request: " << received;
+        responded(status, body);
     }
 
   public:
-    Client(Cluster &of, Ledger &to, size_t no) : cluster(of), ledger(to), number(no) {}
+    Client(Cluster &of, Ledger &records, size_t client_number) : cluster(of), ledger(records), number(client_number) {}
     ~Client()
     {
         if (fd >= 0)
@@ -272,7 +272,7 @@
     }
     Client(const Client &) = delete;
     bool idle() const { return !request.kind; }
-    // Its machine ends: as when the connection is lost.
+    // The process of a machine has ended: a connection to it is lost.
     void machine_ends(size_t which)
     {
         if (fd >= 0 && machine == which)
@@ -281,26 +281,26 @@
     void turn(bool more)
     {
         if (fd < 0 && more) {
-            machine = cluster.one_of(cluster.machines.size());
+            machine = cluster.random_below(cluster.machines.size());
             fd = connect_at(cluster.machines[machine]->http_addr);
         }
         if (fd < 0)
             return;
-        if (!request.kind && more && !cluster.one_of(4))
-            ask();
-        if (!out.empty()) {
-            ssize_t n = send(fd, out.data(), out.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
-            out.erase(0, n > 0 ? (size_t)n : 0);
+        if (!request.kind && more && !cluster.random_below(4))
+            send_request();
+        if (!unsent.empty()) {
+            ssize_t n = send(fd, unsent.data(), unsent.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
+            unsent.erase(0, n > 0 ? (size_t)n : 0);
         }
         char bytes[4096];
         ssize_t n = recv(fd, bytes, sizeof bytes, MSG_DONTWAIT);
         if (n > 0)
-            in.append(bytes, (size_t)n);
+            received.append(bytes, (size_t)n);
         if (n == 0 || (n < 0 && errno != EAGAIN && errno != EINTR && errno != ENOTCONN))
             lose();
         else
-            take_answer();
-        if (request.kind && leaves_ms && Cluster::now_ms() >= leaves_ms)
+            take_response();
+        if (request.kind && disconnect_ms && Cluster::now_ms() >= disconnect_ms)
             lose();
     }
 };
--- a/tests/proc/relay_test.cc
+++ b/tests/proc/relay_test.cc
@@ -1,5 +1,6 @@
-// Whose answer, through the relay: thousands of requests enter at any of several controllers and are sent on to a
-// leader that changes, while controllers restart, links are cut inside frames, held and slow, and callers go away.
+// Requests through the relay; guards against a response that reaches another request, and against lost or repeated
+// jobs. Thousands of requests are sent to several controllers and forwarded to a leader that changes, while controllers
+// restart, links are cut within frames, held and slow, and clients disconnect.
 #include "plain_caller.h"
 #include "relay_client.h"
 #include "tests/sim/seeds.h"
@@ -15,27 +16,27 @@
 
 enum { CALLERS = 24, FAULT_TURNS = 12000, QUIET_TURNS = 30000, BOOT_TURNS = 20000, LEADER_TURNS = 2500 };
 
-struct Counts {
-    int64_t told = 0, tokens = 0, lost = 0, doubtful = 0, cuts = 0, restarts = 0, terms = 0;
+struct Totals {
+    int64_t responses = 0, explanations = 0, lost = 0, timeouts = 0, cuts = 0, restarts = 0, terms = 0;
 };
 
-class Storm
+class RelayTest
 {
     Cluster cluster;
     Ledger ledger;
     std::vector<std::unique_ptr<Client>> clients;
-    Counts counts;
-    size_t led = 0;   // who leads now
-    int64_t term = 0; // of the newest leadership seen
+    Totals counts;
+    size_t leader = 0; // the machine that leads now
+    int64_t term = 0;  // the newest term seen
 
     void turn_clients(bool more)
     {
         for (auto &client : clients)
             client->turn(more);
-        led = cluster.leader();
-        if (led == cluster.machines.size())
+        leader = cluster.leader();
+        if (leader == cluster.machines.size())
             return;
-        int64_t now = cluster.machines[led]->process->controller->log.term;
+        int64_t now = cluster.machines[leader]->process->controller->log.term;
         counts.terms += now != term;
         term = now;
     }
@@ -47,59 +48,59 @@
         cluster.boot(machine, false);
         counts.restarts++;
     }
-    size_t any() { return cluster.one_of(cluster.machines.size()); }
-    size_t leader_or_any() { return led < cluster.machines.size() ? led : any(); }
+    size_t any_machine() { return cluster.random_below(cluster.machines.size()); }
+    size_t leader_or_any() { return leader < cluster.machines.size() ? leader : any_machine(); }
     void slow(size_t sender, int64_t delay_ms)
     {
         for (auto &[ends, link] : cluster.links)
             if (ends.first == sender)
                 link->delay_ms = delay_ms;
     }
-    void go_on(int64_t turns)
+    void run_turns(int64_t turns)
     {
         cluster.until([] { return false; }, turns, [&] { turn_clients(true); });
     }
-    // Two starts, one soon after the other, give their requests the same numbers. What the first asked is still on its
-    // way when it ends, and is answered to the second.
-    void restart_with_requests_under_way(size_t machine)
+    // Restarts a machine twice within a short time, so that both processes use the same request numbers. Requests of
+    // the first are still in transit when it ends, and their responses arrive at the second.
+    void restart_twice_with_requests_in_transit(size_t machine)
     {
-        slow(machine, 120 + (int64_t)cluster.one_of(250));
+        slow(machine, 120 + (int64_t)cluster.random_below(250));
         restart(machine);
-        go_on(80);
+        run_turns(80);
         restart(machine);
-        go_on(400);
+        run_turns(400);
         slow(machine, 0);
     }
-    void fault()
+    void inject_random_fault()
     {
         int64_t now_ms = Cluster::now_ms();
-        switch (cluster.one_of(6)) {
-        case 0: restart(any()); return;
-        case 1: restart_with_requests_under_way(any()); return;
+        switch (cluster.random_below(6)) {
+        case 0: restart(any_machine()); return;
+        case 1: restart_twice_with_requests_in_transit(any_machine()); return;
         case 2: restart(leader_or_any()); return;
         case 3: {
-            int64_t until_ms = now_ms + 300 + (int64_t)cluster.one_of(1500);
+            int64_t until_ms = now_ms + 300 + (int64_t)cluster.random_below(1500);
             cluster.each_link_of(leader_or_any(), [&](Link &link) { link.held_until_ms = until_ms; });
             return;
         }
         case 4: {
-            int64_t delay_ms = (int64_t)cluster.one_of(500);
-            cluster.each_link_of(any(), [&](Link &link) { link.delay_ms = delay_ms; });
+            int64_t delay_ms = (int64_t)cluster.random_below(500);
+            cluster.each_link_of(any_machine(), [&](Link &link) { link.delay_ms = delay_ms; });
             return;
         }
         default: cluster.heal(); return;
         }
     }
-    void faults()
+    void inject_faults()
     {
         auto link = cluster.links.begin();
-        std::advance(link, (long)cluster.one_of(cluster.links.size()));
-        if (!cluster.one_of(40))
-            link->second->cut((int64_t)cluster.one_of(2000));
+        std::advance(link, (long)cluster.random_below(cluster.links.size()));
+        if (!cluster.random_below(40))
+            link->second->cut((int64_t)cluster.random_below(2000));
         if (cluster.turns % LEADER_TURNS == 0)
             restart(leader_or_any());
-        if (!cluster.one_of(350))
-            fault();
+        if (!cluster.random_below(350))
+            inject_random_fault();
     }
     bool settled()
     {
@@ -115,56 +116,57 @@
                 return false;
         return true;
     }
-    // Each record holds each acknowledged job once and none that was only ever refused.
-    void judge_records()
+    // Checks that each record holds every acknowledged job once, and no job of which every request was refused.
+    void check_records()
     {
         for (auto &m : cluster.machines) {
             if (!m->with_disk)
                 continue;
             const struct record *record = controller_record(m->process->controller);
-            int64_t there = 0;
+            int64_t n_known = 0;
             for (auto &[id, job] : ledger.jobs) {
                 bool known = record_job(record, id) != nullptr;
-                there += known;
-                EXPECT_TRUE(known || !job.taken) << "an acknowledged job is lost";
-                EXPECT_TRUE(!known || job.refused < job.sent) << "a job whose each sending was refused is there";
+                n_known += known;
+                EXPECT_TRUE(known || !job.accepted) << "an acknowledged job is lost";
+                EXPECT_TRUE(!known || job.refused < job.sent)
+                    << "a job is recorded although each of its requests was refused";
             }
-            EXPECT_EQ(record->n_jobs, there) << "jobs that nobody sent";
+            EXPECT_EQ(record->n_jobs, n_known) << "jobs that no client sent";
         }
         EXPECT_EQ(config_register::check(ledger.configs), "");
     }
 
   public:
-    explicit Storm(unsigned seed) : cluster(seed, 3, 2, &relay_codec)
+    explicit RelayTest(unsigned seed) : cluster(seed, 3, 2, &relay_codec)
     {
         for (size_t i = 0; i < CALLERS; i++)
             clients.push_back(std::make_unique<Client>(cluster, ledger, i));
     }
-    Counts run()
+    Totals run()
     {
-        EXPECT_TRUE(cluster.until([&] { return ledger.newest > 0; }, BOOT_TURNS, [&] { turn_clients(true); }))
+        EXPECT_TRUE(cluster.until([&] { return ledger.newest_version > 0; }, BOOT_TURNS, [&] { turn_clients(true); }))
             << "no first configuration";
         cluster.until([] { return false; }, FAULT_TURNS,
                       [&] {
-                          faults();
+                          inject_faults();
                           turn_clients(true);
                       });
         cluster.heal();
         EXPECT_TRUE(cluster.until([&] { return settled(); }, QUIET_TURNS, [&] { turn_clients(false); }))
-            << "some request is never answered, or the records stay apart";
+            << "a request gets no response, or the records differ";
         if (!testing::Test::HasFailure())
-            judge_records();
+            check_records();
         for (auto &[ends, link] : cluster.links)
             counts.cuts += link->cuts;
-        counts.told = ledger.told;
-        counts.tokens = ledger.tokens;
+        counts.responses = ledger.responses;
+        counts.explanations = ledger.explanations;
         counts.lost = ledger.lost;
-        counts.doubtful = ledger.doubtful;
+        counts.timeouts = ledger.timeouts;
         return counts;
     }
 };
 
-// Sends a frame to a machine as if it came from another; returns when it has arrived.
+// Sends a frame to a machine as if it came from another, and runs the cluster until it has arrived.
 void send_frame(Cluster &cluster, size_t from, size_t to, const struct forwarded_request &message)
 {
     struct bytes frame = {};
@@ -179,13 +181,13 @@
 
 } // namespace
 
-TEST(Relay, a_request_meant_for_another_term_is_not_taken)
+TEST(Relay, a_request_for_another_term_is_not_accepted)
 {
     Cluster cluster(1, 3, 1, &relay_codec);
     Ledger ledger;
     Client operators(cluster, ledger, 0);
-    ASSERT_TRUE(cluster.until([&] { return ledger.newest > 0; }, BOOT_TURNS, [&] { operators.turn(true); }));
-    size_t leader = cluster.leader(), outer = 3;
+    ASSERT_TRUE(cluster.until([&] { return ledger.newest_version > 0; }, BOOT_TURNS, [&] { operators.turn(true); }));
+    size_t leader = cluster.leader(), relay_machine = 3;
     ASSERT_LT(leader, cluster.machines.size());
     const struct controller *leads = cluster.machines[leader]->process->controller;
     char host[] = "host", path[] = "/q/", text[] = "";
@@ -202,68 +204,70 @@
     for (int64_t off : {-1, 1, 0}) {
         message.term = leads->log.term + off;
         spec->id = 100 + off;
-        send_frame(cluster, outer, leader, message);
+        send_frame(cluster, relay_machine, leader, message);
         ASSERT_EQ(cluster.leader(), leader);
         EXPECT_EQ(record_job(controller_record(leads), 100 + off) != nullptr, off == 0)
-            << (off ? "a request of another term was taken" : "a request of its own term was not taken");
+            << (off ? "a request of another term was accepted" : "a request of the current term was not accepted");
     }
 }
 
-// Two starts of a process that give their first requests the same number; the answer to the former's comes to the
-// latter.
-TEST(Relay, an_answer_to_a_former_start_of_the_process_is_nobodys)
+// Two starts of a process use the same number for their first request, and the response to the request of the first
+// start arrives at the second.
+TEST(Relay, a_response_to_a_former_start_of_the_process_is_dropped)
 {
     Cluster cluster(1, 3, 1, &relay_codec);
     Ledger ledger;
     Client operators(cluster, ledger, 0);
-    ASSERT_TRUE(cluster.until([&] { return ledger.newest > 0 && ledger.taken.size() > 1; }, BOOT_TURNS,
+    ASSERT_TRUE(cluster.until([&] { return ledger.newest_version > 0 && ledger.accepted.size() > 1; }, BOOT_TURNS,
                               [&] { operators.turn(true); }));
-    size_t leader = cluster.leader(), outer = 3;
+    size_t leader = cluster.leader(), relay_machine = 3;
     ASSERT_LT(leader, cluster.machines.size());
-    Link &to_leader = *cluster.links[{outer, leader}];
+    Link &to_leader = *cluster.links[{relay_machine, leader}];
     to_leader.delay_ms = 250;
-    std::unique_ptr<PlainCaller> caller;
+    std::unique_ptr<RawClient> client;
     char path[40];
     for (int start = 0; start < 2; start++) {
-        caller.reset();
-        cluster.kill(outer);
-        cluster.boot(outer, false);
-        cluster.until([&] { return directory_leader(&cluster.machines[outer]->process->controller->directory) != 0; },
-                      BOOT_TURNS);
-        snprintf(path, sizeof path, "/why/%016llx", (unsigned long long)ledger.taken[(size_t)start]);
-        caller = std::make_unique<PlainCaller>(cluster.machines[outer]->http_addr);
-        caller->send_text(get(path));
+        client.reset();
+        cluster.kill(relay_machine);
+        cluster.boot(relay_machine, false);
+        cluster.until(
+            [&] { return directory_leader(&cluster.machines[relay_machine]->process->controller->directory) != 0; },
+            BOOT_TURNS);
+        snprintf(path, sizeof path, "/why/%016llx", (unsigned long long)ledger.accepted[(size_t)start]);
+        client = std::make_unique<RawClient>(cluster.machines[relay_machine]->http_addr);
+        client->send_text(get(path));
         cluster.until([] { return false; }, 100);
-        EXPECT_EQ(caller->status(), 0);
+        EXPECT_EQ(client->status(), 0);
     }
-    EXPECT_TRUE(cluster.until([&] { return caller->read(), caller->status(); }, BOOT_TURNS));
-    EXPECT_EQ(caller->status(), 200);
-    EXPECT_NE(caller->in.find(path + strlen("/why/")), std::string::npos) << "got: " << caller->in;
+    EXPECT_TRUE(cluster.until([&] { return client->read(), client->status(); }, BOOT_TURNS));
+    EXPECT_EQ(client->status(), 200);
+    EXPECT_NE(client->received.find(path + strlen("/why/")), std::string::npos) << "got: " << client->received;
 }
 
-TEST(Relay, each_answer_goes_to_the_request_that_caused_it)
+TEST(Relay, each_response_goes_to_its_request)
 {
-    Counts all;
+    Totals all;
     int64_t runs = 0;
     for (uint64_t seed : seeds()) {
         if (HasFailure())
             break;
         runs++;
-        Counts counts = Storm((unsigned)seed).run();
+        Totals counts = RelayTest((unsigned)seed).run();
         EXPECT_FALSE(HasFailure()) << "seed " << seed;
-        printf("seed %llu: %lld told, %lld with a token, %lld lost, %lld doubtful, %lld cuts, %lld restarts, %lld "
+        printf("seed %llu: %lld responses, %lld explanations, %lld lost, %lld timeouts, %lld cuts, %lld restarts, %lld "
                "terms\n",
-               (unsigned long long)seed, (long long)counts.told, (long long)counts.tokens, (long long)counts.lost,
-               (long long)counts.doubtful, (long long)counts.cuts, (long long)counts.restarts, (long long)counts.terms);
-        all.told += counts.told;
-        all.tokens += counts.tokens;
+               (unsigned long long)seed, (long long)counts.responses, (long long)counts.explanations,
+               (long long)counts.lost, (long long)counts.timeouts, (long long)counts.cuts, (long long)counts.restarts,
+               (long long)counts.terms);
+        all.responses += counts.responses;
+        all.explanations += counts.explanations;
         all.cuts += counts.cuts;
         all.restarts += counts.restarts;
         all.terms += counts.terms;
         all.lost += counts.lost;
     }
-    EXPECT_GT(all.told, runs * 1000);
-    EXPECT_GT(all.tokens, runs * 300);
+    EXPECT_GT(all.responses, runs * 1000);
+    EXPECT_GT(all.explanations, runs * 300);
     EXPECT_GT(all.lost, runs * 30);
     EXPECT_GT(all.cuts, runs * 6);
     EXPECT_GT(all.restarts, runs * 6);
--- a/tests/proc/standin.h
+++ b/tests/proc/standin.h
@@ -1,5 +1,5 @@
-// A stand-in for an executor on a real socket: it counts each whole request that arrives, and resets, closes or goes
-// silent at a given byte of the request or of the answer.
+// An HTTP server on a real socket that breaks its connections: it counts each whole request that arrives, and resets,
+// closes or stops responding at a given byte of the request or of the response.
 #ifndef SAGEHITCH_TESTS_STANDIN_H
 #define SAGEHITCH_TESTS_STANDIN_H
 #include <map>
@@ -10,127 +10,128 @@
 namespace proc_rig
 {
 
-enum How { WHOLE, RESET, CLOSED, SILENT };
+enum FaultKind { WHOLE, RESET, CLOSED, SILENT };
 
 struct Fault {
-    How how = WHOLE;
-    bool in_answer = false;
-    size_t byte = 0; // so many bytes of the request are read, or of the answer are sent, before it
+    FaultKind kind = WHOLE;
+    bool in_response = false;
+    size_t byte = 0; // number of bytes of the request that are read, or of the response that are sent, before the fault
 };
 
-struct Standin {
+struct FaultyServer {
     struct Connection {
         int fd = -1;
-        std::string got;
+        std::string received;
         size_t begun = 0; // whole requests read
         bool silent = false;
     };
     int listen_fd = listen_anywhere();
     uint16_t port = port_of(listen_fd);
     std::vector<std::unique_ptr<Connection>> connections;
-    std::map<std::string, int> arrivals; // of each whole request, by its body (its path where that is empty)
-    std::map<std::string, Fault> faults; // by path, taken when it is done
+    std::map<std::string, int> arrivals; // number of each whole request, by its body (its path if the body is empty)
+    std::map<std::string, Fault> faults; // by path, removed once they have happened
     std::string status = "200 OK", extra;
     int64_t accepted = 0;
 
-    Standin() = default;
-    Standin(const Standin &) = delete;
-    ~Standin()
+    FaultyServer() = default;
+    FaultyServer(const FaultyServer &) = delete;
+    ~FaultyServer()
     {
         close(listen_fd);
-        for (auto &c : connections)
-            if (c->fd >= 0)
-                close(c->fd);
+        for (auto &connection : connections)
+            if (connection->fd >= 0)
+                close(connection->fd);
     }
     uint64_t addr() const { return loopback(port); }
 
-    std::string answer_to(const std::string &body) const
+    std::string response_to(const std::string &body) const
     {
         return "HTTP/1.1 " + status + "\r\n" + extra + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
                body;
     }
-    static void end(Connection &c, How how)
+    static void end(Connection &connection, FaultKind kind)
     {
-        if (how == SILENT) {
-            c.silent = true;
+        if (kind == SILENT) {
+            connection.silent = true;
             return;
         }
-        if (how == RESET)
-            reset(c.fd);
+        if (kind == RESET)
+            reset(connection.fd);
         else
-            close(c.fd);
-        c.fd = -1;
+            close(connection.fd);
+        connection.fd = -1;
     }
-    // Reads no further than to a fault's byte: what is not read has not arrived.
-    static size_t length(const std::string &got)
+    // Length of the first whole request in the received bytes, 0: none. Bytes after a fault are not read, so they have
+    // not arrived.
+    static size_t request_length(const std::string &received)
     {
-        size_t head = got.find("\r\n\r\n");
+        size_t head = received.find("\r\n\r\n");
         if (head == std::string::npos)
             return 0;
-        size_t at = got.find("Content-Length: ");
-        size_t body = at != std::string::npos && at < head ? std::stoul(got.substr(at + 16)) : 0;
-        return got.size() >= head + 4 + body ? head + 4 + body : 0;
+        size_t at = received.find("Content-Length: ");
+        size_t body = at != std::string::npos && at < head ? std::stoul(received.substr(at + 16)) : 0;
+        return received.size() >= head + 4 + body ? head + 4 + body : 0;
     }
-    static std::string path_of(const std::string &got)
+    static std::string path_of(const std::string &received)
     {
-        size_t from = got.find(' '), to = got.find(' ', from + 1);
-        return to == std::string::npos ? "" : got.substr(from + 1, to - from - 1);
+        size_t from = received.find(' '), to = received.find(' ', from + 1);
+        return to == std::string::npos ? "" : received.substr(from + 1, to - from - 1);
     }
     Fault *fault_of(const std::string &path)
     {
         auto at = faults.find(path);
         return at == faults.end() ? nullptr : &at->second;
     }
-    void serve(Connection &c)
+    void serve(Connection &connection)
     {
-        for (size_t n; c.fd >= 0 && (n = length(c.got));) {
-            std::string request = c.got.substr(0, n), path = path_of(request);
+        for (size_t n; connection.fd >= 0 && (n = request_length(connection.received));) {
+            std::string request = connection.received.substr(0, n), path = path_of(request);
             std::string body = request.substr(request.find("\r\n\r\n") + 4);
-            c.got.erase(0, n);
+            connection.received.erase(0, n);
             arrivals[body.empty() ? path : body]++;
-            std::string answer = answer_to(body.empty() ? path : body);
+            std::string response = response_to(body.empty() ? path : body);
             Fault *fault = fault_of(path);
             Fault now = fault ? *fault : Fault{};
             faults.erase(path);
-            size_t most = now.how == WHOLE ? answer.size() : std::min(now.byte, answer.size());
-            ASSERT_EQ(send(c.fd, answer.data(), most, MSG_NOSIGNAL), (ssize_t)most);
-            if (now.how != WHOLE)
-                end(c, now.how);
+            size_t most = now.kind == WHOLE ? response.size() : std::min(now.byte, response.size());
+            ASSERT_EQ(send(connection.fd, response.data(), most, MSG_NOSIGNAL), (ssize_t)most);
+            if (now.kind != WHOLE)
+                end(connection, now.kind);
         }
     }
-    void read(Connection &c)
+    void read(Connection &connection)
     {
         char byte;
-        while (c.fd >= 0 && !c.silent) {
-            std::string path = path_of(c.got);
-            Fault *fault = path.empty() ? first_bytes() : fault_of(path);
-            if (fault && !fault->in_answer && c.got.size() >= fault->byte) {
-                How how = fault->how;
+        while (connection.fd >= 0 && !connection.silent) {
+            std::string path = path_of(connection.received);
+            Fault *fault = path.empty() ? fault_before_path() : fault_of(path);
+            if (fault && !fault->in_response && connection.received.size() >= fault->byte) {
+                FaultKind kind = fault->kind;
                 faults.clear();
-                end(c, how);
+                end(connection, kind);
                 return;
             }
-            ssize_t n = recv(c.fd, &byte, 1, MSG_DONTWAIT);
+            ssize_t n = recv(connection.fd, &byte, 1, MSG_DONTWAIT);
             if (n < 0 && (errno == EAGAIN || errno == EINTR))
                 return;
             if (n <= 0) {
-                end(c, CLOSED);
+                end(connection, CLOSED);
                 return;
             }
-            c.got += byte;
-            serve(c);
+            connection.received += byte;
+            serve(connection);
         }
-        if (c.fd >= 0 && c.silent)
-            while (recv(c.fd, &byte, 1, MSG_DONTWAIT) == 0) {
-                end(c, CLOSED);
+        if (connection.fd >= 0 && connection.silent)
+            while (recv(connection.fd, &byte, 1, MSG_DONTWAIT) == 0) {
+                end(connection, CLOSED);
                 return;
             }
     }
-    // Before a path is known: only one call at a time is made to a stand-in that breaks off in a request.
-    Fault *first_bytes()
+    // The fault that applies before the path is known: tests with a fault in a request make one call at a time.
+    Fault *fault_before_path()
     {
         for (auto &[path, fault] : faults)
-            if (!fault.in_answer)
+            if (!fault.in_response)
                 return &fault;
         return nullptr;
     }
