--- a/src/agent/codec_schemas.c
+++ b/src/agent/codec_schemas.c
@@ -16,8 +16,7 @@
                .kinds = KIND_BIT(EXECUTOR_ACCEPTED))};
 SCHEMA_TAGGED(executor_response_schema, executor_response, response_fields);
 
-/* Part of forwarded requests. The fields without kinds stand for two numbers that older versions send after the clock.
- */
+/* Part of forwarded requests. The fields without kinds stand for two numbers of older versions after the clock. */
 static const struct field account_fields[] = {
     INT_NAMED(executor_account, clock_ms, "clockMs"),
     INT_NAMED(executor_account, clock_ms, "refusal", .kinds = KINDS_NONE),
--- a/tests/proc/answers_test.cc
+++ b/tests/proc/answers_test.cc
@@ -135,8 +135,8 @@
 
     void write(Totals &counts)
     {
-        size_t most = mode == SLOW ? 1 : std::min(out.size(), send_limit);
-        ssize_t n = out.empty() || !most ? 0 : send(fd, out.data(), most, MSG_DONTWAIT | MSG_NOSIGNAL);
+        size_t limit = mode == SLOW ? 1 : std::min(out.size(), send_limit);
+        ssize_t n = out.empty() || !limit ? 0 : send(fd, out.data(), limit, MSG_DONTWAIT | MSG_NOSIGNAL);
         if (n > 0) {
             out.erase(0, (size_t)n);
             send_limit -= send_limit == std::string::npos ? 0 : (size_t)n;
--- a/tests/proc/frames_test.cc
+++ b/tests/proc/frames_test.cc
@@ -244,16 +244,17 @@
         }
         size_t open = connections.size(), whole = 0;
         while (open) {
-            Connection &c = connections[random() % connections.size()];
-            if (c.fd < 0)
+            Connection &connection = connections[random() % connections.size()];
+            if (connection.fd < 0)
                 continue;
-            size_t most = random() % 4 ? random() % 50 : random() % 70000;
-            ssize_t n = send(c.fd, c.out.data(), std::min(most, c.out.size()), MSG_DONTWAIT | MSG_NOSIGNAL);
-            c.out.erase(0, n > 0 ? (size_t)n : 0);
-            if (!(random() % 300) || c.out.empty()) {
-                whole += c.out.empty() ? 20 : 0;
-                c.out.empty() ? (void)close(c.fd) : reset(c.fd);
-                c.fd = -1;
+            size_t limit = random() % 4 ? random() % 50 : random() % 70000;
+            ssize_t n = send(connection.fd, connection.out.data(), std::min(limit, connection.out.size()),
+                             MSG_DONTWAIT | MSG_NOSIGNAL);
+            connection.out.erase(0, n > 0 ? (size_t)n : 0);
+            if (!(random() % 300) || connection.out.empty()) {
+                whole += connection.out.empty() ? 20 : 0;
+                connection.out.empty() ? (void)close(connection.fd) : reset(connection.fd);
+                connection.fd = -1;
                 open--;
             }
             to.turns((int)(random() % 3));
--- a/tests/proc/link.h
+++ b/tests/proc/link.h
@@ -69,8 +69,8 @@
         while (stream.to >= 0 && !stream.in_transit.empty() && stream.in_transit.front().forward_ms <= now_ms &&
                now_ms >= held_until_ms) {
             std::string &bytes = stream.in_transit.front().bytes;
-            size_t most = max_bytes(stream, bytes.size());
-            ssize_t n = most ? send(stream.to, bytes.data(), most, MSG_DONTWAIT | MSG_NOSIGNAL) : 0;
+            size_t limit = max_bytes(stream, bytes.size());
+            ssize_t n = limit ? send(stream.to, bytes.data(), limit, MSG_DONTWAIT | MSG_NOSIGNAL) : 0;
             if (n < 0 && (errno == EAGAIN || errno == EINTR || errno == ENOTCONN))
                 return;
             if (n < 0) {
--- a/tests/proc/standin.h
+++ b/tests/proc/standin.h
@@ -93,8 +93,8 @@
             Fault *fault = fault_of(path);
             Fault now = fault ? *fault : Fault{};
             faults.erase(path);
-            size_t most = now.kind == WHOLE ? response.size() : std::min(now.byte, response.size());
-            ASSERT_EQ(send(connection.fd, response.data(), most, MSG_NOSIGNAL), (ssize_t)most);
+            size_t length = now.kind == WHOLE ? response.size() : std::min(now.byte, response.size());
+            ASSERT_EQ(send(connection.fd, response.data(), length, MSG_NOSIGNAL), (ssize_t)length);
             if (now.kind != WHOLE)
                 end(connection, now.kind);
         }
