--- a/sim/cluster.c
+++ b/sim/cluster.c
@@ -27,7 +27,7 @@
     va_start(args, format);
     vsnprintf(text, sizeof text, format, args);
     va_end(args);
-    struct story_line *line = list_more(c->story, c->n_story);
+    struct story_line *line = array_add(c->story, c->n_story);
     line->at_us = c->now_us;
     line->job = job;
     line->text = must_dup(text);
@@ -81,8 +81,8 @@
 static const struct dispatch_settings dispatch_settings = {.lease_ms = LEASE_MS,
                                                            .gang_timeout_ms = GANG_MS,
                                                            .early_ms = EARLY_MS,
-                                                           .shown_ms = 120000,
-                                                           .far_pct = 150,
+                                                           .job_retention_ms = 120000,
+                                                           .remote_data_pct = 150,
                                                            .restore_ms = RESTORE_MS};
 
 /* Random by host and generation: the seed's own sequence is that of the scenario. */
@@ -128,7 +128,7 @@
                                 .hold_max_ms = HOLD_MAX_MS,
                                 .stop_timeout_ms = STOP_MS,
                                 .grace_ms = 6000,
-                                .by_beat = c->by_beat,
+                                .orders_by_heartbeat = c->orders_by_heartbeat,
                                 .codec = &cluster_api_codec,
                                 .executor_codec = &cluster_executor_codec};
     h->agent = agent_new(&h->base, &setup);
--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -22,7 +22,7 @@
 {
     agent->incarnation.heartbeat.open = 0; /* the HTTP server has ended the request */
     agent_incarnation_clear(agent);
-    schema_free(&executor_beat_schema, &agent->candidate);
+    schema_free(&executor_heartbeat_schema, &agent->candidate);
     for (int64_t i = 0; i < ENDED_INCARNATIONS_MAX; i++)
         free(agent->ended_incarnations[i]);
     for (int64_t i = 0; i < agent->n_lost_incarnations; i++)
@@ -87,14 +87,14 @@
     agent_calls_step(agent, now);
 }
 
-void agent_take(struct agent *agent, const uint8_t *at, int64_t len)
+void agent_on_frame(struct agent *agent, const uint8_t *at, int64_t len)
 {
     struct frame frame;
     if (frame_parse(&frame, at, len, agent->cluster)) {
         world_note(agent->world, EV_FRAME_DROPPED, "not a frame of this cluster");
         return;
     }
-    if (directory_take(&agent->directory, &frame) || frame.kind != FRAME_ORDERS)
+    if (directory_on_frame(&agent->directory, &frame) || frame.kind != FRAME_ORDERS)
         return;
     struct agent_orders orders = {0};
     if (schema_unpack(&agent_orders_schema, &orders, frame.body, frame.len)) {
@@ -119,7 +119,7 @@
     int64_t last_contact_ms =
         agent->orders_received_ms > agent->leader_since_ms ? agent->orders_received_ms : agent->leader_since_ms;
     if (leader && now - last_contact_ms > LEADER_SILENT_MS) {
-        directory_doubt(&agent->directory);
+        directory_suspect_leader(&agent->directory);
         agent->leader_since_ms = now;
         return;
     }
@@ -139,7 +139,7 @@
 
 int agent_left(const struct agent *agent) { return (int)agent->left; }
 
-void agent_reread(struct agent *agent, const int64_t *seeds, int64_t n_seeds)
+void agent_set_seeds(struct agent *agent, const int64_t *seeds, int64_t n_seeds)
 {
-    directory_seeds(&agent->directory, seeds, n_seeds);
+    directory_set_seeds(&agent->directory, seeds, n_seeds);
 }
--- a/src/agent/agent_by_beat.c
+++ b/src/agent/agent_heartbeat_orders.c
@@ -53,7 +53,7 @@
                : HEARTBEAT_IDLE_WAIT_MS;
 }
 
-void agent_heartbeat_received(struct agent *agent, int64_t slot, struct executor_account *account, int64_t now)
+void agent_heartbeat_received(struct agent *agent, int64_t slot, struct heartbeat_report *account, int64_t now)
 {
     struct agent_incarnation *incarnation = &agent->incarnation;
     agent_heartbeat_close(agent);
@@ -93,7 +93,7 @@
 {
     if (agent->incarnation.heartbeat.clock_ms < 0)
         return 0;
-    int64_t latest_ms = agent->incarnation.heartbeat.received_ms + BEAT_TAKEN_MS;
+    int64_t latest_ms = agent->incarnation.heartbeat.received_ms + HEARTBEAT_RESPONSE_MAX_MS;
     int64_t hold_ms = (agent->lease_until_ms - (latest_ms > now ? latest_ms : now)) * CLOCK_RATE_MIN_PCT / 100;
     return hold_ms < 0 ? 0 : hold_ms < agent->setup.hold_max_ms ? hold_ms : agent->setup.hold_max_ms;
 }
@@ -125,7 +125,7 @@
 static void send_response(struct agent *agent, int64_t now)
 {
     struct agent_incarnation *incarnation = &agent->incarnation;
-    struct beat_orders orders = {.epoch = agent->epoch, .seen = incarnation->seen, .retry_ms = HEARTBEAT_DELAY_MS};
+    struct heartbeat_orders orders = {.epoch = agent->epoch, .seen = incarnation->seen, .retry_ms = HEARTBEAT_DELAY_MS};
     const struct run_start **runs = must_alloc(sizeof *runs * 2 * ((size_t)agent->n_work_items + 1));
     int64_t starts_allowed = may_start(agent, now);
     orders.starts = runs;
@@ -145,9 +145,9 @@
     if (!incarnation->leaving && incarnation->ready && (incarnation->lists.n_active || orders.n_starts))
         orders.hold_ms = max_hold_ms(agent, now);
     if (orders.hold_ms &&
-        incarnation->heartbeat.clock_ms + BEAT_TAKEN_MS + orders.hold_ms > incarnation->sent_expiry_ms)
-        incarnation->sent_expiry_ms = incarnation->heartbeat.clock_ms + BEAT_TAKEN_MS + orders.hold_ms;
-    char *body = agent->setup.executor_codec->beat_response(&orders);
+        incarnation->heartbeat.clock_ms + HEARTBEAT_RESPONSE_MAX_MS + orders.hold_ms > incarnation->sent_expiry_ms)
+        incarnation->sent_expiry_ms = incarnation->heartbeat.clock_ms + HEARTBEAT_RESPONSE_MAX_MS + orders.hold_ms;
+    char *body = agent->setup.executor_codec->heartbeat_response(&orders);
     agent->last_call_number++;
     agent->world->calls->answer(agent->world, incarnation->heartbeat.slot, 200, 0, body);
     free(body);
@@ -178,8 +178,8 @@
         return;
     }
     int64_t last_ms = heartbeat->responded ? heartbeat->response_ms : heartbeat->received_ms;
-    if (incarnation->leaving && !incarnation->leaving_silent_ms && now - incarnation->leaving_ms >= BEAT_TAKEN_MS &&
-        heartbeat->received_ms <= incarnation->leaving_ms)
+    if (incarnation->leaving && !incarnation->leaving_silent_ms &&
+        now - incarnation->leaving_ms >= HEARTBEAT_RESPONSE_MAX_MS && heartbeat->received_ms <= incarnation->leaving_ms)
         incarnation->leaving_silent_ms = incarnation->leaving_ms;
     if (!incarnation->silent_since_ms && heartbeat->responded &&
         now - last_ms >= HEARTBEAT_DELAY_MS + HEARTBEAT_LATE_MS)
--- a/src/agent/agent_beats.c
+++ b/src/agent/agent_heartbeats.c
@@ -16,8 +16,8 @@
 
 static void drop_candidate(struct agent *agent)
 {
-    schema_free(&executor_beat_schema, &agent->candidate);
-    agent->candidate = (struct executor_beat){0};
+    schema_free(&executor_heartbeat_schema, &agent->candidate);
+    agent->candidate = (struct executor_heartbeat){0};
     agent->candidate_probe_ms = agent->candidate_retry_ms = 0;
 }
 
@@ -41,7 +41,7 @@
     char **slot = &agent->ended_incarnations[agent->n_ended_incarnations++ % ENDED_INCARNATIONS_MAX];
     free(*slot);
     *slot = must_dup(incarnation);
-    *list_more(agent->lost_incarnations, agent->n_lost_incarnations) = must_dup(incarnation);
+    *array_add(agent->lost_incarnations, agent->n_lost_incarnations) = must_dup(incarnation);
     world_note(agent->world, EV_EXECUTOR_GONE, "incarnation %s has ended", incarnation);
     if (agent->incarnation.present && !strcmp(agent->incarnation.state.incarnation, incarnation))
         agent_incarnation_clear(agent);
@@ -51,7 +51,7 @@
     free(incarnation);
 }
 
-static void incarnation_begin(struct agent *agent, struct executor_beat *heartbeat)
+static void incarnation_begin(struct agent *agent, struct executor_heartbeat *heartbeat)
 {
     agent->incarnation =
         (struct agent_incarnation){.present = 1, .heartbeat_seq = heartbeat->seq, .state = heartbeat->state};
@@ -61,17 +61,17 @@
 
 void agent_candidate_confirmed(struct agent *agent)
 {
-    struct executor_beat heartbeat = agent->candidate;
-    agent->candidate = (struct executor_beat){0};
+    struct executor_heartbeat heartbeat = agent->candidate;
+    agent->candidate = (struct executor_heartbeat){0};
     if (agent->incarnation.present)
         agent_incarnation_ended(agent, agent->incarnation.state.incarnation);
     incarnation_begin(agent, &heartbeat);
-    schema_free(&executor_beat_schema, &heartbeat);
+    schema_free(&executor_heartbeat_schema, &heartbeat);
     drop_candidate(agent);
 }
 
 static int update_state(struct agent *agent, struct executor_state *state, int64_t *seq,
-                        struct executor_beat *heartbeat)
+                        struct executor_heartbeat *heartbeat)
 {
     if (heartbeat->seq <= *seq)
         return 0;
@@ -97,20 +97,22 @@
 }
 
 /* Returns whether this is the newest heartbeat of the current incarnation. */
-static int accept_heartbeat(struct agent *agent, struct executor_beat *heartbeat, int64_t now)
+static int accept_heartbeat(struct agent *agent, struct executor_heartbeat *heartbeat, int64_t now)
 {
     const char *incarnation = heartbeat->state.incarnation;
     int newest = 0;
     if (!incarnation || is_ended(agent, incarnation))
         return 0;
-    if (heartbeat->kind == BEAT_LEFT) {
+    if (heartbeat->kind == HEARTBEAT_LEAVING) {
         record_leaving(agent, incarnation, now);
     } else if (agent->incarnation.present && !strcmp(agent->incarnation.state.incarnation, incarnation)) {
         int64_t was_leaving = agent->incarnation.leaving;
         newest = update_state(agent, &agent->incarnation.state, &agent->incarnation.heartbeat_seq, heartbeat);
         agent->incarnation.state.draining |= was_leaving;
-    } else if (agent->setup.by_beat || (!agent->incarnation.present && !agent->candidate.state.incarnation)) {
-        /* by_beat: no probe is needed, since only the running process of the executor sends heartbeats here */
+    } else if (agent->setup.orders_by_heartbeat ||
+               (!agent->incarnation.present && !agent->candidate.state.incarnation)) {
+        /* orders_by_heartbeat: no probe is needed, since only the running process of the executor sends heartbeats here
+         */
         if (agent->incarnation.present)
             agent_incarnation_ended(agent, agent->incarnation.state.incarnation);
         incarnation_begin(agent, heartbeat);
@@ -120,7 +122,7 @@
     } else {
         drop_candidate(agent);
         agent->candidate = *heartbeat;
-        *heartbeat = (struct executor_beat){0};
+        *heartbeat = (struct executor_heartbeat){0};
     }
     return newest;
 }
@@ -132,9 +134,9 @@
     struct validation_error validation_error = {0};
     int64_t now = world_ms(agent->world);
     int error = codec->read(&request, http_request, &validation_error);
-    if (!error && request.kind != REQUEST_BEAT)
-        error = ERROR_NO_SUCH;
-    if (!error && accept_heartbeat(agent, api_request_beat(&request), now) && agent->setup.by_beat) {
+    if (!error && request.kind != REQUEST_HEARTBEAT)
+        error = ERROR_NOT_FOUND;
+    if (!error && accept_heartbeat(agent, api_request_beat(&request), now) && agent->setup.orders_by_heartbeat) {
         agent_heartbeat_received(agent, slot, &api_request_beat(&request)->account, now);
         schema_free(&api_request_schema, &request);
         return;
--- a/src/agent/agent_lease.c
+++ b/src/agent/agent_lease.c
@@ -25,16 +25,16 @@
 int64_t agent_lease_left_ms(const struct agent *agent, int64_t now)
 {
     const struct agent_incarnation *incarnation = &agent->incarnation;
-    int64_t over_ms = 0;
+    int64_t lease_left_ms = 0;
     if (incarnation->sent_expiry_ms) {
         int64_t remaining_ms = incarnation->sent_expiry_ms - agent_clock_ms(agent, now);
-        over_ms = remaining_ms > 0 ? remaining_ms * 100 / CLOCK_RATE_MIN_PCT + 1 + EXPIRY_MARGIN_MS : 0;
+        lease_left_ms = remaining_ms > 0 ? remaining_ms * 100 / CLOCK_RATE_MIN_PCT + 1 + EXPIRY_MARGIN_MS : 0;
     }
     /* leases sent by a former process of this agent expire within hold_max_ms of this one's start */
-    int64_t response_max_ms = agent->setup.by_beat ? BEAT_TAKEN_MS : 0;
+    int64_t response_max_ms = agent->setup.orders_by_heartbeat ? HEARTBEAT_RESPONSE_MAX_MS : 0;
     int64_t inherited_ms = agent->started_ms + response_max_ms + agent->setup.hold_max_ms * 100 / CLOCK_RATE_MIN_PCT +
                            EXPIRY_MARGIN_MS - now;
-    return inherited_ms > over_ms ? inherited_ms : over_ms;
+    return inherited_ms > lease_left_ms ? inherited_ms : lease_left_ms;
 }
 
 void agent_clock_received(struct agent *agent, int64_t clock_ms, int64_t now)
--- a/src/agent/agent_responses.c
+++ b/src/agent/agent_responses.c
@@ -24,10 +24,10 @@
     return 0;
 }
 
-/* Why the executor refused the call; REFUSED_NOT: it was accepted. */
+/* Why the executor refused the call; REFUSED_NONE: it was accepted. */
 static int64_t refusal_of(const struct executor_response *response)
 {
-    return response->kind == EXECUTOR_REFUSED ? executor_response_refusal(response) : REFUSED_NOT;
+    return response->kind == EXECUTOR_REFUSED ? executor_response_refusal(response) : REFUSED_NONE;
 }
 
 static int64_t backoff_next(int64_t retry_ms, int64_t least, int64_t most)
@@ -59,8 +59,8 @@
         struct run_ended *from = &lists->ended[i];
         if (from->seq <= incarnation->seen || (from->seq <= newest && is_known_end(incarnation, from->seq)))
             continue;
-        *(struct run_ended *)list_more(known->ended, known->n_ended) = *from;
-        from->saved = NULL;
+        *(struct run_ended *)array_add(known->ended, known->n_ended) = *from;
+        from->checkpoint = NULL;
         newest = from->seq > newest ? from->seq : newest;
         agent->report_needed = 1;
     }
@@ -70,7 +70,7 @@
                            struct executor_response *response, int64_t now)
 {
     struct agent_incarnation *incarnation = &agent->incarnation;
-    if (refusal_of(response) != REFUSED_NOT) {
+    if (refusal_of(response) != REFUSED_NONE) {
         incarnation->retry_ms = backoff_next(incarnation->retry_ms, RETRY_MIN_MS, RETRY_MAX_MS);
         incarnation->next_retry_ms = now + incarnation->retry_ms;
         return;
@@ -100,15 +100,15 @@
     work->response_number = agent->last_call_number;
     work->response_ms = now;
     switch (refusal_of(response)) {
-    case REFUSED_NOT:
+    case REFUSED_NONE:
         work->state = WORK_STARTED;
         agent_count_ends(&agent->incarnation, 0, now);
         return;
-    case REFUSED_OLD:
+    case REFUSED_OUTDATED:
         work->state = WORK_CHECK;
         agent->incarnation.proof_poll_ms = now + PROOF_POLL_DELAY_MS;
         return;
-    case REFUSED_SICK:
+    case REFUSED_UNAVAILABLE:
     case REFUSED_LATE:
         if (work->unavailable_retries < UNAVAILABLE_RETRIES_MAX) {
             work->unavailable_retries++;
@@ -126,7 +126,7 @@
 static void stop_responded(struct agent *agent, struct work_item *work, const struct executor_response *response,
                            int64_t now)
 {
-    if (refusal_of(response) != REFUSED_NOT) {
+    if (refusal_of(response) != REFUSED_NONE) {
         work->retry_ms = backoff_next(work->retry_ms, RETRY_STOP_MIN_MS, RETRY_STOP_MAX_MS);
         work->next_send_ms = now + work->retry_ms;
         return;
@@ -182,13 +182,13 @@
     int64_t refusal = refusal_of(response);
     if (request->kind != CALL_POLL || !request_poll(request)->waits)
         agent_response_time_add(incarnation, now - request->sent_ms);
-    if (refusal == REFUSED_NOT)
+    if (refusal == REFUSED_NONE)
         incarnation->retry_ms = incarnation->next_retry_ms = 0;
     agent_clock_received(agent, response->clock_ms, now);
-    int accepted_lease = refusal == REFUSED_NOT || refusal == REFUSED_OLD || refusal == REFUSED_ROOM;
+    int accepted_lease = refusal == REFUSED_NONE || refusal == REFUSED_OUTDATED || refusal == REFUSED_NO_CAPACITY;
     if (accepted_lease && request->expires_ms > incarnation->accepted_expiry_ms)
         incarnation->accepted_expiry_ms = request->expires_ms;
-    if (refusal == REFUSED_EPOCH && request->epoch == agent->epoch) {
+    if (refusal == REFUSED_STALE_EPOCH && request->epoch == agent->epoch) {
         agent->fenced_epoch = agent->epoch;
         incarnation->ready = 0;
         agent->report_needed = 1;
@@ -198,7 +198,7 @@
         return;
     }
     struct work_item *work = work_of_call(agent, request);
-    if (!work || refusal == REFUSED_EPOCH)
+    if (!work || refusal == REFUSED_STALE_EPOCH)
         return;
     if (request->kind == CALL_START)
         start_responded(agent, work, response, now);
@@ -211,7 +211,7 @@
 {
     if (!agent->candidate.state.incarnation || strcmp(agent->candidate.state.incarnation, request->incarnation))
         return;
-    if (!response || (refusal_of(response) != REFUSED_NOT && refusal_of(response) != REFUSED_EPOCH)) {
+    if (!response || (refusal_of(response) != REFUSED_NONE && refusal_of(response) != REFUSED_STALE_EPOCH)) {
         agent->candidate_retry_ms = backoff_next(agent->candidate_retry_ms, RETRY_MIN_MS, RETRY_MAX_MS);
         agent->candidate_probe_ms = now + agent->candidate_retry_ms;
         return;
--- a/src/agent/agent_state.h
+++ b/src/agent/agent_state.h
@@ -140,12 +140,12 @@
     int64_t started_ms;
     int64_t epoch, orders_number; /* the highest epoch of any orders, and the newest number under it */
     int64_t fenced_epoch;         /* the executor knew a higher epoch than this */
-    int64_t pace_ms;              /* delay between polls as ordered by the leader; 0: POLL_DELAY_MS */
+    int64_t poll_delay_ms;        /* delay between polls as ordered by the leader; 0: POLL_DELAY_MS */
     int64_t lease_until_ms;       /* end of the lease that the leader granted to the current incarnation */
     int64_t lease_stamp_ms;       /* stamp_ms of the report for which it granted that lease */
     int64_t last_stamp_ms;
     struct agent_incarnation incarnation;
-    struct executor_beat candidate; /* heartbeat of a possible new incarnation; incarnation NULL: none */
+    struct executor_heartbeat candidate; /* heartbeat of a possible new incarnation; incarnation NULL: none */
     int64_t candidate_probe_ms, candidate_retry_ms;
     char *ended_incarnations[ENDED_INCARNATIONS_MAX]; /* incarnations known to have ended, a ring buffer */
     int64_t n_ended_incarnations;
@@ -240,7 +240,7 @@
 
 /* agent_heartbeat_orders.c: executors that take orders in the responses to heartbeats */
 /* Handles the newest heartbeat; slot: its HTTP request, for the response. */
-void agent_heartbeat_received(struct agent *agent, int64_t slot, struct executor_account *account, int64_t now);
+void agent_heartbeat_received(struct agent *agent, int64_t slot, struct heartbeat_report *account, int64_t now);
 /* Responds to the open heartbeat once there are orders or its waiting time has passed. */
 void agent_heartbeat_step(struct agent *agent, int64_t now);
 /* Responds to the open heartbeat, if there is one, without orders. */
--- a/src/agent/agent_works.c
+++ b/src/agent/agent_work_items.c
@@ -76,7 +76,7 @@
     if (number <= work->response_number || !whole)
         return 0;
     if (work->state == WORK_CHECK)
-        agent_work_refused(agent, work, REFUSED_OLD);
+        agent_work_refused(agent, work, REFUSED_OUTDATED);
     if (work->state == WORK_STOPPED) {
         work->state = WORK_ABSENT;
         agent->report_needed = 1;
@@ -113,7 +113,7 @@
     if (work->start_uncertain)
         agent_work_stop(work, now);
     else
-        agent_work_refused(agent, work, REFUSED_ROOM);
+        agent_work_refused(agent, work, REFUSED_NO_CAPACITY);
 }
 
 void agent_work_items_step(struct agent *agent, int64_t now)
@@ -130,7 +130,7 @@
 
 static struct work_item *work_add(struct agent *agent, int64_t job, int64_t task, int64_t attempt, int64_t now)
 {
-    struct work_item *work = list_more(agent->work_items, agent->n_work_items);
+    struct work_item *work = array_add(agent->work_items, agent->n_work_items);
     work->start = (struct run_start){.job = job, .task = task, .attempt = attempt};
     work->start_uncertain = agent_may_inherit_calls(agent, now);
     work->next_send_ms = now;
@@ -186,7 +186,7 @@
     work_supersede(agent, start, now);
     struct work_item *work = work_add(agent, start->job, start->task, start->attempt, now);
     work->start.text = must_dup(start->text);
-    work->start.saved = must_dup(start->saved);
+    work->start.checkpoint = must_dup(start->checkpoint);
     work_withdraw(agent, work, now);
 }
 
--- a/src/agent/executor_codec.h
+++ b/src/agent/executor_codec.h
@@ -43,11 +43,11 @@
 int64_t executor_response_refusal(const struct executor_response *response);
 
 /* An executor accepts the response to a heartbeat only within this time after it sent the heartbeat. */
-enum { BEAT_TAKEN_MS = 1000 };
+enum { HEARTBEAT_RESPONSE_MAX_MS = 1000 };
 
 /* Orders in the response to a heartbeat. hold_ms: length of the lease, from when the executor receives the response; 0:
  * not renewed. retry_ms: delay of its next heartbeat. Lists are borrowed. */
-struct beat_orders {
+struct heartbeat_orders {
     int64_t epoch, seen, hold_ms, retry_ms;
     const struct run_start **starts;
     const struct run_start **stops;
@@ -70,24 +70,24 @@
      * clock_ms. */
     int (*read)(struct executor_response *response, int status, const char *body, int64_t len);
     /* Encodes the body of a response to a heartbeat. The caller frees it with free(). */
-    char *(*beat_response)(const struct beat_orders *orders);
+    char *(*heartbeat_response)(const struct heartbeat_orders *orders);
 };
 
-enum beat_kind { BEAT_ALIVE, BEAT_LEFT };
+enum heartbeat_kind { HEARTBEAT_ALIVE, HEARTBEAT_LEAVING };
 /* The clock and the runs that a heartbeat reports. clock_ms: the executor's clock, 0 or -1: not given; lists: only from
  * executors that take orders in the responses to heartbeats. */
-struct executor_account {
+struct heartbeat_report {
     int64_t clock_ms;
     struct run_lists lists;
 };
-/* A heartbeat: an executor reports that it is running, or that it shuts down. BEAT_LEFT: only state.incarnation is
- * used. */
-struct executor_beat {
-    int64_t kind;  /* enum beat_kind */
+/* A heartbeat: an executor reports that it is running, or that it shuts down. HEARTBEAT_LEAVING: only state.incarnation
+ * is used. */
+struct executor_heartbeat {
+    int64_t kind;  /* enum heartbeat_kind */
     int64_t seq;   /* rises with every heartbeat of an incarnation */
     char *address; /* at which the executor listens */
     struct executor_state state;
-    struct executor_account account;
+    struct heartbeat_report account;
 };
-extern const struct schema executor_beat_schema;
+extern const struct schema executor_heartbeat_schema;
 #endif
--- a/src/controller/api_message.h
+++ b/src/controller/api_message.h
@@ -19,7 +19,7 @@
     REQUEST_CONFIG_PUT,    /* replaces the configuration */
     REQUEST_CONFIG_GET,    /* reads it */
     REQUEST_READY,         /* whether this process is ready */
-    REQUEST_BEAT,          /* heartbeat of an executor */
+    REQUEST_HEARTBEAT,     /* heartbeat of an executor */
     REQUEST_WHY,           /* explains the state of a job as text, for operators */
     REQUEST_RULES_PUT,     /* changes head office's rules, or an outlet's */
     REQUEST_RULES_GET,     /* reads them */
@@ -33,7 +33,8 @@
     int64_t wait_ms;   /* how long the caller waits, 0: it does not say */
     char *host, *path; /* as sent; of requests about jobs and queues they decide the queue */
     union {
-        struct executor_beat beat;   /* REQUEST_BEAT; the largest member is first, so that {0} clears them all */
+        struct executor_heartbeat
+            beat;                    /* REQUEST_HEARTBEAT; the largest member is first, so that {0} clears them all */
         struct job_spec job;         /* REQUEST_JOB */
         int64_t job_id;              /* REQUEST_STATE, REQUEST_CANCEL, REQUEST_WHY, REQUEST_RULES_JOB */
         struct config_change config; /* REQUEST_CONFIG_PUT, REQUEST_CONFIG_PATCH */
@@ -50,7 +51,7 @@
 struct config_change *api_request_make_config_patch(struct api_request *request);
 void api_request_make_config_get(struct api_request *request);
 void api_request_make_ready(struct api_request *request);
-struct executor_beat *api_request_make_beat(struct api_request *request);
+struct executor_heartbeat *api_request_make_beat(struct api_request *request);
 void api_request_make_why(struct api_request *request, int64_t job_id);
 /* outlet: copied; NULL: head office's rules. The change has the defaults of its schema. */
 struct rules_change *api_request_make_rules_put(struct api_request *request, const char *outlet);
@@ -61,7 +62,7 @@
 const struct job_spec *api_request_job(const struct api_request *request);
 int64_t api_request_job_id(const struct api_request *request);                     /* of all four kinds that have it */
 const struct config_change *api_request_config(const struct api_request *request); /* of both kinds */
-struct executor_beat *api_request_beat(struct api_request *request);
+struct executor_heartbeat *api_request_beat(struct api_request *request);
 const struct rules_change *api_request_rules(const struct api_request *request);
 const char *api_request_outlet(const struct api_request *request); /* REQUEST_RULES_GET; NULL: head office */
 
--- a/src/executor/executor.c
+++ b/src/executor/executor.c
@@ -19,7 +19,7 @@
     state->rack = must_dup(setup->rack);
     state->address = must_dup(addr_text(world->http_addr));
     for (int64_t i = 0; i < setup->n_services; i++)
-        *list_more(state->services, state->n_services) = must_dup(setup->services[i]);
+        *array_add(state->services, state->n_services) = must_dup(setup->services[i]);
     state->cores = setup->cores;
     state->mem_mb = setup->mem_mb;
     state->incarnation = setup->incarnation;
@@ -82,7 +82,7 @@
         const struct exec_work *work = &executor->work[i];
         state.free_cores -= work->task.cores;
         state.free_mb -= work->task.mem_mb;
-        *list_more(state.running, state.n_running) = work->task;
+        *array_add(state.running, state.n_running) = work->task;
         state.running[i].progress =
             work->held || work->stalls ? 0 : world_ms(executor->world) - (work->end_ms - work->duration_ms);
         state.running[i].state = work->held ? "held" : work->stop_ms ? "stopping" : "running";
@@ -104,7 +104,7 @@
 
 static void add_end(struct executor *executor, const struct exec_task *task, const char *outcome, const char *why)
 {
-    struct exec_task *ended = list_more(executor->ended, executor->n_ended);
+    struct exec_task *ended = array_add(executor->ended, executor->n_ended);
     *ended = *task;
     ended->state = must_dup(outcome);
     ended->why = must_dup(why);
@@ -148,9 +148,9 @@
         return;
     executor->reporting = 0;
     json_t *json = status == 200 ? json_loadb(body, (size_t)len, 0, NULL) : NULL;
-    const char *home = json_string_value(json_object_get(json, "home"));
-    executor->home_addr = home ? (int64_t)addr_parse(home) : 0;
-    if (!home)
+    const char *executor_owner = json_string_value(json_object_get(json, "home"));
+    executor->home_addr = executor_owner ? (int64_t)addr_parse(executor_owner) : 0;
+    if (!executor_owner)
         executor->next_report_ms = world_ms(executor->world) + REPORT_MS / 4;
     json_decref(json);
 }
@@ -240,12 +240,12 @@
         .job = start->job, .no = start->no, .attempt = start->attempt, .cores = start->cores, .mem_mb = start->mem_mb};
     if (is_known(executor, start->job, start->no, start->attempt) || now_ms >= ticket_ms + start->lease_ms)
         return;
-    const char *why = executor->naive ? NULL : refusal_of(executor, start);
+    const char *why = executor->accepts_all ? NULL : refusal_of(executor, start);
     if (why) {
         add_end(executor, &task, "unstarted", why);
         return;
     }
-    struct exec_work *work = list_more(executor->work, executor->n_work);
+    struct exec_work *work = array_add(executor->work, executor->n_work);
     work->task = task;
     work->since_ms = now_ms;
     work->lease_ms = ticket_ms + start->lease_ms;
@@ -261,7 +261,7 @@
         begin_work(executor, work);
 }
 
-static void order_go(struct executor *executor, const struct exec_renew *run)
+static void order_go(struct executor *executor, const struct exec_task_order *run)
 {
     for (int64_t i = 0; i < executor->n_work; i++) {
         struct exec_work *work = &executor->work[i];
@@ -271,7 +271,7 @@
     }
 }
 
-static void order_stop(struct executor *executor, const struct exec_renew *run)
+static void order_stop(struct executor *executor, const struct exec_task_order *run)
 {
     for (int64_t i = 0; i < executor->n_work; i++) {
         struct exec_work *work = &executor->work[i];
@@ -290,7 +290,7 @@
     add_end(executor, &task, "unstarted", "stopped before its start");
 }
 
-static void order_renew(struct executor *executor, const struct exec_renew *renewal, int64_t ticket_ms)
+static void order_renew(struct executor *executor, const struct exec_task_order *renewal, int64_t ticket_ms)
 {
     for (int64_t i = 0; i < executor->n_work; i++) {
         struct exec_work *work = &executor->work[i];
@@ -300,13 +300,13 @@
     }
 }
 
-static void order_ack(struct executor *executor, const struct exec_renew *run)
+static void order_ack(struct executor *executor, const struct exec_task_order *run)
 {
     for (int64_t i = 0; i < executor->n_ended; i++) {
         struct exec_task *task = &executor->ended[i];
         if (task->job != run->job || task->no != run->no || task->attempt != run->attempt)
             continue;
-        *list_more(executor->tombstones, executor->n_tombstones) =
+        *array_add(executor->tombstones, executor->n_tombstones) =
             (struct exec_tombstone){.job = run->job,
                                     .no = run->no,
                                     .attempt = run->attempt,
@@ -322,7 +322,7 @@
     int64_t ticket_ms = orders->ticket <= world_ms(executor->world) ? orders->ticket : 0;
     if (orders->epoch > executor->state.epoch) {
         executor->state.epoch = orders->epoch;
-        executor->home_addr = orders->home ? (int64_t)addr_parse(orders->home) : 0;
+        executor->home_addr = orders->executor_owner ? (int64_t)addr_parse(orders->executor_owner) : 0;
     }
     if (orders->incarnation != executor->state.incarnation)
         return;
--- a/src/executor/executor.h
+++ b/src/executor/executor.h
@@ -3,7 +3,7 @@
 #ifndef SAGEHITCH_EXECUTOR_H
 #define SAGEHITCH_EXECUTOR_H
 #include "base/world.h"
-#include "home/home.h"
+#include "executor_owner/executor_owner.h"
 
 enum exec_event { EXEC_STARTED, EXEC_ENDED, EXEC_REFUSED };
 
@@ -44,7 +44,7 @@
     /* injected faults */
     int64_t fail_pct, stall_pct, slow_pct, stop_ms;
     int64_t other_cores; /* cores used by work of other systems */
-    int64_t naive;       /* 1: accepts every start, also without free capacity; for tests */
+    int64_t accepts_all; /* 1: accepts every start, also without free capacity; for tests */
     exec_journal *journal;
     void *journal_arg;
 };
--- a/src/node/api.c
+++ b/src/node/api.c
@@ -20,7 +20,7 @@
             .req = request->from_req, .status = status, .retry_ms = retry_ms, .body = (char *)(uintptr_t)body};
         int64_t to = request->from;
         slab_free(&node->requests, number);
-        node_send(node, to, FRAME_SENT_ON, &sent_on_schema, &m);
+        node_send(node, to, FRAME_FORWARD_RESPONSE, &forward_response_schema, &m);
     } else {
         int64_t slot = request->slot;
         slab_free(&node->requests, number);
@@ -67,7 +67,7 @@
     answer_error(node, request, validation_error->error, validation_error->path, why);
 }
 
-char *api_setting(const char *path, const char *name)
+char *api_query_param(const char *path, const char *name)
 {
     const char *at = strchr(path, '?');
     size_t len = strlen(name);
@@ -117,7 +117,7 @@
     api_route(node, number, m->method, m->path, m->body ? m->body : "", m->body ? (int64_t)strlen(m->body) : 0);
 }
 
-void api_send_on(struct node *node, int64_t number, int64_t to, const struct api_call *call)
+void api_forward(struct node *node, int64_t number, int64_t to, const struct api_call *call)
 {
     struct request *request = slab_at(&node->requests, number);
     if (!to || request->hops >= HOPS_MAX) {
@@ -131,7 +131,7 @@
                         .method = (char *)(uintptr_t)call->method,
                         .path = (char *)(uintptr_t)call->path,
                         .body = (char *)(uintptr_t)call->body};
-    node_send(node, to, FRAME_SEND_ON, &send_on_schema, &m);
+    node_send(node, to, FRAME_FORWARD_REQUEST, &forward_request_schema, &m);
 }
 
 void node_on_sent_on(struct node *node, const struct sent_on *m)
@@ -150,14 +150,14 @@
         /* a dead or late owner is told about at once, and when to come back */
         int dead = request->sent_to && !peers_live(&node->peers, request->sent_to, 0) &&
                    peers_find(&node->peers, request->sent_to) &&
-                   peers_find(&node->peers, request->sent_to)->news.state == SIB_DEAD;
+                   peers_find(&node->peers, request->sent_to)->info.state == PEER_DEAD;
         if (dead)
             api_error(node, number, ERROR_NO_OWNER, "the owner died meanwhile");
         else if (!admission_open(node) && !request->sent_to) /* what waits here for the logs waits in vain */
             api_error(node, number, ERROR_UNAVAILABLE,
                       "this node lost its place meanwhile; resend to another with the same key");
         else if (now_ms >= request->until_ms + (request->from ? 0 : WAIT_MARGIN_MS))
-            api_error(node, number, ERROR_GAVE_UP, "no agreement in time; it may still have been accepted");
+            api_error(node, number, ERROR_OUTCOME_UNKNOWN, "no agreement in time; it may still have been accepted");
     }
 }
 
@@ -183,7 +183,7 @@
     int64_t owner = shard_owner(node, shard);
     if (owner == (int64_t)node->w->self)
         return 0;
-    api_send_on(node, request, owner, &(struct api_call){.shard = shard, .method = method, .path = path, .body = body});
+    api_forward(node, request, owner, &(struct api_call){.shard = shard, .method = method, .path = path, .body = body});
     return 1;
 }
 
@@ -192,7 +192,7 @@
     int64_t job = path_job(path);
     int cancel = !strcmp(method, "DELETE") || strstr(path, "/cancel");
     if (!job) {
-        api_error(node, request, ERROR_NO_SUCH, "a job is named SHARD.NUMBER");
+        api_error(node, request, ERROR_NOT_FOUND, "a job is named SHARD.NUMBER");
         return;
     }
     if (strcmp(method, "GET") && strcmp(method, "DELETE") && strcmp(method, "POST")) {
@@ -214,12 +214,12 @@
         enqueue_job(node, request, body, len);
         return;
     }
-    char *key = api_setting(path, "key"), *from = api_setting(path, "from");
+    char *key = api_query_param(path, "key"), *from = api_query_param(path, "from");
     int64_t shard = key ? key_shard(key) : from ? text_to_int64(from) : 0;
     if (strcmp(method, "GET"))
         api_error(node, request, ERROR_BAD_METHOD, "GET or POST");
     else if (shard < 0 || shard >= SHARD_COUNT)
-        api_error(node, request, ERROR_NO_SUCH, "no such shard");
+        api_error(node, request, ERROR_NOT_FOUND, "no such shard");
     else if (!to_owner(node, request, shard, method, path, body))
         enqueue_list(node, request, shard, path);
     free(key);
@@ -229,9 +229,9 @@
 void api_route(struct node *node, int64_t request, const char *method, const char *path, const char *body, int64_t len)
 {
     if (!starts(path, "/v1/"))
-        api_error(node, request, ERROR_NO_SUCH, "doors are under /v1/");
+        api_error(node, request, ERROR_NOT_FOUND, "doors are under /v1/");
     else if (starts(path, "/v1/executors/report"))
-        home_report(node, request, body, len);
+        executor_owner_on_report(node, request, body, len);
     else if (api_views(node, request, method, path))
         return;
     else if (!admission_open(node))
@@ -241,5 +241,5 @@
     else if (starts(path, "/v1/jobs"))
         route_jobs(node, request, method, path, body, len);
     else if (!api_operators(node, request, method, path, body, len))
-        api_error(node, request, ERROR_NO_SUCH, "no such door");
+        api_error(node, request, ERROR_NOT_FOUND, "no such door");
 }
--- a/src/node/api_views.c
+++ b/src/node/api_views.c
@@ -11,7 +11,7 @@
 static json_t *settings_view(struct node *node)
 {
     return json_pack("{s:I,s:o}", "version", (json_int_t)node->config_tree.version, "settings",
-                     config_tree_whole(&node->config_tree));
+                     config_tree_to_json(&node->config_tree));
 }
 
 static json_t *members_view(struct node *node)
@@ -19,13 +19,13 @@
     static const char *const states[] = {"alive", "leaving", "suspect", "dead"};
     json_t *list = json_array();
     for (int64_t i = -1; i < node->peers.n; i++) {
-        const struct peer_news *news = i < 0 ? &node->peers.self : &node->peers.all[i].news;
+        const struct peer_info *info = i < 0 ? &node->peers.self : &node->peers.all[i].info;
         json_array_append_new(list,
-                              json_pack("{s:o,s:o,s:s,s:s,s:s,s:I,s:I}", "addr", addr_json(news->addr), "http",
-                                        addr_json(news->http), "role", news->role == ROLE_KEEPER ? "keeper" : "node",
-                                        "zone", news->zone ? news->zone : "", "state",
-                                        news->state == SIB_ALIVE && news->leaving ? "leaving" : states[news->state],
-                                        "boot", (json_int_t)news->boot, "incarnation", (json_int_t)news->incarnation));
+                              json_pack("{s:o,s:o,s:s,s:s,s:s,s:I,s:I}", "addr", addr_json(info->addr), "http",
+                                        addr_json(info->http), "role", info->role == ROLE_KEEPER ? "keeper" : "node",
+                                        "zone", info->zone ? info->zone : "", "state",
+                                        info->state == PEER_ALIVE && info->leaving ? "leaving" : states[info->state],
+                                        "boot", (json_int_t)info->boot, "incarnation", (json_int_t)info->incarnation));
     }
     return json_pack("{s:o}", "members", list);
 }
@@ -33,8 +33,8 @@
 static json_t *duties_view(struct node *node)
 {
     json_t *list = json_array();
-    for (int64_t i = 0; i < node->config_tree.n_duties; i++) {
-        const struct duty *d = &node->config_tree.duties[i];
+    for (int64_t i = 0; i < node->config_tree.n_ownerships; i++) {
+        const struct ownership *d = &node->config_tree.ownerships[i];
         json_array_append_new(list, json_pack("{s:s,s:o,s:I}", "duty", d->name, "owner", addr_json(d->owner), "epoch",
                                               (json_int_t)d->epoch));
     }
@@ -45,12 +45,12 @@
 {
     static const char *const states[] = {"open", "silent", "leaving", "quarantine", "probation", "closed"};
     json_t *list = json_array();
-    for (int64_t i = 0; i < node->n_rooms; i++) {
-        const struct room *r = &node->rooms[i];
-        const struct planned *drain = config_tree_drained(&node->config_tree, r->executor, node_fleet_ms(node), 0);
+    for (int64_t i = 0; i < node->n_executor_summaries; i++) {
+        const struct executor_summary *r = &node->executor_summaries[i];
+        const struct planned *drain = config_tree_drain(&node->config_tree, r->executor, node_fleet_ms(node), 0);
         json_t *one =
             json_pack("{s:s,s:s,s:s,s:s,s:o,s:I,s:I,s:I,s:I,s:I,s:I,s:I}", "executor", r->executor, "kind", r->kind,
-                      "rack", r->rack, "state", states[r->state], "home", addr_json(r->home), "epoch",
+                      "rack", r->rack, "state", states[r->state], "home", addr_json(r->executor_owner), "epoch",
                       (json_int_t)r->epoch, "incarnation", (json_int_t)r->incarnation, "cores", (json_int_t)r->cores,
                       "freeCores", (json_int_t)r->free_cores, "slowPct", (json_int_t)r->slow_pct, "memMb",
                       (json_int_t)r->mem_mb, "freeMb", (json_int_t)r->free_mb);
@@ -79,15 +79,15 @@
     for (int64_t i = 0; i + 1 < node->n_voters; i += 2)
         json_array_append_new(voters, json_pack("{s:o,s:I}", "addr", addr_json(node->voters[i]), "logs",
                                                 (json_int_t)node->voters[i + 1]));
-    json_t *homes = json_array();
-    for (int64_t i = 0; i < node->n_homes; i++)
-        json_array_append_new(homes, json_string(node->homes[i]->name));
+    json_t *executor_owners = json_array();
+    for (int64_t i = 0; i < node->n_executor_owners; i++)
+        json_array_append_new(executor_owners, json_string(node->executor_owners[i]->name));
     return json_pack("{s:s,s:o,s:b,s:b,s:I,s:I,s:o,s:I,s:I,s:I,s:o,s:o,s:o}", "role", "node", "addr",
                      addr_json((int64_t)node->w->self), "gate", admission_open(node), "leaving", (int)node->leaving,
                      "feed", (json_int_t)node->feed_index, "version", (json_int_t)node->config_tree.version, "leader",
                      addr_json(node->leaders[GROUP_CONTROL]), "fleetMs", (json_int_t)node_fleet_ms(node), "picks",
                      (json_int_t)node->picks, "framesDropped", (json_int_t)node->frames_dropped, "shards", shards,
-                     "homes", homes, "voters", voters);
+                     "homes", executor_owners, "voters", voters);
 }
 
 static json_t *calendar_view(struct node *node)
@@ -104,7 +104,7 @@
 
 static void effective_view(struct node *node, int64_t request, const char *path)
 {
-    char *name = api_setting(path, "path");
+    char *name = api_query_param(path, "path");
     if (!config_tree_path_ok(name))
         api_error(node, request, ERROR_BAD_FIELD, "?path= must be like root/service/queue");
     else
@@ -129,9 +129,9 @@
         jobs += s->rows.n_jobs;
         buffered += s->n_buffer;
     }
-    for (int64_t i = 0; i < node->n_homes; i++) {
-        accounts += node->homes[i]->n_rows;
-        silent += node->homes[i]->silent != 0;
+    for (int64_t i = 0; i < node->n_executor_owners; i++) {
+        accounts += node->executor_owners[i]->n_rows;
+        silent += node->executor_owners[i]->silent != 0;
     }
     json_t *counters =
         json_pack("{s:I,s:I,s:I,s:I,s:I,s:I}", "commits", (json_int_t)commits, "scanned", (json_int_t)scanned,
@@ -166,10 +166,10 @@
 
 static void journal_api(struct node *node, int64_t request, const char *path)
 {
-    char *job = api_setting(path, "job"), *from = api_setting(path, "from");
+    char *job = api_query_param(path, "job"), *from = api_query_param(path, "from");
     int64_t id = job ? job_id_parse(job) : 0;
     if (job && !id)
-        api_error(node, request, ERROR_NO_SUCH, "a job is named SHARD.NUMBER");
+        api_error(node, request, ERROR_NOT_FOUND, "a job is named SHARD.NUMBER");
     else
         api_json(node, request, 200,
                  json_pack("{s:s,s:I,s:o}", "node", addr_text(node->w->self), "next", (json_int_t)node->journal.next,
@@ -229,14 +229,14 @@
         json_array_append_new(reasons, json_string("the shard's breaker is open"));
     if (row->state == ROW_READY && row->staged)
         json_array_append_new(reasons, json_string("staged, a room is being reserved"));
-    for (int64_t i = 0; row->state == ROW_READY && i < node->n_rooms; i++) {
-        const char *denies = assign_denies(node, job, no, &node->rooms[i]);
-        snprintf(text, sizeof text, "%s: %s", node->rooms[i].executor, denies ? denies : "would do");
+    for (int64_t i = 0; row->state == ROW_READY && i < node->n_executor_summaries; i++) {
+        const char *denies = assign_rejection(node, job, no, &node->executor_summaries[i]);
+        snprintf(text, sizeof text, "%s: %s", node->executor_summaries[i].executor, denies ? denies : "would do");
         json_array_append_new(reasons, json_string(text));
     }
     if (row->state == ROW_PLACED) {
         snprintf(text, sizeof text, "on %s since %lld ms, licence %lld ms, home epoch %lld", row->executor,
-                 (long long)(now_ms - row->placed_ms), (long long)row->lease_ms, (long long)row->home_epoch);
+                 (long long)(now_ms - row->placed_ms), (long long)row->lease_ms, (long long)row->executor_epoch);
         json_array_append_new(reasons, json_string(text));
     }
     if (row->meta)
--- a/src/proc/net.c
+++ b/src/proc/net.c
@@ -10,7 +10,7 @@
 
 #include "base/frame.h"
 #include "base/error.h"
-#include "proc/real.h"
+#include "proc/runtime.h"
 
 enum {
     RECONNECT_MS = 100,
@@ -24,7 +24,7 @@
  * sent, and sent_bytes of it have been; the queue is dropped when the connection is lost. progress_ms: when a byte was
  * last sent, or the queue became non-empty. */
 struct out_connection {
-    struct real *real;
+    struct runtime *runtime;
     uint64_t to;
     int fd;
     ev_io io;
@@ -35,7 +35,7 @@
 
 /* An incoming connection, in the list real->in_connections. received: bytes of a frame that is not complete yet. */
 struct in_connection {
-    struct real *real;
+    struct runtime *runtime;
     struct in_connection *next, *previous;
     int fd;
     ev_io io;
@@ -52,14 +52,14 @@
 static void out_disconnect(struct out_connection *out)
 {
     if (out->fd >= 0) {
-        ev_io_stop(out->real->loop, &out->io);
+        ev_io_stop(out->runtime->loop, &out->io);
         close(out->fd);
     }
     out->fd = -1;
     for (int64_t i = out->first; i < out->n_queue; i++)
         blob_drop(out->queue[i]);
     out->n_queue = out->first = out->sent_bytes = out->queued_bytes = 0;
-    out->reconnect_ms = world_ms(&out->real->base) + RECONNECT_MS;
+    out->reconnect_ms = world_ms(&out->runtime->base) + RECONNECT_MS;
 }
 
 /* Sends as much of the queue as the connection accepts now. Returns 0, or -1 if the connection is broken. */
@@ -76,7 +76,7 @@
         if (n <= 0)
             return -1;
         out->connected = 1;
-        out->progress_ms = world_ms(&out->real->base);
+        out->progress_ms = world_ms(&out->runtime->base);
         out->sent_bytes += n;
         out->queued_bytes -= n;
         if (out->sent_bytes < frame->len)
@@ -117,40 +117,40 @@
     if (connect(out->fd, (struct sockaddr *)&to, sizeof to) && errno != EINPROGRESS) {
         close(out->fd);
         out->fd = -1;
-        out->reconnect_ms = world_ms(&out->real->base) + RECONNECT_MS;
+        out->reconnect_ms = world_ms(&out->runtime->base) + RECONNECT_MS;
         return;
     }
-    out->opened_ms = world_ms(&out->real->base);
+    out->opened_ms = world_ms(&out->runtime->base);
     out->connected = 0;
     ev_io_init(&out->io, out_event, out->fd, EV_READ | EV_WRITE);
     out->io.data = out;
-    ev_io_start(out->real->loop, &out->io);
+    ev_io_start(out->runtime->loop, &out->io);
 }
 
-static struct out_connection *find_out_connection(struct real *real, uint64_t to)
+static struct out_connection *find_out_connection(struct runtime *runtime, uint64_t to)
 {
-    for (int64_t i = 0; i < real->n_out_connections; i++)
-        if (real->out_connections[i]->to == to)
-            return real->out_connections[i];
+    for (int64_t i = 0; i < runtime->n_out_connections; i++)
+        if (runtime->out_connections[i]->to == to)
+            return runtime->out_connections[i];
     struct out_connection *out = must_alloc(sizeof *out);
-    *out = (struct out_connection){.real = real, .to = to, .fd = -1};
-    *list_more(real->out_connections, real->n_out_connections) = out;
+    *out = (struct out_connection){.runtime = runtime, .to = to, .fd = -1};
+    *array_add(runtime->out_connections, runtime->n_out_connections) = out;
     return out;
 }
 
 void net_send(struct world *world, uint64_t to, struct blob *frame, int lossy)
 {
-    struct real *real = (struct real *)world;
-    if (lossy && frame->bytes.len < 1400 && real->udp_fd >= 0) {
+    struct runtime *runtime = (struct runtime *)world;
+    if (lossy && frame->bytes.len < 1400 && runtime->udp_fd >= 0) {
         struct sockaddr_in socket_addr = address(to);
-        sendto(real->udp_fd, frame->bytes.at, (size_t)frame->bytes.len, MSG_DONTWAIT, (struct sockaddr *)&socket_addr,
-               sizeof socket_addr);
+        sendto(runtime->udp_fd, frame->bytes.at, (size_t)frame->bytes.len, MSG_DONTWAIT,
+               (struct sockaddr *)&socket_addr, sizeof socket_addr);
         return;
     }
-    struct out_connection *out = find_out_connection(real, to);
+    struct out_connection *out = find_out_connection(runtime, to);
     if (out->fd < 0 && world_ms(world) >= out->reconnect_ms)
         out_connect(out);
-    if (out->fd < 0 || out->queued_bytes + frame->bytes.len > real->out_max)
+    if (out->fd < 0 || out->queued_bytes + frame->bytes.len > runtime->out_max)
         return;
     int idle = !out->n_queue;
     if (out->first > 1000) {
@@ -158,40 +158,40 @@
         memmove(out->queue, out->queue + out->first, sizeof *out->queue * (size_t)out->n_queue);
         out->first = 0;
     }
-    *list_more(out->queue, out->n_queue) = blob_hold(frame);
+    *array_add(out->queue, out->n_queue) = blob_hold(frame);
     out->queued_bytes += frame->bytes.len;
     if (!idle)
         return;
     out->progress_ms = world_ms(world);
     /* sent at once: this iteration of the loop may go on to a disk sync, and the frame must not wait for that */
     if (!out->connected || out_write(out) || out->n_queue) {
-        ev_io_stop(real->loop, &out->io);
+        ev_io_stop(runtime->loop, &out->io);
         ev_io_set(&out->io, out->fd, EV_READ | EV_WRITE);
-        ev_io_start(real->loop, &out->io);
+        ev_io_start(runtime->loop, &out->io);
     }
 }
 
-void net_on_timer(struct real *real)
+void net_on_timer(struct runtime *runtime)
 {
-    int64_t now_ms = world_ms(&real->base);
-    if (now_ms < real->next_connection_check_ms)
+    int64_t now_ms = world_ms(&runtime->base);
+    if (now_ms < runtime->next_connection_check_ms)
         return;
-    real->next_connection_check_ms = now_ms + CHECK_INTERVAL_MS;
-    for (int64_t i = 0; i < real->n_out_connections; i++) {
-        struct out_connection *out = real->out_connections[i];
+    runtime->next_connection_check_ms = now_ms + CHECK_INTERVAL_MS;
+    for (int64_t i = 0; i < runtime->n_out_connections; i++) {
+        struct out_connection *out = runtime->out_connections[i];
         if (out->fd >= 0 && ((!out->connected && out->n_queue && now_ms - out->opened_ms > CONNECT_TIMEOUT_MS) ||
                              (out->n_queue && now_ms - out->progress_ms > STALL_TIMEOUT_MS)))
             out_disconnect(out);
     }
 }
 
-static void in_open(struct real *real, struct in_connection *in)
+static void in_open(struct runtime *runtime, struct in_connection *in)
 {
-    in->next = real->in_connections;
+    in->next = runtime->in_connections;
     if (in->next)
         in->next->previous = in;
-    real->in_connections = in;
-    ev_io_start(real->loop, &in->io);
+    runtime->in_connections = in;
+    ev_io_start(runtime->loop, &in->io);
 }
 
 static void in_close(struct in_connection *in)
@@ -201,8 +201,8 @@
     if (in->previous)
         in->previous->next = in->next;
     else
-        in->real->in_connections = in->next;
-    ev_io_stop(in->real->loop, &in->io);
+        in->runtime->in_connections = in->next;
+    ev_io_stop(in->runtime->loop, &in->io);
     close(in->fd);
     bytes_free(&in->received);
     free(in);
@@ -223,16 +223,16 @@
     bytes_add(&in->received, chunk, n);
     int64_t offset = 0;
     while (in->received.len - offset >= FRAME_HEAD) {
-        int64_t len = frame_length(in->received.at + offset, in->real->cluster);
+        int64_t len = frame_length(in->received.at + offset, in->runtime->cluster);
         if (len < 0) {
             /* the role drops and counts the bytes; the rest of the stream cannot be decoded */
-            in->real->role.take(in->real->role.arg, in->received.at + offset, in->received.len - offset);
+            in->runtime->role.on_frame(in->runtime->role.arg, in->received.at + offset, in->received.len - offset);
             in_close(in);
             return;
         }
         if (in->received.len - offset < len)
             break;
-        in->real->role.take(in->real->role.arg, in->received.at + offset, len);
+        in->runtime->role.on_frame(in->runtime->role.arg, in->received.at + offset, len);
         offset += len;
     }
     in->received.len -= offset;
@@ -244,62 +244,62 @@
 
 static void listen_event(struct ev_loop *loop, ev_io *io, int events)
 {
-    struct real *real = io->data;
+    struct runtime *runtime = io->data;
     int fd;
     (void)loop, (void)events;
-    while ((fd = accept4(real->listen_fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0) {
+    while ((fd = accept4(runtime->listen_fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0) {
         struct in_connection *in = must_alloc(sizeof *in);
-        *in = (struct in_connection){.real = real, .fd = fd};
+        *in = (struct in_connection){.runtime = runtime, .fd = fd};
         ev_io_init(&in->io, in_event, fd, EV_READ);
         in->io.data = in;
-        in_open(real, in);
+        in_open(runtime, in);
     }
 }
 
 static void udp_event(struct ev_loop *loop, ev_io *io, int events)
 {
-    struct real *real = io->data;
+    struct runtime *runtime = io->data;
     uint8_t datagram[2000];
     (void)loop, (void)events;
     for (int i = 0; i < 64; i++) {
-        ssize_t n = recv(real->udp_fd, datagram, sizeof datagram, MSG_DONTWAIT);
+        ssize_t n = recv(runtime->udp_fd, datagram, sizeof datagram, MSG_DONTWAIT);
         if (n <= 0)
             return;
-        real->role.take(real->role.arg, datagram, n);
+        runtime->role.on_frame(runtime->role.arg, datagram, n);
     }
 }
 
-enum sagehitch_error net_start(struct real *real)
+enum sagehitch_error net_start(struct runtime *runtime)
 {
-    struct sockaddr_in socket_addr = address(real->base.self);
+    struct sockaddr_in socket_addr = address(runtime->base.self);
     int on = 1;
-    real->listen_fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    real->udp_fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    setsockopt(real->listen_fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-    if (bind(real->listen_fd, (struct sockaddr *)&socket_addr, sizeof socket_addr) || listen(real->listen_fd, 1024) ||
-        bind(real->udp_fd, (struct sockaddr *)&socket_addr, sizeof socket_addr))
+    runtime->listen_fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+    runtime->udp_fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+    setsockopt(runtime->listen_fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+    if (bind(runtime->listen_fd, (struct sockaddr *)&socket_addr, sizeof socket_addr) ||
+        listen(runtime->listen_fd, 1024) || bind(runtime->udp_fd, (struct sockaddr *)&socket_addr, sizeof socket_addr))
         return ERROR_BAD_SETTING;
-    ev_io_init(&real->listen_io, listen_event, real->listen_fd, EV_READ);
-    real->listen_io.data = real;
-    ev_io_start(real->loop, &real->listen_io);
-    ev_io_init(&real->udp_io, udp_event, real->udp_fd, EV_READ);
-    real->udp_io.data = real;
-    ev_io_start(real->loop, &real->udp_io);
+    ev_io_init(&runtime->listen_io, listen_event, runtime->listen_fd, EV_READ);
+    runtime->listen_io.data = runtime;
+    ev_io_start(runtime->loop, &runtime->listen_io);
+    ev_io_init(&runtime->udp_io, udp_event, runtime->udp_fd, EV_READ);
+    runtime->udp_io.data = runtime;
+    ev_io_start(runtime->loop, &runtime->udp_io);
     return ERROR_NONE;
 }
 
-void net_end(struct real *real)
+void net_end(struct runtime *runtime)
 {
-    while (real->in_connections)
-        in_close(real->in_connections);
-    for (int64_t i = 0; i < real->n_out_connections; i++) {
-        out_disconnect(real->out_connections[i]);
-        free(real->out_connections[i]->queue);
-        free(real->out_connections[i]);
+    while (runtime->in_connections)
+        in_close(runtime->in_connections);
+    for (int64_t i = 0; i < runtime->n_out_connections; i++) {
+        out_disconnect(runtime->out_connections[i]);
+        free(runtime->out_connections[i]->queue);
+        free(runtime->out_connections[i]);
     }
-    free(real->out_connections);
-    if (real->listen_fd >= 0)
-        close(real->listen_fd);
-    if (real->udp_fd >= 0)
-        close(real->udp_fd);
+    free(runtime->out_connections);
+    if (runtime->listen_fd >= 0)
+        close(runtime->listen_fd);
+    if (runtime->udp_fd >= 0)
+        close(runtime->udp_fd);
 }
--- a/src/proc/real.h
+++ b/src/proc/runtime.h
@@ -12,26 +12,26 @@
 #include "base/world.h"
 #include "proc/local.h"
 
-struct real;
+struct runtime;
 struct http_request; /* controller/codec.h */
 /* Maximum number of HTTP listeners of a process. */
-enum { LISTENERS = 3 };
+enum { LISTENERS_MAX = 3 };
 
 /* Callbacks of a role; NULL: it has none of that kind. arg is passed to each. flush is called before each wait of the
  * loop; leave begins the shutdown of the role, and left tells whether it is complete. */
 struct role {
     void *arg;
     void (*on_timer)(void *arg);
-    void (*take)(void *arg, const uint8_t *at, int64_t len);
+    void (*on_frame)(void *arg, const uint8_t *at, int64_t len);
     void (*on_plain_request)(void *arg, int64_t slot, const char *method, const char *path, const char *body,
                              int64_t len);
-    void (*web)(void *arg, int64_t slot,
-                const struct http_request *request); /* in place of on_plain_request, for several listeners */
-    void (*hup)(void *arg);                          /* on SIGHUP, in place of reload */
+    void (*on_request)(void *arg, int64_t slot,
+                       const struct http_request *request); /* in place of on_plain_request, for several listeners */
+    void (*on_sighup)(void *arg);                           /* on SIGHUP, in place of reload */
     void (*flush)(void *arg);
     void (*leave)(void *arg);
     int (*left)(void *arg);
-    void (*reread)(void *arg, const struct local *local); /* applies the local settings that were read on SIGHUP */
+    void (*reload)(void *arg, const struct local *local); /* applies the local settings that were read on SIGHUP */
 };
 
 struct out_connection;
@@ -44,15 +44,15 @@
 
 /* A listening socket. entry: enum entry of controller/codec.h, which its requests carry. */
 struct http_listener {
-    struct real *real;
+    struct runtime *runtime;
     int64_t entry;
     int fd;
     ev_io io;
 };
 
 /* A process. timer_ms (timer interval), leave_ms (time limit of the shutdown) and out_max (maximum bytes queued to one
- * peer) may be changed between real_start() and real_open(). */
-struct real {
+ * peer) may be changed between runtime_start() and runtime_open(). */
+struct runtime {
     struct world base; /* must be first: a struct world is cast to its struct real */
     struct ev_loop *loop;
     struct role role;
@@ -70,7 +70,7 @@
     ev_timer daemon_timer;
     int responses_pending; /* connections were resumed since the server last ran */
     struct slab requests;
-    struct http_listener listeners[LISTENERS];
+    struct http_listener listeners[LISTENERS_MAX];
     int64_t n_listeners, entry; /* entry: of the connection that is being accepted */
     int closing;                /* requests get a 503 and are no longer passed to the role */
     /* HTTP client */
@@ -92,54 +92,54 @@
 };
 
 /* Initializes the process without opening ports. local is borrowed. Returns 0, or an error that was printed. */
-enum sagehitch_error real_start(struct real *real, struct local *local);
+enum sagehitch_error runtime_start(struct runtime *runtime, struct local *local);
 /* Opens the ports for frames (if frames) and one HTTP listener (if http), and starts the timer and the signal handlers.
  * Returns 0, or an error that was printed. */
-enum sagehitch_error real_open(struct real *real, int frames, int http);
+enum sagehitch_error runtime_open(struct runtime *runtime, int frames, int http);
 /* Opens the HTTP listeners at these addresses, by enum entry; 0: none. Returns 0 or an error. */
-enum sagehitch_error web_open(struct real *real, const int64_t addrs[LISTENERS]);
+enum sagehitch_error http_server_start_listeners(struct runtime *runtime, const int64_t addrs[LISTENERS_MAX]);
 /* Runs the loop until, after SIGTERM or SIGINT, the role has left, leave_ms have passed, or a second signal arrives. */
-void real_run(struct real *real);
+void runtime_run(struct runtime *runtime);
 /* Closes everything that was opened. */
-void real_end(struct real *real);
+void runtime_end(struct runtime *runtime);
 
 /* Frames (net.c): open and close the ports at real->base.self. net_start() returns 0 or ERROR_BAD_SETTING. */
-enum sagehitch_error net_start(struct real *real);
-void net_end(struct real *real);
+enum sagehitch_error net_start(struct runtime *runtime);
+void net_end(struct runtime *runtime);
 /* Closes outgoing connections that do not open in time or make no progress. */
-void net_on_timer(struct real *real);
+void net_on_timer(struct runtime *runtime);
 /* Sends a frame, to which it takes a reference. A lossy frame goes by UDP if it fits into a datagram. Frames may be
  * lost without notice. */
 void net_send(struct world *world, uint64_t to, struct blob *frame, int lossy);
 /* HTTP server (http_in.c): starts it with one listener at real->base.http_addr. Returns 0 or ERROR_BAD_SETTING. */
-int http_server_start(struct real *real);
+int http_server_start(struct runtime *runtime);
 /* Responds to all waiting requests that the process is stopping, and stops the server. */
-void http_server_end(struct real *real);
+void http_server_end(struct runtime *runtime);
 /* Lets the server handle its connections that are ready, and sets its timer. */
-void http_server_run(struct real *real);
+void http_server_run(struct runtime *runtime);
 /* Sends the responses given since the server last ran, if there are any. */
-void http_server_flush(struct real *real);
+void http_server_flush(struct runtime *runtime);
 /* Responds to a request; body is copied. Ignored if the slot is unknown or already has a response. retry_ms: value of
  * Retry-After, 0: no such header. */
 void http_server_respond(struct world *world, int64_t slot, int status, int64_t retry_ms, const char *body);
 /* HTTP client (http_out.c): starts it. */
-void http_client_start(struct real *real);
+void http_client_start(struct runtime *runtime);
 /* Limits the connections per host, and those kept open for later calls. */
-void out_limit(struct real *real, long host_connections, long kept);
-void http_client_end(struct real *real);
+void http_client_limit(struct runtime *runtime, long host_connections, long kept);
+void http_client_end(struct runtime *runtime);
 /* Calls a peer. call->done() is called exactly once, with status 0 if there was no complete response; it is not called
  * after http_client_end(). A request other than GET is not sent again once a byte of it was sent. Strings are copied.
  */
 void http_client_call(struct world *world, const struct http_call *call);
 /* Disk (disk.c): a flat directory, created if it is missing. Returns 0 or ERROR_DISK. */
-enum sagehitch_error disk_start(struct real *real, const char *folder);
-void disk_end(struct real *real);
+enum sagehitch_error disk_start(struct runtime *runtime, const char *folder);
+void disk_end(struct runtime *runtime);
 /* Sets the disk functions in the table of a world. */
 void disk_set_calls(struct world_calls *calls);
 /* Event log (notes.c): events as lines on stderr. level: debug, info, warn or error. */
-void notes_start(const char *level);
+void event_log_start(const char *level);
 void event_log_set_level(const char *level);
-void notes_end(void);
+void event_log_end(void);
 /* Logs an event of base/events.h. */
 void event_log_write(struct world *world, int event, const char *text);
 #endif
--- a/src/shard/rows_spec.c
+++ b/src/shard/rows_spec.c
@@ -6,35 +6,36 @@
 #include "base/error.h"
 #include "shard/rows.h"
 
-static const struct field task_fields[] = {STR(task_spec, kind, .flags = FF_MUST, .min = 1, .max = 64),
-                                           STR(task_spec, payload, .max = 10240),
-                                           INT(task_spec, cores, .dflt = 1, .min = 0, .max = 4096),
-                                           INT_NAMED(task_spec, mem_mb, "memMb", .dflt = 0, .min = 0, .max = 1 << 26),
-                                           INT_NAMED(task_spec, deadline_ms, "cutoffMs", .min = 0, .max = INT32_MAX),
-                                           INT_NAMED(task_spec, ttl_ms, "ttlMs", .min = 0, .max = INT32_MAX)};
+static const struct field task_fields[] = {
+    STR(task_spec, kind, .flags = FF_REQUIRED, .min = 1, .max = 64),
+    STR(task_spec, payload, .max = 10240),
+    INT(task_spec, cores, .default_value = 1, .min = 0, .max = 4096),
+    INT_NAMED(task_spec, mem_mb, "memMb", .default_value = 0, .min = 0, .max = 1 << 26),
+    INT_NAMED(task_spec, deadline_ms, "cutoffMs", .min = 0, .max = INT32_MAX),
+    INT_NAMED(task_spec, ttl_ms, "ttlMs", .min = 0, .max = INT32_MAX)};
 SCHEMA(task_spec_schema, task_spec, task_fields);
 
 static const struct field step_fields[] = {
-    STR(step_spec, name, .flags = FF_MUST, .min = 1, .max = 64),
-    STR(step_spec, rack, .dflt_str = "any", .max = 64),
-    STRS(step_spec, after, n_after, .max = 64),
+    STR(step_spec, name, .flags = FF_REQUIRED, .min = 1, .max = 64),
+    STR(step_spec, rack, .default_str = "any", .max = 64),
+    STRS_NAMED(step_spec, depends_on, "after", n_depends_on, .max = 64),
     INT_NAMED(step_spec, per_executor, "perExecutor", .min = 0, .max = 10000),
     INT_NAMED(step_spec, per_rack, "perRack", .min = 0, .max = 10000),
     BOOL(step_spec, gang),
     INT_NAMED(step_spec, start_at_ms, "startAtMs", .min = 0, .max = INT64_MAX / 4),
-    LIST(step_spec, tasks, n_tasks, task_spec_schema, .flags = FF_MUST, .min = 1, .max = TASKS_MAX)};
+    LIST(step_spec, tasks, n_tasks, task_spec_schema, .flags = FF_REQUIRED, .min = 1, .max = TASKS_MAX)};
 SCHEMA(step_spec_schema, step_spec, step_fields);
 
 static const struct field job_fields[] = {
-    STR(job_spec, key, .flags = FF_MUST, .min = 1, .max = 128),
-    STR(job_spec, service, .flags = FF_MUST, .min = 1, .max = 48),
-    STR(job_spec, queue, .flags = FF_MUST, .min = 1, .max = 48),
-    INT(job_spec, priority, .dflt = -1, .min = -1, .max = INT32_MAX),
+    STR(job_spec, key, .flags = FF_REQUIRED, .min = 1, .max = 128),
+    STR(job_spec, service, .flags = FF_REQUIRED, .min = 1, .max = 48),
+    STR(job_spec, queue, .flags = FF_REQUIRED, .min = 1, .max = 48),
+    INT(job_spec, priority, .default_value = -1, .min = -1, .max = INT32_MAX),
     INT_NAMED(job_spec, start_at_ms, "startAtMs", .min = 0, .max = INT64_MAX / 4),
-    LIST(job_spec, steps, n_steps, step_spec_schema, .flags = FF_MUST, .min = 1, .max = 64)};
+    LIST(job_spec, steps, n_steps, step_spec_schema, .flags = FF_REQUIRED, .min = 1, .max = 64)};
 SCHEMA(job_spec_schema, job_spec, job_fields);
 
-int64_t spec_tasks(const struct job_spec *spec)
+int64_t spec_task_count(const struct job_spec *spec)
 {
     int64_t n = 0;
     for (int64_t i = 0; i < spec->n_steps; i++)
@@ -42,7 +43,7 @@
     return n;
 }
 
-int64_t spec_first(const struct job_spec *spec, int64_t step)
+int64_t spec_first_task(const struct job_spec *spec, int64_t step)
 {
     int64_t n = 0;
     for (int64_t i = 0; i < step; i++)
@@ -80,8 +81,8 @@
         before = left;
         for (int64_t i = 0; i < spec->n_steps; i++) {
             int free = !gone[i];
-            for (int64_t k = 0; free && k < spec->steps[i].n_after; k++)
-                free = gone[step_named(spec, spec->steps[i].after[k])];
+            for (int64_t k = 0; free && k < spec->steps[i].n_depends_on; k++)
+                free = gone[step_named(spec, spec->steps[i].depends_on[k])];
             if (free) {
                 gone[i] = 1;
                 left--;
@@ -111,12 +112,12 @@
         if (step_named(spec, step->name) != i)
             return validation_error_at(validation_error, ERROR_BAD_STEPS, "a name no other step has",
                                        "steps[%lld].name", i, 0);
-        for (int64_t k = 0; k < step->n_after; k++)
-            if (step_named(spec, step->after[k]) < 0)
+        for (int64_t k = 0; k < step->n_depends_on; k++)
+            if (step_named(spec, step->depends_on[k]) < 0)
                 return validation_error_at(validation_error, ERROR_BAD_STEPS, "the name of a step",
                                            "steps[%lld].after[%lld]", i, k);
     }
-    if (spec_tasks(spec) > TASKS_MAX)
+    if (spec_task_count(spec) > TASKS_MAX)
         return validation_error_at(validation_error, ERROR_TOO_LARGE, "at most 2000 tasks", "steps", 0, 0);
     if (has_cycle(spec))
         return validation_error_at(validation_error, ERROR_BAD_STEPS, "steps that do not wait for themselves", "steps",
@@ -127,9 +128,9 @@
 int job_step_ready(const struct job *job, int64_t step)
 {
     const struct step_spec *s = &job->spec.steps[step];
-    for (int64_t k = 0; k < s->n_after; k++) {
-        int64_t earlier = step_named(&job->spec, s->after[k]);
-        int64_t first = spec_first(&job->spec, earlier);
+    for (int64_t k = 0; k < s->n_depends_on; k++) {
+        int64_t earlier = step_named(&job->spec, s->depends_on[k]);
+        int64_t first = spec_first_task(&job->spec, earlier);
         for (int64_t i = 0; i < job->spec.steps[earlier].n_tasks; i++)
             if (job->rows[first + i].state != ROW_DONE)
                 return 0;
--- a/tests/bench/slopes_leader.c
+++ b/tests/bench/slopes_leader.c
@@ -36,7 +36,7 @@
 static void propose(void *arg, const struct bytes *batch, int64_t tag)
 {
     struct bench_leader *b = arg;
-    struct proposal *p = list_more(b->proposals, b->n_proposals);
+    struct proposal *p = array_add(b->proposals, b->n_proposals);
     bytes_copy(&p->packed, batch);
     p->tag = tag;
 }
@@ -59,13 +59,13 @@
     b->order_bytes += out.len;
     bytes_free(&out);
     for (int64_t i = 0; i < o->n_starts; i++)
-        *list_more(h->active, h->n_active) =
+        *array_add(h->active, h->n_active) =
             (struct run_active){.job = o->starts[i].job, .task = o->starts[i].task, .attempt = o->starts[i].attempt};
     b->started += o->n_starts;
     if (h->n_ended && h->ended[h->n_ended - 1].seq <= o->seen)
         h->n_ended = 0;
 }
-static int leads(void *arg) { return (void)arg, 1; }
+static int holds_lease(void *arg) { return (void)arg, 1; }
 static void barrier(void *arg, int64_t tag) { dispatch_barrier(((struct bench_leader *)arg)->d, tag, ERROR_NONE); }
 
 /* As controller.c folds an entry; the log's own part is measured in slopes_log.c. */
@@ -178,11 +178,15 @@
     const struct dispatch_settings settings = {.lease_ms = 3000,
                                                .gang_timeout_ms = 3000,
                                                .early_ms = 250,
-                                               .shown_ms = 120000,
-                                               .far_pct = 150,
+                                               .job_retention_ms = 120000,
+                                               .remote_data_pct = 150,
                                                .restore_ms = 600};
-    const struct dispatch_calls calls = {
-        .propose = propose, .answer = answer, .orders = orders, .leads = leads, .barrier = barrier, .arg = b};
+    const struct dispatch_calls calls = {.propose = propose,
+                                         .answer = answer,
+                                         .orders = orders,
+                                         .holds_lease = holds_lease,
+                                         .barrier = barrier,
+                                         .arg = b};
     b->n = executors;
     snprintf(b->size, sizeof b->size, "%lld x %lld", (long long)executors, (long long)running);
     b->hollows = must_alloc(sizeof *b->hollows * (size_t)executors);
@@ -201,11 +205,11 @@
     heap = heap_bytes();
     b->d = dispatch_new(&b->w.base, &b->record, &settings, &calls);
     int64_t from_ns = cpu_ns();
-    dispatch_lead(b->d, 5);
+    dispatch_become_leader(b->d, 5);
     told("leader: taking over", b->size, (double)(cpu_ns() - from_ns) / 1e6, "ms");
     for (int64_t i = 0; i < executors; i++)
         for (int64_t k = 0; k < running; k++)
-            *list_more(b->hollows[i].active, b->hollows[i].n_active) =
+            *array_add(b->hollows[i].active, b->hollows[i].n_active) =
                 (struct run_active){.job = FIRST_JOB + (i * running + k) / TASKS,
                                     .task = task_of(0, 0, (i * running + k) % TASKS),
                                     .attempt = 1};
@@ -293,7 +297,7 @@
     for (int64_t i = 0; i < n; i++) {
         struct hollow *h = &b->hollows[i];
         struct run_active last = h->active[--h->n_active];
-        *list_more(h->ended, h->n_ended) = (struct run_ended){
+        *array_add(h->ended, h->n_ended) = (struct run_ended){
             .seq = ++h->seq, .job = last.job, .task = last.task, .attempt = last.attempt, .how = END_DONE};
     }
     b->w.now_ms += 300;
--- a/tests/proc/answers_test.cc
+++ b/tests/proc/answers_test.cc
@@ -39,10 +39,10 @@
         int fd = listen_anywhere();
         port = port_of(fd);
         close(fd);
-        real.role.arg = this;
-        real.role.web = on_web;
-        int64_t addrs[LISTENERS] = {(int64_t)loopback(port)};
-        EXPECT_EQ(web_open(&real, addrs), 0);
+        runtime.role.arg = this;
+        runtime.role.on_request = on_web;
+        int64_t addrs[LISTENERS_MAX] = {(int64_t)loopback(port)};
+        EXPECT_EQ(http_server_start_listeners(&runtime, addrs), 0);
     }
     bool one_in(unsigned n) { return random() % n == 0; }
 
@@ -63,7 +63,7 @@
         PendingRequest at = pending[i];
         pending.erase(pending.begin() + (long)i);
         answered_requests.push_back(at);
-        real.base.calls->answer(&real.base, at.slot, 200, 0, response_for(at.id).c_str());
+        runtime.base.calls->answer(&runtime.base, at.slot, 200, 0, response_for(at.id).c_str());
     }
     // Responds to some requests in any order, and sends stale responses to some that were answered or disconnected.
     void respond_to_some()
@@ -73,7 +73,7 @@
         for (int i = 0; i < 3 && !answered_requests.empty(); i++, stale_responses++) {
             const PendingRequest &old = answered_requests[answered_requests.size() - 1 -
                                                           random() % std::min<size_t>(answered_requests.size(), 500)];
-            real.base.calls->answer(&real.base, old.slot, 200, 0, ("stale " + old.id).c_str());
+            runtime.base.calls->answer(&runtime.base, old.slot, 200, 0, ("stale " + old.id).c_str());
         }
     }
 };
@@ -220,8 +220,8 @@
     // requests whose clients disconnected get a response too
     while (!server.pending.empty())
         server.respond(0);
-    server.until([&] { return !server.real.requests.used; }, 2000);
-    EXPECT_EQ(server.real.requests.used, 0) << "requests are kept although all clients have disconnected";
+    server.until([&] { return !server.runtime.requests.used; }, 2000);
+    EXPECT_EQ(server.runtime.requests.used, 0) << "requests are kept although all clients have disconnected";
     EXPECT_GT(server.stale_responses, counts.sent / 4);
     return counts;
 }
--- a/tests/proc/calls_test.cc
+++ b/tests/proc/calls_test.cc
@@ -43,7 +43,7 @@
                                  on_done,
                                  new Pending{&result, mono_ms(nullptr)},
                                  42};
-        http_client_call(&real.base, &call);
+        http_client_call(&runtime.base, &call);
     }
     Result call_and_wait(FaultyServer &server, const char *method, const std::string &path, const std::string &body,
                          int64_t wait_ms = LONG_TIMEOUT_MS)
@@ -53,7 +53,7 @@
         EXPECT_TRUE(until([&] { return result.done; }, LONG_TIMEOUT_MS * 2, [&] { server.turn(); }));
         // a request that curl sends again arrives within these turns
         for (int i = 0; i < 5; i++) {
-            ev_run(real.loop, EVRUN_NOWAIT);
+            ev_run(runtime.loop, EVRUN_NOWAIT);
             server.turn();
         }
         return result;
@@ -206,5 +206,5 @@
         }
         EXPECT_EQ(server.arrivals[get ? path : "body " + id], 1) << i;
     }
-    EXPECT_EQ(client.real.n_calls, 0);
+    EXPECT_EQ(client.runtime.n_calls, 0);
 }
--- a/tests/proc/frames_test.cc
+++ b/tests/proc/frames_test.cc
@@ -41,22 +41,22 @@
         int fd = listen_anywhere();
         port = port_of(fd);
         close(fd);
-        real.base.self = loopback(port);
-        real.role.arg = this;
-        real.role.take = [](void *arg, const uint8_t *at, int64_t len) {
+        runtime.base.self = loopback(port);
+        runtime.role.arg = this;
+        runtime.role.on_frame = [](void *arg, const uint8_t *at, int64_t len) {
             Receiver *r = (Receiver *)arg;
             struct frame frame;
-            if (frame_parse(&frame, at, len, r->real.cluster))
+            if (frame_parse(&frame, at, len, r->runtime.cluster))
                 r->dropped++;
             else
                 r->received.emplace_back((const char *)at, (size_t)len);
         };
-        EXPECT_EQ(net_start(&real), ERROR_NONE);
+        EXPECT_EQ(net_start(&runtime), ERROR_NONE);
     }
     void turns(int n = TURNS_AFTER)
     {
         for (int i = 0; i < n; i++)
-            ev_run(real.loop, EVRUN_NOWAIT);
+            ev_run(runtime.loop, EVRUN_NOWAIT);
     }
     // Runs the loop until that many frames were received or dropped; returns whether they were.
     bool wait_for(size_t frames)
@@ -191,7 +191,7 @@
     send_all(fd, longer.substr(0, FRAME_HEAD));
     to.turns();
     close(fd);
-    EXPECT_TRUE(to.until([&] { return !to.real.in_connections; }, MAX_MS));
+    EXPECT_TRUE(to.until([&] { return !to.runtime.in_connections; }, MAX_MS));
     EXPECT_EQ(to.dropped, 1) << "it waits for a frame over the limit";
 }
 
@@ -292,7 +292,7 @@
     SenderAndPeer()
     {
         from.table.mono_ms = [](struct world *) { return now_ms(); };
-        from.real.out_max = 8 << 20;
+        from.runtime.out_max = 8 << 20;
         int bytes = 64 << 10; // a small buffer makes the sender wait within frames
         setsockopt(listen_fd, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes);
     }
@@ -309,13 +309,13 @@
         number++;
         frames[number] = frame_of(number, random() % 4 ? random() % 300 : random() % 150000);
         bytes_add(&frame->bytes, frames[number].data(), (int64_t)frames[number].size());
-        net_send(&from.real.base, to, frame, 0);
+        net_send(&from.runtime.base, to, frame, 0);
         blob_drop(frame);
     }
     void check_frames()
     {
         while (buffer.size() >= FRAME_HEAD) {
-            int64_t len = frame_length((const uint8_t *)buffer.data(), from.real.cluster);
+            int64_t len = frame_length((const uint8_t *)buffer.data(), from.runtime.cluster);
             ASSERT_GT(len, 0) << "no frame begins here";
             if ((int64_t)buffer.size() < len)
                 return;
--- a/tests/proc/proc_rig.h
+++ b/tests/proc/proc_rig.h
@@ -23,7 +23,7 @@
 #include "base/error.h"
 #include "base/frame.h"
 #include "controller/codec.h"
-#include "proc/real.h"
+#include "proc/runtime.h"
 }
 
 namespace proc_rig
@@ -92,7 +92,7 @@
 // A process with an event loop and without a role.
 struct Rig {
     struct world_calls table = {};
-    struct real real = {};
+    struct runtime runtime = {};
 
     Rig()
     {
@@ -103,19 +103,19 @@
         table.call = http_client_call;
         table.answer = http_server_respond;
         table.note = note;
-        real.base.calls = &table;
-        real.listen_fd = real.udp_fd = -1;
-        real.out_max = 128 << 20;
-        real.cluster = (uint32_t)hash_text("test");
-        real.loop = ev_loop_new(EVFLAG_AUTO);
-        http_client_start(&real);
+        runtime.base.calls = &table;
+        runtime.listen_fd = runtime.udp_fd = -1;
+        runtime.out_max = 128 << 20;
+        runtime.cluster = (uint32_t)hash_text("test");
+        runtime.loop = ev_loop_new(EVFLAG_AUTO);
+        http_client_start(&runtime);
     }
     ~Rig()
     {
-        http_server_end(&real);
-        http_client_end(&real);
-        net_end(&real);
-        ev_loop_destroy(real.loop);
+        http_server_end(&runtime);
+        http_client_end(&runtime);
+        net_end(&runtime);
+        ev_loop_destroy(runtime.loop);
     }
     // Runs the loop, with `between` after each iteration, until done() or the time limit; returns done().
     bool until(
@@ -123,7 +123,7 @@
     {
         int64_t end_ms = mono_ms(nullptr) + max_ms;
         while (!done() && mono_ms(nullptr) < end_ms) {
-            ev_run(real.loop, EVRUN_NOWAIT);
+            ev_run(runtime.loop, EVRUN_NOWAIT);
             between();
         }
         return done();
--- a/tests/proc/relay_client.h
+++ b/tests/proc/relay_client.h
@@ -61,9 +61,9 @@
 // Each response contains the kind of its request, and the name of the error if there is one.
 inline void write_response(const struct api_response *response, int *status, char **body)
 {
-    *status = response->error == ERROR_GAVE_UP ? 504
-              : response->error == ERROR_STALE ? 412
-                                               : error_response((int)response->error)->status;
+    *status = response->error == ERROR_OUTCOME_UNKNOWN ? 504
+              : response->error == ERROR_STALE         ? 412
+                                                       : error_response((int)response->error)->status;
     std::string raw = response->error ? "" : response_text(response);
     std::string text = "kind " + std::to_string(response->kind) + " " +
                        (response->error ? error_response((int)response->error)->name : raw);
--- a/tests/unit/agent_beat_test.cc
+++ b/tests/unit/agent_beat_test.cc
@@ -21,7 +21,7 @@
     {
         open_slot = slot = ++seq;
         sent_ms = now;
-        heartbeat(executor.incarnation, seq, draining, BEAT_ALIVE, "heartbeat", executor.lists(0));
+        heartbeat(executor.incarnation, seq, draining, HEARTBEAT_ALIVE, "heartbeat", executor.lists(0));
     }
     void execute_orders(const std::string &body)
     {
@@ -138,7 +138,7 @@
     EXPECT_TRUE(rig.is_pending(1));
     EXPECT_EQ(rig.how_ended(1), 0);
     rig.run(1200);
-    EXPECT_EQ(rig.how_ended(1), END_ABSENT);
+    EXPECT_EQ(rig.how_ended(1), END_NEVER_RAN);
     EXPECT_EQ(rig.starts_received, 2);
     rig.executor.capacity = 5;
     rig.ends_seen(1, 1);
@@ -170,7 +170,7 @@
     EXPECT_TRUE(rig.is_pending(1));
     reaches = rig.sending = true;
     rig.run(500);
-    EXPECT_EQ(rig.how_ended(1), END_ABSENT);
+    EXPECT_EQ(rig.how_ended(1), END_NEVER_RAN);
     EXPECT_EQ(rig.executor.barred_attempts[Key(1, 1)], 1);
 }
 
@@ -185,7 +185,7 @@
     rig.run(1000);
     EXPECT_TRUE(rig.executor.starts.empty());
     EXPECT_EQ(rig.starts_received, 0);
-    EXPECT_EQ(rig.refusal(1), REFUSED_ROOM);
+    EXPECT_EQ(rig.refusal(1), REFUSED_NO_CAPACITY);
 }
 
 TEST(AgentHeartbeatOrders, a_new_incarnation_ends_the_old_and_late_heartbeats_are_ignored)
@@ -202,7 +202,7 @@
     EXPECT_STREQ(rig.report().executor.incarnation, "B");
     EXPECT_TRUE(rig.report().ready);
     rig.slot = 100000;
-    rig.heartbeat("A", 100000, 0, BEAT_ALIVE, "heartbeat", old);
+    rig.heartbeat("A", 100000, 0, HEARTBEAT_ALIVE, "heartbeat", old);
     EXPECT_EQ(rig.responses[100000], "");
     rig.run(300);
     EXPECT_STREQ(rig.report().executor.incarnation, "B");
@@ -217,7 +217,7 @@
     rig.start(1, 1);
     rig.run(300);
     rig.slot = 100000;
-    rig.heartbeat("A", 1, 0, BEAT_ALIVE, "heartbeat", before);
+    rig.heartbeat("A", 1, 0, HEARTBEAT_ALIVE, "heartbeat", before);
     rig.run(20);
     EXPECT_TRUE(rig.is_active(1, 1));
     EXPECT_EQ(rig.responses[100000], "");
@@ -265,9 +265,9 @@
                 responded_at = 0;
             }
         };
-        int64_t over_at = rig.now + rig.report().executor.over_ms;
+        int64_t over_at = rig.now + rig.report().executor.lease_left_ms;
         for (int i = 0; i < 9000 && !rig.executor.lapsed_at; i++) {
-            over_at = std::max(over_at, rig.report().stamp_ms + rig.report().executor.over_ms);
+            over_at = std::max(over_at, rig.report().stamp_ms + rig.report().executor.lease_left_ms);
             rig.run(1);
         }
         EXPECT_GT(rig.executor.lapsed_at, 0);
@@ -285,7 +285,7 @@
     rig.start(1, 1);
     rig.run(1000);
     EXPECT_TRUE(rig.executor.starts.empty());
-    EXPECT_EQ(rig.how_ended(1), END_ABSENT);
+    EXPECT_EQ(rig.how_ended(1), END_NEVER_RAN);
 }
 
 TEST(AgentHeartbeatOrders, silence_is_reported_and_an_executor_that_left_has_ended)
@@ -303,7 +303,7 @@
     rig.sending = false;
     rig.run(200);
     rig.slot = 100000;
-    rig.heartbeat("A", 100000, 0, BEAT_LEFT);
+    rig.heartbeat("A", 100000, 0, HEARTBEAT_LEAVING);
     EXPECT_EQ(rig.responses.count(100000), 1u);
     rig.run(400);
     EXPECT_FALSE(rig.lost("A"));
--- a/tests/unit/agent_executor.h
+++ b/tests/unit/agent_executor.h
@@ -45,7 +45,8 @@
                         int64_t expires, int64_t epoch)
 {
     make_call(call, "start", incarnation,
-              words({epoch, expires, start->job, start->task, start->attempt}) + (start->saved ? start->saved : "-"));
+              words({epoch, expires, start->job, start->task, start->attempt}) +
+                  (start->checkpoint ? start->checkpoint : "-"));
 }
 inline void codec_stop(struct executor_call *call, const char *incarnation, const struct run_ref *run, int64_t epoch)
 {
@@ -79,18 +80,18 @@
     if (status == 500)
         return ERROR_BAD_JSON;
     std::istringstream in(body);
-    int64_t refusal = REFUSED_NOT;
+    int64_t refusal = REFUSED_NONE;
     in >> response->clock_ms >> refusal;
     if (status == 421)
         executor_response_other_incarnation(response);
-    else if (refusal != REFUSED_NOT)
+    else if (refusal != REFUSED_NONE)
         executor_response_refuse(response, (start_refusal)refusal);
     else
         read_lists(in, executor_response_accept(response));
     return 0;
 }
 // "EPOCH SEEN HOLD RETRY N (JOB TASK ATTEMPT)... N (JOB TASK ATTEMPT)..."
-inline char *codec_heartbeat_response(const struct beat_orders *orders)
+inline char *codec_heartbeat_response(const struct heartbeat_orders *orders)
 {
     std::string body = words({orders->epoch, orders->seen, orders->hold_ms, orders->retry_ms});
     for (int list = 0; list < 2; list++) {
@@ -116,7 +117,7 @@
         api_request_make_count(request);
         return 0;
     }
-    executor_beat *heartbeat = api_request_make_beat(request);
+    executor_heartbeat *heartbeat = api_request_make_beat(request);
     in >> kind >> incarnation >> heartbeat->seq >> heartbeat->state.draining;
     heartbeat->kind = kind;
     heartbeat->state.incarnation = must_dup(incarnation.c_str());
@@ -125,7 +126,7 @@
     if (lists.empty())
         return 0;
     std::istringstream account(lists);
-    int64_t refusal = REFUSED_NOT;
+    int64_t refusal = REFUSED_NONE;
     account >> heartbeat->account.clock_ms >> refusal;
     read_lists(account, &heartbeat->account.lists);
     return 0;
@@ -204,10 +205,10 @@
         in >> epoch;
         if (unavailable_starts > 0 && method == "start") {
             unavailable_starts--;
-            return response_without_lists(REFUSED_SICK);
+            return response_without_lists(REFUSED_UNAVAILABLE);
         }
         if (epoch < fence_epoch)
-            return response_without_lists(REFUSED_EPOCH);
+            return response_without_lists(REFUSED_STALE_EPOCH);
         fence_epoch = epoch;
         if (method == "poll") {
             int64_t seen, expires;
@@ -240,9 +241,9 @@
         if (active.count(key) && active[key] == attempt)
             return response_without_lists(0);
         if (barred_attempts.count(key) && barred_attempts[key] >= attempt)
-            return response_without_lists(REFUSED_OLD);
+            return response_without_lists(REFUSED_OUTDATED);
         if ((int64_t)active.size() >= capacity)
-            return response_without_lists(REFUSED_ROOM);
+            return response_without_lists(REFUSED_NO_CAPACITY);
         active[key] = attempt;
         starts.push_back(std::to_string(task) + "." + std::to_string(attempt));
         return response_without_lists(0);
--- a/tests/unit/agent_lease_test.cc
+++ b/tests/unit/agent_lease_test.cc
@@ -67,7 +67,7 @@
     rig.orders();
     rig.run(4000);
     EXPECT_TRUE(rig.executor.starts.empty());
-    EXPECT_EQ(rig.how_ended(1), END_ABSENT);
+    EXPECT_EQ(rig.how_ended(1), END_NEVER_RAN);
 }
 
 TEST(AgentLease, a_grant_for_a_report_without_the_incarnation_renews_nothing)
@@ -97,9 +97,9 @@
     rig.run(1000);
     EXPECT_TRUE(rig.is_active(1, 1));
     rig.set_fault(LOST);
-    for (int i = 0; i < 12000 && !(rig.report().executor.silent_ms && !rig.report().executor.over_ms); i++)
+    for (int i = 0; i < 12000 && !(rig.report().executor.silent_ms && !rig.report().executor.lease_left_ms); i++)
         rig.run(1);
-    EXPECT_EQ(rig.report().executor.over_ms, 0) << "a silent executor's lease must not be renewed";
+    EXPECT_EQ(rig.report().executor.lease_left_ms, 0) << "a silent executor's lease must not be renewed";
     EXPECT_NE(rig.executor.lapsed_at, 0);
     EXPECT_LE(rig.executor.lapsed_at, rig.now);
 }
@@ -112,11 +112,11 @@
     rig.start(1, 1);
     rig.run(9000);
     EXPECT_GT(rig.report().executor.silent_ms, 0);
-    EXPECT_EQ(rig.report().executor.over_ms, 0);
+    EXPECT_EQ(rig.report().executor.lease_left_ms, 0);
     rig.set_fault(EXECUTED);
     rig.run(6000);
     EXPECT_TRUE(rig.executor.starts.empty());
-    EXPECT_EQ(rig.how_ended(1), END_ABSENT);
+    EXPECT_EQ(rig.how_ended(1), END_NEVER_RAN);
 }
 
 TEST(AgentLease, a_restarted_agent_waits_for_the_leases_of_its_former_process)
@@ -131,7 +131,7 @@
     rig.heartbeat("A", 2);
     rig.run(400);
     EXPECT_TRUE(rig.report().present);
-    EXPECT_GT(rig.report().executor.over_ms, 0);
+    EXPECT_GT(rig.report().executor.lease_left_ms, 0);
     rig.executor_up = true;
     rig.run(2000);
     EXPECT_TRUE(rig.report().ready);
@@ -170,7 +170,7 @@
     rig.after = [&] { EXPECT_EQ(rig.refusal(1), 0); };
     rig.start(1, 1);
     rig.run(1500); // the poll that proves it may wait for a poll in flight
-    EXPECT_EQ(rig.how_ended(1), END_ABSENT);
+    EXPECT_EQ(rig.how_ended(1), END_NEVER_RAN);
     rig.executor.capacity = 10;
     rig.run(4000);
     EXPECT_TRUE(rig.executor.starts.empty());
@@ -201,7 +201,8 @@
     rig.run(2000);
     EXPECT_STREQ(rig.report().executor.incarnation, "B");
     char *seen[] = {(char *)"A"};
-    rig.orders([&](struct agent_orders &message) { message.incarnations_seen = seen, message.n_incarnations_seen = 1; });
+    rig.orders(
+        [&](struct agent_orders &message) { message.incarnations_seen = seen, message.n_incarnations_seen = 1; });
     rig.run(400);
     EXPECT_FALSE(rig.lost("A"));
 }
@@ -231,7 +232,7 @@
     rig.start(2, 1);
     rig.run(300);
     rig.heartbeat("A", 100, 1);
-    rig.heartbeat("A", 0, 0, BEAT_LEFT);
+    rig.heartbeat("A", 0, 0, HEARTBEAT_LEAVING);
     EXPECT_EQ(rig.last_status, 200);
     rig.run(600);
     EXPECT_TRUE(rig.report().present) << "it still responds";
@@ -247,7 +248,7 @@
 {
     Rig rig;
     rig.settled();
-    rig.heartbeat("A", 0, 0, BEAT_LEFT);
+    rig.heartbeat("A", 0, 0, HEARTBEAT_LEAVING);
     rig.run(1000);
     EXPECT_TRUE(rig.lost("A"));
 }
--- a/tests/unit/agent_rig.h
+++ b/tests/unit/agent_rig.h
@@ -45,7 +45,7 @@
     int64_t granted_at = 0;                   // time of the newest report that the leader answered
     std::string leader_incarnation;           // the incarnation that the leader knows
     std::map<int64_t, std::string> responses; // to heartbeats, by slot
-    int64_t by_beat = 0, slot = 1;
+    int64_t orders_by_heartbeat = 0, slot = 1;
 
     static Rig *of(struct world *w) { return static_cast<Rig *>(w); }
     static int64_t mono(struct world *w) { return of(w)->now; }
@@ -97,7 +97,7 @@
         }
     }
 
-    explicit Rig(bool orders_by_heartbeats = false) : world(), by_beat(orders_by_heartbeats)
+    explicit Rig(bool orders_by_heartbeats = false) : world(), orders_by_heartbeat(orders_by_heartbeats)
     {
         table.mono_ms = mono;
         table.wall_ms = wall_ms;
@@ -134,7 +134,7 @@
         setup.hold_max_ms = HOLD_MAX;
         setup.stop_timeout_ms = 400;
         setup.grace_ms = 6000;
-        setup.by_beat = by_beat;
+        setup.orders_by_heartbeat = orders_by_heartbeat;
         setup.codec = &api_codec;
         setup.executor_codec = &executor_codec;
         agent = agent_new(this, &setup);
@@ -161,7 +161,7 @@
             fill(message);
         struct bytes out = {};
         frame_build(&out, FRAME_ORDERS, (uint32_t)hash_text(CLUSTER), LEADER, &agent_orders_schema, &message);
-        agent_take(agent, out.at, out.len);
+        agent_on_frame(agent, out.at, out.len);
         bytes_free(&out);
     }
     void start(int64_t task, int64_t attempt)
@@ -179,7 +179,7 @@
         struct run_ref run = {1, task, attempt};
         orders([&](struct agent_orders &message) { message.ends_seen = &run, message.n_ends_seen = 1; });
     }
-    void heartbeat(const std::string &incarnation, int64_t seq, int64_t draining = 0, int64_t kind = BEAT_ALIVE,
+    void heartbeat(const std::string &incarnation, int64_t seq, int64_t draining = 0, int64_t kind = HEARTBEAT_ALIVE,
                    const char *path = "heartbeat", const std::string &lists = "")
     {
         std::string body = std::to_string(kind) + " " + incarnation + " " + std::to_string(seq) + " " +
@@ -207,7 +207,7 @@
             call.response = executor.execute(call.method, call.body, waits);
             int64_t clock = 0, refusal = 0;
             std::istringstream(call.response) >> clock >> refusal;
-            *call.start_refused = refusal == REFUSED_ROOM || refusal == REFUSED_SICK;
+            *call.start_refused = refusal == REFUSED_NO_CAPACITY || refusal == REFUSED_UNAVAILABLE;
             call.waiting_poll = waits > 0 && executor.ended.empty();
             call.respond_by = now + waits;
             call.respond_after = call.waiting_poll ? 0 : now + response_delay();
--- a/tests/unit/agent_test.cc
+++ b/tests/unit/agent_test.cc
@@ -112,7 +112,7 @@
     rig.after = [&] { EXPECT_EQ(rig.refusal(1), 0); };
     rig.start(1, 1);
     rig.run(2500);
-    EXPECT_EQ(rig.how_ended(1), END_ABSENT);
+    EXPECT_EQ(rig.how_ended(1), END_NEVER_RAN);
     rig.executor.capacity = 10;
     rig.run(4000);
     EXPECT_TRUE(rig.executor.starts.empty());
@@ -125,7 +125,7 @@
     rig.executor.capacity = 0;
     rig.start(1, 1);
     rig.run(700);
-    EXPECT_EQ(rig.refusal(1), REFUSED_ROOM);
+    EXPECT_EQ(rig.refusal(1), REFUSED_NO_CAPACITY);
     rig.ends_seen(1, 1);
     rig.run(700);
     EXPECT_EQ(rig.refusal(1), 0);
@@ -149,7 +149,7 @@
     rig.executor.unavailable_starts = 100;
     rig.start(2, 1);
     rig.run(2500);
-    EXPECT_EQ(rig.refusal(2), REFUSED_SICK);
+    EXPECT_EQ(rig.refusal(2), REFUSED_UNAVAILABLE);
 }
 
 TEST(Agent, an_end_is_reported_until_committed_and_only_then_acknowledged)
@@ -186,7 +186,7 @@
     rig.start(1, 1);
     rig.run(1000);
     EXPECT_EQ(rig.count_calls("start"), 0);
-    EXPECT_EQ(rig.refusal(1), REFUSED_ROOM);
+    EXPECT_EQ(rig.refusal(1), REFUSED_NO_CAPACITY);
     EXPECT_TRUE(rig.report().executor.draining);
 }
 
@@ -200,7 +200,7 @@
     rig.run(200);
     rig.heartbeat("A", 100, 1);
     rig.run(2500);
-    EXPECT_EQ(rig.how_ended(1), END_ABSENT);
+    EXPECT_EQ(rig.how_ended(1), END_NEVER_RAN);
     EXPECT_EQ(rig.count_calls("start"), 1);
     rig.run(3000);
     EXPECT_TRUE(rig.executor.starts.empty());
@@ -216,10 +216,10 @@
     rig.run(300);
     rig.stop(1, 1);
     rig.run(300);
-    EXPECT_EQ(rig.how_ended(1), END_ABSENT);
+    EXPECT_EQ(rig.how_ended(1), END_NEVER_RAN);
     rig.run(4000);
     EXPECT_TRUE(rig.executor.starts.empty()) << "the late start was refused";
-    EXPECT_EQ(rig.how_ended(1), END_ABSENT);
+    EXPECT_EQ(rig.how_ended(1), END_NEVER_RAN);
     rig.ends_seen(1, 1);
     rig.run(400);
     EXPECT_EQ(rig.how_ended(1), 0);
@@ -337,6 +337,6 @@
 TEST(Agent, other_requests_get_not_found)
 {
     Rig rig;
-    rig.heartbeat("A", 1, 0, BEAT_ALIVE, "other");
+    rig.heartbeat("A", 1, 0, HEARTBEAT_ALIVE, "other");
     EXPECT_EQ(rig.last_status, 404);
 }
