--- a/src/agent/agent_heartbeat_orders.c
+++ b/src/agent/agent_heartbeat_orders.c
@@ -53,26 +53,26 @@
                : HEARTBEAT_IDLE_WAIT_MS;
 }
 
-void agent_heartbeat_received(struct agent *agent, int64_t slot, struct heartbeat_report *account, int64_t now)
+void agent_heartbeat_received(struct agent *agent, int64_t slot, struct heartbeat_report *report, int64_t now)
 {
     struct agent_incarnation *incarnation = &agent->incarnation;
     agent_heartbeat_close(agent);
-    int delivered = response_was_delivered(&incarnation->heartbeat, account->clock_ms, now);
-    int whole = account->lists.n_ended < POLL_ENDS_MAX;
+    int delivered = response_was_delivered(&incarnation->heartbeat, report->clock_ms, now);
+    int whole = report->lists.n_ended < POLL_ENDS_MAX;
     int current = delivered && incarnation->heartbeat.epoch == agent->epoch;
     if (delivered && incarnation->heartbeat.seen > incarnation->seen_delivered)
         incarnation->seen_delivered = incarnation->heartbeat.seen;
     incarnation->silent_since_ms = incarnation->leaving_silent_ms = 0;
-    agent_clock_received(agent, account->clock_ms, now);
+    agent_clock_received(agent, report->clock_ms, now);
     count_deliveries(agent, current, now);
-    agent_lists_update(agent, &account->lists);
+    agent_lists_update(agent, &report->lists);
     if (current && !incarnation->ready)
         incarnation->ready = agent->report_needed = 1;
     agent_work_items_settle(agent, agent->last_call_number, whole, now);
     stop_refused_starts(agent, now);
     incarnation->heartbeat = (struct agent_heartbeat){.open = 1,
                                                       .slot = slot,
-                                                      .clock_ms = account->clock_ms,
+                                                      .clock_ms = report->clock_ms,
                                                       .received_ms = now,
                                                       .respond_by_ms = now + response_wait_ms(agent)};
 }
--- a/src/agent/agent_state.h
+++ b/src/agent/agent_state.h
@@ -240,7 +240,7 @@
 
 /* agent_heartbeat_orders.c: executors that take orders in the responses to heartbeats */
 /* Handles the newest heartbeat; slot: its HTTP request, for the response. */
-void agent_heartbeat_received(struct agent *agent, int64_t slot, struct heartbeat_report *account, int64_t now);
+void agent_heartbeat_received(struct agent *agent, int64_t slot, struct heartbeat_report *report, int64_t now);
 /* Responds to the open heartbeat once there are orders or its waiting time has passed. */
 void agent_heartbeat_step(struct agent *agent, int64_t now);
 /* Responds to the open heartbeat, if there is one, without orders. */
--- a/src/agent/codec_schemas.c
+++ b/src/agent/codec_schemas.c
@@ -17,23 +17,23 @@
 SCHEMA_TAGGED(executor_response_schema, executor_response, response_fields);
 
 /* Part of forwarded requests. The fields without kinds stand for two numbers of older versions after the clock. */
-static const struct field account_fields[] = {
+static const struct field report_fields[] = {
     INT_NAMED(heartbeat_report, clock_ms, "clockMs"),
     INT_NAMED(heartbeat_report, clock_ms, "refusal", .kinds = KINDS_NONE),
     INT_NAMED(heartbeat_report, clock_ms, "otherLife", .kinds = KINDS_NONE),
     LIST_NAMED(heartbeat_report, lists.active, "active", lists.n_active, run_active_schema),
     LIST_NAMED(heartbeat_report, lists.ended, "ended", lists.n_ended, run_ended_schema)};
-static SCHEMA_TAGGED(executor_account_schema, heartbeat_report, account_fields);
+static SCHEMA_TAGGED(heartbeat_report_schema, heartbeat_report, report_fields);
 
 static const struct field heartbeat_fields[] = {
     INT(executor_heartbeat, kind), INT(executor_heartbeat, seq), STR(executor_heartbeat, address),
-    SUB(executor_heartbeat, state, executor_state_schema), SUB(executor_heartbeat, account, executor_account_schema)};
+    SUB(executor_heartbeat, state, executor_state_schema), SUB(executor_heartbeat, account, heartbeat_report_schema)};
 SCHEMA(executor_heartbeat_schema, executor_heartbeat, heartbeat_fields);
 
 void run_lists_free(struct run_lists *lists)
 {
-    struct heartbeat_report account = {.lists = *lists};
-    schema_free(&executor_account_schema, &account);
+    struct heartbeat_report report = {.lists = *lists};
+    schema_free(&heartbeat_report_schema, &report);
     *lists = (struct run_lists){0};
 }
 
--- a/src/proc/http_server.c
+++ b/src/proc/http_server.c
@@ -22,7 +22,7 @@
     BACKLOG = 1024
 };
 
-/* A request. head_ms: when its head was received. Invariant: slot is its cell in real->requests from when the whole
+/* A request. head_ms: when its head was received. Invariant: slot is its cell in runtime->requests from when the whole
  * body was received until the connection has completed the request. */
 struct request {
     struct runtime *runtime;
--- a/src/proc/net.c
+++ b/src/proc/net.c
@@ -33,7 +33,7 @@
     int connected;
 };
 
-/* An incoming connection, in the list real->in_connections. received: bytes of a frame that is not complete yet. */
+/* An incoming connection, in the list runtime->in_connections. received: bytes of a frame that is not complete yet. */
 struct in_connection {
     struct runtime *runtime;
     struct in_connection *next, *previous;
--- a/src/proc/runtime.h
+++ b/src/proc/runtime.h
@@ -1,8 +1,8 @@
 /* The runtime of a process, which implements struct world: one libev loop, frames over TCP and UDP, HTTP by
  * libmicrohttpd and libcurl, a directory as the disk, log4c for events. The simulator has its own implementation
  * (sim/). */
-#ifndef SAGEHITCH_REAL_H
-#define SAGEHITCH_REAL_H
+#ifndef SAGEHITCH_RUNTIME_H
+#define SAGEHITCH_RUNTIME_H
 #include <curl/curl.h>
 #include <ev.h>
 #include <microhttpd.h>
@@ -27,7 +27,7 @@
                              int64_t len);
     void (*on_request)(void *arg, int64_t slot,
                        const struct http_request *request); /* in place of on_plain_request, for several listeners */
-    void (*on_sighup)(void *arg);                           /* on SIGHUP, in place of reload */
+    void (*on_sighup)(void *arg);                           /* in place of reload */
     void (*flush)(void *arg);
     void (*leave)(void *arg);
     int (*left)(void *arg);
@@ -53,7 +53,7 @@
 /* A process. timer_ms (timer interval), leave_ms (time limit of the shutdown) and out_max (maximum bytes queued to one
  * peer) may be changed between runtime_start() and runtime_open(). */
 struct runtime {
-    struct world base; /* must be first: a struct world is cast to its struct real */
+    struct world base; /* must be first: a struct world is cast to its struct runtime */
     struct ev_loop *loop;
     struct role role;
     struct local *local;
@@ -103,7 +103,7 @@
 /* Closes everything that was opened. */
 void runtime_end(struct runtime *runtime);
 
-/* Frames (net.c): open and close the ports at real->base.self. net_start() returns 0 or ERROR_BAD_SETTING. */
+/* Frames (net.c): open and close the ports at runtime->base.self. net_start() returns 0 or ERROR_BAD_SETTING. */
 enum sagehitch_error net_start(struct runtime *runtime);
 void net_end(struct runtime *runtime);
 /* Closes outgoing connections that do not open in time or make no progress. */
@@ -111,7 +111,8 @@
 /* Sends a frame, to which it takes a reference. A lossy frame goes by UDP if it fits into a datagram. Frames may be
  * lost without notice. */
 void net_send(struct world *world, uint64_t to, struct blob *frame, int lossy);
-/* HTTP server (http_in.c): starts it with one listener at real->base.http_addr. Returns 0 or ERROR_BAD_SETTING. */
+/* HTTP server (http_server.c): starts it with one listener at runtime->base.http_addr. Returns 0 or ERROR_BAD_SETTING.
+ */
 int http_server_start(struct runtime *runtime);
 /* Responds to all waiting requests that the process is stopping, and stops the server. */
 void http_server_end(struct runtime *runtime);
@@ -122,7 +123,7 @@
 /* Responds to a request; body is copied. Ignored if the slot is unknown or already has a response. retry_ms: value of
  * Retry-After, 0: no such header. */
 void http_server_respond(struct world *world, int64_t slot, int status, int64_t retry_ms, const char *body);
-/* HTTP client (http_out.c): starts it. */
+/* HTTP client (http_client.c): starts it. */
 void http_client_start(struct runtime *runtime);
 /* Limits the connections per host, and those kept open for later calls. */
 void http_client_limit(struct runtime *runtime, long host_connections, long kept);
@@ -136,7 +137,7 @@
 void disk_end(struct runtime *runtime);
 /* Sets the disk functions in the table of a world. */
 void disk_set_calls(struct world_calls *calls);
-/* Event log (notes.c): events as lines on stderr. level: debug, info, warn or error. */
+/* Event log (event_log.c): events as lines on stderr. level: debug, info, warn or error. */
 void event_log_start(const char *level);
 void event_log_set_level(const char *level);
 void event_log_end(void);
--- a/tests/proc/standin.h
+++ b/tests/proc/faulty_server.h
@@ -1,7 +1,7 @@
 // An HTTP server on a real socket that breaks its connections: it counts each whole request that arrives, and resets,
 // closes or stops responding at a given byte of the request or of the response.
-#ifndef SAGEHITCH_TESTS_STANDIN_H
-#define SAGEHITCH_TESTS_STANDIN_H
+#ifndef SAGEHITCH_TESTS_FAULTY_SERVER_H
+#define SAGEHITCH_TESTS_FAULTY_SERVER_H
 #include <map>
 #include <memory>
 
--- a/tests/proc/calls_test.cc
+++ b/tests/proc/http_client_test.cc
@@ -1,5 +1,5 @@
 // The HTTP client on connections that break; guards against a second delivery of a call that is not repeatable.
-#include "standin.h"
+#include "faulty_server.h"
 
 using namespace proc_rig;
 
--- a/tests/proc/orders_test.cc
+++ b/tests/proc/operator_requests_test.cc
@@ -1,6 +1,6 @@
 // Configuration changes of operators that are large, slow, invalid or repeated, over real sockets. Guards against a
 // refused change that is not logged as an event or is partly applied.
-#include "plain_caller.h"
+#include "raw_client.h"
 #include "relay_client.h"
 
 extern "C" {
--- a/tests/proc/proc_rig.h
+++ b/tests/proc/proc_rig.h
@@ -1,5 +1,5 @@
-// The sockets of one process in a test: the production code of http_in, http_out and net with its own event loop, on
-// loopback addresses. Tests do not sleep: they run loops until a condition holds.
+// The sockets of one process in a test: the production code of http_server.c, http_client.c and net.c with its own
+// event loop, on loopback addresses. Tests do not sleep: they run loops until a condition holds.
 #ifndef SAGEHITCH_TESTS_PROC_RIG_H
 #define SAGEHITCH_TESTS_PROC_RIG_H
 #include <arpa/inet.h>
--- a/tests/proc/plain_caller.h
+++ b/tests/proc/raw_client.h
@@ -1,6 +1,6 @@
 // A client for tests that send single requests as text.
-#ifndef SAGEHITCH_TESTS_PLAIN_CALLER_H
-#define SAGEHITCH_TESTS_PLAIN_CALLER_H
+#ifndef SAGEHITCH_TESTS_RAW_CLIENT_H
+#define SAGEHITCH_TESTS_RAW_CLIENT_H
 #include "proc_rig.h"
 
 namespace proc_rig
--- a/tests/proc/relay_test.cc
+++ b/tests/proc/relay_test.cc
@@ -1,7 +1,7 @@
 // Requests through the relay; guards against a response that reaches another request, and against lost or repeated
 // jobs. Thousands of requests are sent to several controllers and forwarded to a leader that changes, while controllers
 // restart, links are cut within frames, held and slow, and clients disconnect.
-#include "plain_caller.h"
+#include "raw_client.h"
 #include "relay_client.h"
 #include "tests/sim/seeds.h"
 
--- a/tests/proc/ending_test.cc
+++ b/tests/proc/shutdown_test.cc
@@ -1,6 +1,6 @@
 // Requests that arrive while a process shuts down; guards against a request that is passed to a role that has ended,
 // and against a refusal of a request that may have been accepted.
-#include "plain_caller.h"
+#include "raw_client.h"
 #include "relay_client.h"
 
 using namespace proc_rig;
--- a/tests/unit/agent_random_test.cc
+++ b/tests/unit/agent_random_test.cc
@@ -172,7 +172,7 @@
 // A second copy of every call arrives up to 1.5 s after the first. Attempts, the fencing epoch and the incarnation
 // prevent any effect of it, whether the run is active, has ended, was stopped or was placed again. The exception is a
 // start that was refused for lack of capacity or health: its second copy could start the run after it was settled as
-// refused, so the HTTP client must never send a call twice (tests/proc/calls_test.cc).
+// refused, so the HTTP client must never send a call twice (tests/proc/http_client_test.cc).
 TEST(AgentRandom, a_duplicated_call_has_no_effect)
 {
     size_t starts = 0;
