--- a/src/peer/peer.c
+++ b/src/peer/peer.c
@@ -1,3 +1,4 @@
+/* Failure detection and gossip among the processes of a cluster, and their median clock. */
 #include "peer/peer.h"
 
 #include <stdlib.h>
@@ -6,7 +7,8 @@
 #include "base/events.h"
 #include "base/error.h"
 
-enum { NEWS_MAX = 10, TELLINGS = 14, OPINIONS = 3, OFFSET_FRESH_MS = 5000 };
+/* A probe carries up to INFO_MAX infos; a changed peer goes out on INFO_SENDS probes. */
+enum { INFO_MAX = 10, INFO_SENDS = 14, INDIRECT_PROBES = 3, OFFSET_FRESH_MS = 5000 };
 
 static const struct field news_fields[] = {INT(peer_news, addr),    INT(peer_news, boot),  INT(peer_news, role),
                                            INT(peer_news, http),    INT(peer_news, state), INT(peer_news, incarnation),
@@ -14,58 +16,62 @@
 SCHEMA(peer_news_schema, peer_news, news_fields);
 
 static const struct field probe_fields[] = {INT(peer_probe, seq), INT_NAMED(peer_probe, wall_ms, "wallMs"),
-                                            INT(peer_probe, about), LIST(peer_probe, news, n, peer_news_schema)};
+                                            INT_NAMED(peer_probe, target, "about"),
+                                            LIST_NAMED(peer_probe, infos, "news", n, peer_news_schema)};
 SCHEMA(peer_probe_schema, peer_probe, probe_fields);
 
-static const struct peer_settings defaults = {
-    .probe_ms = 150, .request_ms = 150, .late_ms = 500, .suspect_ms = 800, .forget_ms = 600000};
+static const struct peer_settings defaults = {.probe_interval_ms = 150,
+                                              .indirect_after_ms = 150,
+                                              .suspect_after_ms = 500,
+                                              .dead_after_ms = 800,
+                                              .forget_after_ms = 600000};
 
-void peers_start(struct peers *s, struct world *w, int64_t role, const struct peer_setup *setup)
+void peers_start(struct peers *peers, struct world *world, int64_t role, const struct peer_setup *setup)
 {
-    *s = (struct peers){.w = w, .cluster = (uint32_t)hash_text(setup->cluster), .settings = defaults};
-    s->self = (struct peer_news){.addr = (int64_t)w->self,
-                                 .boot = setup->boot,
-                                 .role = role,
-                                 .http = (int64_t)w->http_addr,
-                                 .zone = must_dup(setup->zone),
-                                 .level = LEVEL_NOW};
-    peers_seeds(s, setup->seeds, setup->n_seeds);
-    s->median_ms = w->calls->wall_ms(w) - world_ms(w);
+    *peers = (struct peers){.world = world, .cluster = (uint32_t)hash_text(setup->cluster), .settings = defaults};
+    peers->self = (struct peer_news){.addr = (int64_t)world->self,
+                                     .boot = setup->boot,
+                                     .role = role,
+                                     .http = (int64_t)world->http_addr,
+                                     .zone = must_dup(setup->zone),
+                                     .level = LEVEL_NOW};
+    peers_seeds(peers, setup->seeds, setup->n_seeds);
+    peers->median_offset_ms = world->calls->wall_ms(world) - world_ms(world);
 }
 
-void peers_seeds(struct peers *s, const int64_t *seeds, int64_t n_seeds)
+void peers_seeds(struct peers *peers, const int64_t *seeds, int64_t n_seeds)
 {
-    s->n_seeds = 0;
-    for (int64_t i = 0; i < n_seeds && i < COUNT_OF(s->seeds); i++)
-        s->seeds[s->n_seeds++] = seeds[i];
+    peers->n_seeds = 0;
+    for (int64_t i = 0; i < n_seeds && i < COUNT_OF(peers->seeds); i++)
+        peers->seeds[peers->n_seeds++] = seeds[i];
 }
 
-const struct peer *peers_find(const struct peers *s, int64_t addr)
+const struct peer *peers_find(const struct peers *peers, int64_t addr)
 {
-    for (int64_t i = 0; i < s->n; i++)
-        if (s->all[i].news.addr == addr)
-            return &s->all[i];
+    for (int64_t i = 0; i < peers->n; i++)
+        if (peers->all[i].news.addr == addr)
+            return &peers->all[i];
     return NULL;
 }
 
-int peers_live(const struct peers *s, int64_t addr, int64_t boot)
+int peers_live(const struct peers *peers, int64_t addr, int64_t boot)
 {
-    const struct peer_news *news = &s->self;
-    if (addr != s->self.addr) {
-        const struct peer *one = peers_find(s, addr);
-        if (!one)
+    const struct peer_news *news = &peers->self;
+    if (addr != peers->self.addr) {
+        const struct peer *peer = peers_find(peers, addr);
+        if (!peer)
             return 0;
-        news = &one->news;
+        news = &peer->news;
     }
     return (!boot || news->boot == boot) && news->state != SIB_DEAD && !news->leaving;
 }
 
-int64_t peers_level(const struct peers *s)
+int64_t peers_level(const struct peers *peers)
 {
-    int64_t level = s->self.level;
-    for (int64_t i = 0; i < s->n; i++)
-        if (s->all[i].news.state != SIB_DEAD && s->all[i].news.level < level)
-            level = s->all[i].news.level;
+    int64_t level = peers->self.level;
+    for (int64_t i = 0; i < peers->n; i++)
+        if (peers->all[i].news.state != SIB_DEAD && peers->all[i].news.level < level)
+            level = peers->all[i].news.level;
     return level;
 }
 
@@ -77,34 +83,35 @@
     return x < y ? -1 : x > y;
 }
 
-static void median_update(struct peers *s)
+static void median_update(struct peers *peers)
 {
-    int64_t offsets[256], n = 0, now_ms = world_ms(s->w);
-    offsets[n++] = s->w->calls->wall_ms(s->w) - now_ms;
-    for (int64_t i = 0; i < s->n && n < COUNT_OF(offsets); i++)
-        if (s->all[i].has_offset && now_ms - s->all[i].heard_ms < OFFSET_FRESH_MS)
-            offsets[n++] = s->all[i].offset_ms;
+    int64_t offsets[256], n = 0, now_ms = world_ms(peers->world);
+    offsets[n++] = peers->world->calls->wall_ms(peers->world) - now_ms;
+    for (int64_t i = 0; i < peers->n && n < COUNT_OF(offsets); i++)
+        if (peers->all[i].has_offset && now_ms - peers->all[i].heard_ms < OFFSET_FRESH_MS)
+            offsets[n++] = peers->all[i].offset_ms;
     qsort(offsets, (size_t)n, sizeof *offsets, by_value);
-    s->median_ms = offsets[(n - 1) / 2];
+    peers->median_offset_ms = offsets[(n - 1) / 2];
 }
 
-int64_t peers_fleet_ms(const struct peers *s) { return world_ms(s->w) + s->median_ms; }
+int64_t peers_fleet_ms(const struct peers *peers) { return world_ms(peers->world) + peers->median_offset_ms; }
 
-/* --- news ---------------------------------------------------------------- */
+/* --- gossip -------------------------------------------------------------- */
 
-static void state_changed(struct peers *s, struct peer *one)
+static void state_changed(struct peers *peers, struct peer *peer)
 {
     static const int events[] = {EV_SIBLING_JOINED, EV_SIBLING_LEAVING, EV_SIBLING_SUSPECT, EV_SIBLING_DEAD};
-    one->since_ms = world_ms(s->w);
-    one->tellings = TELLINGS;
-    s->changes++;
-    s->changed_ms = one->since_ms;
-    int event = one->news.state == SIB_ALIVE && one->news.leaving ? EV_SIBLING_LEAVING : events[one->news.state];
-    world_note(s->w, event, "addr=%s boot=%lld inc=%lld", addr_text((uint64_t)one->news.addr),
-               (long long)one->news.boot, (long long)one->news.incarnation);
+    peer->since_ms = world_ms(peers->world);
+    peer->sends_left = INFO_SENDS;
+    peers->changes++;
+    peers->changed_ms = peer->since_ms;
+    int event = peer->news.state == SIB_ALIVE && peer->news.leaving ? EV_SIBLING_LEAVING : events[peer->news.state];
+    world_note(peers->world, event, "addr=%s boot=%lld inc=%lld", addr_text((uint64_t)peer->news.addr),
+               (long long)peer->news.boot, (long long)peer->news.incarnation);
 }
 
-static int beats(const struct peer_news *a, const struct peer_news *b)
+/* 1 if a is newer than b, both of the same address. */
+static int supersedes(const struct peer_news *a, const struct peer_news *b)
 {
     if (a->boot != b->boot)
         return a->boot > b->boot;
@@ -113,250 +120,257 @@
     return a->state > b->state;
 }
 
-static void request_suspect(struct peers *s, const struct peer *one);
+static void probe_suspect(struct peers *peers, const struct peer *peer);
 
-static void take_news(struct peers *s, const struct peer_news *news)
+/* Merges what another process knows of a peer. */
+static void merge_info(struct peers *peers, const struct peer_news *news)
 {
     if (news->state < SIB_ALIVE || news->state > SIB_DEAD || !news->addr)
         return;
-    if (news->addr == s->self.addr) {
-        /* somebody doubts us: say otherwise, louder */
-        if (news->boot == s->self.boot && news->state >= SIB_SUSPECT && news->incarnation >= s->self.incarnation)
-            s->self.incarnation = news->incarnation + 1;
-        else if (news->boot > s->self.boot)
-            s->self.boot = news->boot + 1;
+    if (news->addr == peers->self.addr) {
+        /* Another process suspects this process or takes it for dead: a higher incarnation refutes that. */
+        if (news->boot == peers->self.boot && news->state >= SIB_SUSPECT &&
+            news->incarnation >= peers->self.incarnation)
+            peers->self.incarnation = news->incarnation + 1;
+        else if (news->boot > peers->self.boot)
+            peers->self.boot = news->boot + 1;
         return;
     }
-    struct peer *one = (struct peer *)(uintptr_t)peers_find(s, news->addr);
-    if (!one) {
+    struct peer *peer = (struct peer *)(uintptr_t)peers_find(peers, news->addr);
+    if (!peer) {
         if (news->state == SIB_DEAD)
             return;
-        one = list_more(s->all, s->n);
-        schema_copy(&peer_news_schema, &one->news, news);
-        one->heard_ms = world_ms(s->w);
-        state_changed(s, one);
+        peer = list_more(peers->all, peers->n);
+        schema_copy(&peer_news_schema, &peer->news, news);
+        peer->heard_ms = world_ms(peers->world);
+        state_changed(peers, peer);
         return;
     }
-    /* first heard of through one of an older version, which does not pass it on */
-    if (news->boot == one->news.boot && news->level > one->news.level)
-        one->news.level = news->level;
-    if (!beats(news, &one->news))
+    /* A process of an older version passes infos on without the level, so it may arrive later. */
+    if (news->boot == peer->news.boot && news->level > peer->news.level)
+        peer->news.level = news->level;
+    if (!supersedes(news, &peer->news))
         return;
-    int told = news->state != one->news.state || news->leaving != one->news.leaving || news->boot != one->news.boot;
-    if (news->boot != one->news.boot)
-        one->has_offset = 0;
-    schema_free(&peer_news_schema, &one->news);
-    schema_copy(&peer_news_schema, &one->news, news);
-    if (told) {
-        state_changed(s, one);
-        request_suspect(s, one);
+    int changed =
+        news->state != peer->news.state || news->leaving != peer->news.leaving || news->boot != peer->news.boot;
+    if (news->boot != peer->news.boot)
+        peer->has_offset = 0;
+    schema_free(&peer_news_schema, &peer->news);
+    schema_copy(&peer_news_schema, &peer->news, news);
+    if (changed) {
+        state_changed(peers, peer);
+        probe_suspect(peers, peer);
     } else
-        one->tellings = TELLINGS;
+        peer->sends_left = INFO_SENDS;
 }
 
-static void add_news(struct peers *s, struct peer_probe *probe)
+/* Adds this process, the peers whose infos were sent least often, and two random ones. */
+static void add_infos(struct peers *peers, struct peer_probe *probe)
 {
-    *list_more(probe->news, probe->n) = s->self;
-    while (probe->n < NEWS_MAX - 2) {
+    *list_more(probe->infos, probe->n) = peers->self;
+    while (probe->n < INFO_MAX - 2) {
         struct peer *best = NULL;
-        for (int64_t i = 0; i < s->n; i++) {
-            struct peer *one = &s->all[i];
+        for (int64_t i = 0; i < peers->n; i++) {
+            struct peer *peer = &peers->all[i];
             int listed = 0;
             for (int64_t k = 1; k < probe->n; k++)
-                listed |= probe->news[k].addr == one->news.addr;
-            if (!listed && one->tellings > 0 && (!best || one->tellings > best->tellings))
-                best = one;
+                listed |= probe->infos[k].addr == peer->news.addr;
+            if (!listed && peer->sends_left > 0 && (!best || peer->sends_left > best->sends_left))
+                best = peer;
         }
         if (!best)
             break;
-        best->tellings--;
-        *list_more(probe->news, probe->n) = best->news;
+        best->sends_left--;
+        *list_more(probe->infos, probe->n) = best->news;
     }
-    for (int i = 0; i < 2 && s->n; i++)
-        *list_more(probe->news, probe->n) = s->all[world_random(s->w) % (uint64_t)s->n].news;
+    for (int i = 0; i < 2 && peers->n; i++)
+        *list_more(probe->infos, probe->n) = peers->all[world_random(peers->world) % (uint64_t)peers->n].news;
 }
 
-static void send_probe(struct peers *s, int64_t to, enum frame_kind kind, int64_t seq, int64_t about)
+static void send_probe(struct peers *peers, int64_t to, enum frame_kind kind, int64_t seq, int64_t target)
 {
-    struct peer_probe probe = {.seq = seq, .wall_ms = s->w->calls->wall_ms(s->w), .about = about};
+    struct peer_probe probe = {.seq = seq, .wall_ms = peers->world->calls->wall_ms(peers->world), .target = target};
     struct blob *out = blob_new();
-    add_news(s, &probe);
-    frame_build(&out->bytes, kind, s->cluster, s->w->self, &peer_probe_schema, &probe);
-    s->w->calls->send(s->w, (uint64_t)to, out, 1);
+    add_infos(peers, &probe);
+    frame_build(&out->bytes, kind, peers->cluster, peers->world->self, &peer_probe_schema, &probe);
+    peers->world->calls->send(peers->world, (uint64_t)to, out, 1);
     blob_drop(out);
-    free(probe.news); /* the strings inside are lent */
+    free(probe.infos); /* its strings belong to the peers */
 }
 
-/* Whoever hears of a suspicion asks the suspect itself, at once: one that lives
- * says so within a round trip, from many sides, so the wait can be short. */
-static void request_suspect(struct peers *s, const struct peer *one)
+/* Every process that learns of a suspicion probes the suspect at once. A live suspect refutes it within a round trip,
+ * and over many paths, so the time until it counts as dead can be short. */
+static void probe_suspect(struct peers *peers, const struct peer *peer)
 {
-    if (one->news.state == SIB_SUSPECT)
-        send_probe(s, one->news.addr, FRAME_PING, ++s->seq, 0);
+    if (peer->news.state == SIB_SUSPECT)
+        send_probe(peers, peer->news.addr, FRAME_PING, ++peers->seq, 0);
 }
 
-static void set_state(struct peers *s, struct peer *one, enum peer_state state)
+static void set_state(struct peers *peers, struct peer *peer, enum peer_state state)
 {
-    one->news.state = state;
-    state_changed(s, one);
-    request_suspect(s, one);
+    peer->news.state = state;
+    state_changed(peers, peer);
+    probe_suspect(peers, peer);
 }
 
 /* --- probing ------------------------------------------------------------- */
 
-static void probe_next(struct peers *s)
+/* Probes the next peer that is not dead, in an order that is random in each round. */
+static void probe_next(struct peers *peers)
 {
-    int64_t now_ms = world_ms(s->w);
-    struct peer *one = NULL;
-    for (int64_t tries = 0; tries < s->n && !one; tries++) {
-        if (++s->turn >= s->n) {
-            s->turn = 0;
-            for (int64_t i = s->n - 1; i > 0; i--) { /* a new order each round */
-                int64_t k = (int64_t)(world_random(s->w) % (uint64_t)(i + 1));
-                struct peer t = s->all[i];
-                s->all[i] = s->all[k];
-                s->all[k] = t;
+    int64_t now_ms = world_ms(peers->world);
+    struct peer *peer = NULL;
+    for (int64_t tries = 0; tries < peers->n && !peer; tries++) {
+        if (++peers->probe_turn >= peers->n) {
+            peers->probe_turn = 0;
+            for (int64_t i = peers->n - 1; i > 0; i--) { /* a new random order */
+                int64_t k = (int64_t)(world_random(peers->world) % (uint64_t)(i + 1));
+                struct peer t = peers->all[i];
+                peers->all[i] = peers->all[k];
+                peers->all[k] = t;
             }
         }
-        if (s->all[s->turn].news.state != SIB_DEAD)
-            one = &s->all[s->turn];
+        if (peers->all[peers->probe_turn].news.state != SIB_DEAD)
+            peer = &peers->all[peers->probe_turn];
     }
-    s->probing = 0;
-    if (!one)
+    peers->probed = 0;
+    if (!peer)
         return;
-    s->probing = one->news.addr;
-    s->probe_seq = ++s->seq;
-    s->probe_since_ms = now_ms;
-    s->asked = 0;
-    send_probe(s, s->probing, FRAME_PING, s->probe_seq, 0);
+    peers->probed = peer->news.addr;
+    peers->probe_seq = ++peers->seq;
+    peers->probe_since_ms = now_ms;
+    peers->indirect_sent = 0;
+    send_probe(peers, peers->probed, FRAME_PING, peers->probe_seq, 0);
 }
 
-static void request_others(struct peers *s)
+/* Asks random live peers to probe the same peer. */
+static void request_indirect_probes(struct peers *peers)
 {
-    s->asked = 1;
-    for (int i = 0, sent = 0; i < 12 && sent < OPINIONS && s->n; i++) {
-        struct peer *one = &s->all[world_random(s->w) % (uint64_t)s->n];
-        if (one->news.addr == s->probing || one->news.state != SIB_ALIVE)
+    peers->indirect_sent = 1;
+    for (int i = 0, sent = 0; i < 12 && sent < INDIRECT_PROBES && peers->n; i++) {
+        struct peer *peer = &peers->all[world_random(peers->world) % (uint64_t)peers->n];
+        if (peer->news.addr == peers->probed || peer->news.state != SIB_ALIVE)
             continue;
-        send_probe(s, one->news.addr, FRAME_PING_REQUEST, s->probe_seq, s->probing);
+        send_probe(peers, peer->news.addr, FRAME_PING_REQUEST, peers->probe_seq, peers->probed);
         sent++;
     }
 }
 
-static void probe_step(struct peers *s, int64_t now_ms)
+static void probe_step(struct peers *peers, int64_t now_ms)
 {
-    if (s->probing && now_ms - s->probe_since_ms >= s->settings.request_ms && !s->asked)
-        request_others(s);
-    if (s->probing && now_ms - s->probe_since_ms >= s->settings.late_ms) {
-        struct peer *one = (struct peer *)(uintptr_t)peers_find(s, s->probing);
-        s->probing = 0;
-        if (one && one->news.state < SIB_SUSPECT)
-            set_state(s, one, SIB_SUSPECT);
+    if (peers->probed && now_ms - peers->probe_since_ms >= peers->settings.indirect_after_ms && !peers->indirect_sent)
+        request_indirect_probes(peers);
+    if (peers->probed && now_ms - peers->probe_since_ms >= peers->settings.suspect_after_ms) {
+        struct peer *peer = (struct peer *)(uintptr_t)peers_find(peers, peers->probed);
+        peers->probed = 0;
+        if (peer && peer->news.state < SIB_SUSPECT)
+            set_state(peers, peer, SIB_SUSPECT);
     }
-    if (!s->probing && now_ms >= s->probe_due_ms) {
-        s->probe_due_ms = now_ms + s->settings.probe_ms;
-        probe_next(s);
+    if (!peers->probed && now_ms >= peers->probe_due_ms) {
+        peers->probe_due_ms = now_ms + peers->settings.probe_interval_ms;
+        probe_next(peers);
     }
 }
 
-void peers_on_timer(struct peers *s)
+void peers_on_timer(struct peers *peers)
 {
-    int64_t now_ms = world_ms(s->w);
-    probe_step(s, now_ms);
-    for (int64_t i = 0; i < s->n; i++) {
-        struct peer *one = &s->all[i];
-        if (one->news.state == SIB_SUSPECT && now_ms - one->since_ms >= s->settings.suspect_ms)
-            set_state(s, one, SIB_DEAD);
-        if (one->news.state == SIB_DEAD && now_ms - one->since_ms >= s->settings.forget_ms) {
-            schema_free(&peer_news_schema, &one->news);
-            s->all[i--] = s->all[--s->n];
+    int64_t now_ms = world_ms(peers->world);
+    probe_step(peers, now_ms);
+    for (int64_t i = 0; i < peers->n; i++) {
+        struct peer *peer = &peers->all[i];
+        if (peer->news.state == SIB_SUSPECT && now_ms - peer->since_ms >= peers->settings.dead_after_ms)
+            set_state(peers, peer, SIB_DEAD);
+        if (peer->news.state == SIB_DEAD && now_ms - peer->since_ms >= peers->settings.forget_after_ms) {
+            schema_free(&peer_news_schema, &peer->news);
+            peers->all[i--] = peers->all[--peers->n];
         }
     }
-    if (now_ms >= s->seed_due_ms) {
-        /* seeds not in sight and the dead are greeted now and then, so halves find each other again */
-        s->seed_due_ms = now_ms + 500;
-        for (int64_t i = 0; i < s->n_seeds; i++) {
-            const struct peer *one = peers_find(s, s->seeds[i]);
-            if (s->seeds[i] != s->self.addr && (!one || one->news.state == SIB_DEAD))
-                send_probe(s, s->seeds[i], FRAME_PING, ++s->seq, 0);
+    if (now_ms >= peers->seed_due_ms) {
+        /* Probes seeds that are unknown or dead, and a random peer if it is dead, so that the sides of a healed network
+         * partition find each other again. */
+        peers->seed_due_ms = now_ms + 500;
+        for (int64_t i = 0; i < peers->n_seeds; i++) {
+            const struct peer *peer = peers_find(peers, peers->seeds[i]);
+            if (peers->seeds[i] != peers->self.addr && (!peer || peer->news.state == SIB_DEAD))
+                send_probe(peers, peers->seeds[i], FRAME_PING, ++peers->seq, 0);
         }
-        const struct peer *any = s->n ? &s->all[world_random(s->w) % (uint64_t)s->n] : NULL;
+        const struct peer *any = peers->n ? &peers->all[world_random(peers->world) % (uint64_t)peers->n] : NULL;
         if (any && any->news.state == SIB_DEAD)
-            send_probe(s, any->news.addr, FRAME_PING, ++s->seq, 0);
-        median_update(s);
+            send_probe(peers, any->news.addr, FRAME_PING, ++peers->seq, 0);
+        median_update(peers);
     }
 }
 
-static void heard(struct peers *s, int64_t from, int64_t wall_ms)
+static void record_heard(struct peers *peers, int64_t from, int64_t wall_ms)
 {
-    struct peer *one = (struct peer *)(uintptr_t)peers_find(s, from);
-    if (!one)
+    struct peer *peer = (struct peer *)(uintptr_t)peers_find(peers, from);
+    if (!peer)
         return;
-    one->heard_ms = world_ms(s->w);
-    one->offset_ms = wall_ms - one->heard_ms;
-    one->has_offset = 1;
-    median_update(s);
+    peer->heard_ms = world_ms(peers->world);
+    peer->offset_ms = wall_ms - peer->heard_ms;
+    peer->has_offset = 1;
+    median_update(peers);
 }
 
-static void on_ack(struct peers *s, int64_t from, int64_t seq)
+static void on_ack(struct peers *peers, int64_t from, int64_t seq)
 {
-    if (seq == s->probe_seq) {
-        s->probing = 0;
+    if (seq == peers->probe_seq) {
+        peers->probed = 0;
         return;
     }
-    for (int i = 0; i < COUNT_OF(s->relays); i++) {
-        struct peer_relay *relay = &s->relays[i];
+    for (int i = 0; i < COUNT_OF(peers->relays); i++) {
+        struct peer_relay *relay = &peers->relays[i];
         if (relay->seq != seq || !seq)
             continue;
-        send_probe(s, relay->requester, FRAME_ACK, relay->requester_seq, from);
+        send_probe(peers, relay->requester, FRAME_ACK, relay->requester_seq, from);
         relay->seq = 0;
     }
 }
 
-static void on_request(struct peers *s, int64_t requester, const struct peer_probe *probe)
+static void on_indirect_request(struct peers *peers, int64_t requester, const struct peer_probe *probe)
 {
-    struct peer_relay *oldest = &s->relays[0];
-    for (int i = 1; i < COUNT_OF(s->relays); i++)
-        if (s->relays[i].until_ms < oldest->until_ms)
-            oldest = &s->relays[i];
-    *oldest = (struct peer_relay){.seq = ++s->seq,
+    struct peer_relay *oldest = &peers->relays[0];
+    for (int i = 1; i < COUNT_OF(peers->relays); i++)
+        if (peers->relays[i].until_ms < oldest->until_ms)
+            oldest = &peers->relays[i];
+    *oldest = (struct peer_relay){.seq = ++peers->seq,
                                   .requester = requester,
                                   .requester_seq = probe->seq,
-                                  .until_ms = world_ms(s->w) + s->settings.late_ms};
-    send_probe(s, probe->about, FRAME_PING, oldest->seq, 0);
+                                  .until_ms = world_ms(peers->world) + peers->settings.suspect_after_ms};
+    send_probe(peers, probe->target, FRAME_PING, oldest->seq, 0);
 }
 
-int peers_take(struct peers *s, const struct frame *frame)
+int peers_take(struct peers *peers, const struct frame *frame)
 {
     struct peer_probe probe = {0};
     if (schema_unpack(&peer_probe_schema, &probe, frame->body, frame->len))
         return ERROR_BAD_FRAME;
     for (int64_t i = 0; i < probe.n; i++)
-        take_news(s, &probe.news[i]);
-    heard(s, (int64_t)frame->from, probe.wall_ms);
+        merge_info(peers, &probe.infos[i]);
+    record_heard(peers, (int64_t)frame->from, probe.wall_ms);
     if (frame->kind == FRAME_PING)
-        send_probe(s, (int64_t)frame->from, FRAME_ACK, probe.seq, 0);
+        send_probe(peers, (int64_t)frame->from, FRAME_ACK, probe.seq, 0);
     else if (frame->kind == FRAME_ACK)
-        on_ack(s, (int64_t)frame->from, probe.seq);
+        on_ack(peers, (int64_t)frame->from, probe.seq);
     else
-        on_request(s, (int64_t)frame->from, &probe);
+        on_indirect_request(peers, (int64_t)frame->from, &probe);
     schema_free(&peer_probe_schema, &probe);
     return ERROR_NONE;
 }
 
-void peers_leave(struct peers *s)
+void peers_leave(struct peers *peers)
 {
-    s->self.leaving = 1;
-    s->self.incarnation++;
-    for (int64_t i = 0; i < s->n; i++)
-        if (s->all[i].news.state < SIB_SUSPECT)
-            send_probe(s, s->all[i].news.addr, FRAME_PING, ++s->seq, 0);
+    peers->self.leaving = 1;
+    peers->self.incarnation++;
+    for (int64_t i = 0; i < peers->n; i++)
+        if (peers->all[i].news.state < SIB_SUSPECT)
+            send_probe(peers, peers->all[i].news.addr, FRAME_PING, ++peers->seq, 0);
 }
 
-void peers_end(struct peers *s)
+void peers_end(struct peers *peers)
 {
-    for (int64_t i = 0; i < s->n; i++)
-        schema_free(&peer_news_schema, &s->all[i].news);
-    free(s->all);
-    free(s->self.zone);
+    for (int64_t i = 0; i < peers->n; i++)
+        schema_free(&peer_news_schema, &peers->all[i].news);
+    free(peers->all);
+    free(peers->self.zone);
 }
--- a/src/peer/peer.h
+++ b/src/peer/peer.h
@@ -1,81 +1,91 @@
-/* Who is there: probes to peers in turn, second opinions through third
- * parties, suspicion before removal, news carried on the probes themselves.
- * The probes also carry clocks, of which the median is the fleet's time. */
+/* Membership of the cluster by gossip, as in SWIM: each process probes its peers in turn, asks others to probe a peer
+ * that does not answer, and suspects it before it takes it for dead. Probes carry infos on peers, and the sender's
+ * clock; the median of the clocks is the cluster's time. */
 #ifndef SAGEHITCH_PEER_H
 #define SAGEHITCH_PEER_H
 #include "base/frame.h"
 
+/* The level of a process tells which kinds of records it can read. LEVEL_PREEMPT: those of preemption. */
 enum { LEVEL_PREEMPT = 1, LEVEL_NOW = LEVEL_PREEMPT };
 
 enum peer_state { SIB_ALIVE, SIB_LEAVING, SIB_SUSPECT, SIB_DEAD };
 enum peer_role { ROLE_NODE, ROLE_KEEPER };
 
-/* What is told about one. A higher boot is another process at the address and
- * beats everything; then the higher incarnation, then the worse state. */
+/* What is known of one process. Of two infos on the same address, the higher boot (start of the process) supersedes the
+ * other; then the higher incarnation, then the worse state. */
 struct peer_news {
     int64_t addr, boot, role, http, state, incarnation, leaving;
     char *zone;
-    int64_t level; /* the newest kinds of records it knows; 0: it is of a version before levels */
+    int64_t level; /* the newest kinds of records it can read; 0: its version has no levels */
 };
 
-/* Invariants: news.addr is unique in the list; offset_ms is the peer's wall
- * clock less our monotonic clock and counts only while heard_ms is recent. */
+/* since_ms: time of the last change of state. sends_left: probes that will carry the info first.
+ * Invariants: news.addr is unique in the list; offset_ms is the peer's wall clock less this process's monotonic clock
+ * and counts only while heard_ms is recent. */
 struct peer {
     struct peer_news news;
-    int64_t since_ms, heard_ms, offset_ms, has_offset, tellings;
+    int64_t since_ms, heard_ms, offset_ms, has_offset, sends_left;
 };
 
+/* The body of a ping, its acknowledgement, or a request for an indirect probe of target (else 0). */
 struct peer_probe {
-    int64_t seq, wall_ms, about; /* about: whom a third party shall ask; 0 for a plain probe */
-    struct peer_news *news;
+    int64_t seq, wall_ms, target;
+    struct peer_news *infos;
     int64_t n;
 };
 
 extern const struct schema peer_news_schema, peer_probe_schema;
 
+/* Times after the probe until others are asked and until the peer is suspected; after that until it counts as dead, and
+ * then until it is forgotten. */
 struct peer_settings {
-    int64_t probe_ms, request_ms, late_ms, suspect_ms, forget_ms;
+    int64_t probe_interval_ms, indirect_after_ms, suspect_after_ms, dead_after_ms, forget_after_ms;
 };
 
+/* An indirect probe made for another process. seq: of the own probe; 0: it was answered. */
 struct peer_relay {
     int64_t seq, requester, requester_seq, until_ms;
 };
 
+/* probed: the address that has not answered the last probe yet; 0: none. */
 struct peers {
-    struct world *w;
+    struct world *world;
     uint32_t cluster;
     struct peer_settings settings;
     struct peer_news self;
     struct peer *all;
     int64_t n;
     int64_t seeds[8], n_seeds;
-    int64_t seq, turn, probe_due_ms, seed_due_ms;
-    int64_t probing, probe_seq, probe_since_ms, asked, probe_round;
+    int64_t seq, probe_turn, probe_due_ms, seed_due_ms;
+    int64_t probed, probe_seq, probe_since_ms, indirect_sent, probe_round;
     struct peer_relay relays[32];
-    int64_t median_ms; /* fleet wall less our monotonic clock */
-    int64_t changes;   /* rises with each change of state */
-    int64_t changed_ms;
+    int64_t median_offset_ms; /* the cluster's time less this process's monotonic clock */
+    int64_t changes;          /* the number of changes of state */
+    int64_t changed_ms;       /* the time of the last one */
 };
 
-/* What a process tells its peers of itself, and whom it asks first. Borrowed for the start only. */
+/* What a process needs to find its peers. Borrowed during the start only. */
 struct peer_setup {
     const char *cluster, *zone;
-    const int64_t *seeds; /* addresses of other processes, in the order they are asked */
+    const int64_t *seeds; /* addresses of the processes to contact first */
     int64_t n_seeds;
-    int64_t boot; /* names this start of the process */
+    int64_t boot; /* identifies this start of the process; rises from start to start */
 };
 
-/* Begins to look for peers. role: ROLE_KEEPER or ROLE_NODE. */
-void peers_start(struct peers *s, struct world *w, int64_t role, const struct peer_setup *setup);
-void peers_seeds(struct peers *s, const int64_t *seeds, int64_t n_seeds); /* in place of the former */
-void peers_on_timer(struct peers *s);
-int peers_take(struct peers *s, const struct frame *frame);
-void peers_leave(struct peers *s);
-void peers_end(struct peers *s);
-const struct peer *peers_find(const struct peers *s, int64_t addr);
-/* Alive or suspected, same boot (0: any), not leaving. */
-int peers_live(const struct peers *s, int64_t addr, int64_t boot);
-/* The lowest level of all that are there: nothing newer may be written. */
-int64_t peers_level(const struct peers *s);
-int64_t peers_fleet_ms(const struct peers *s);
+/* Starts without any known peer. role: ROLE_KEEPER or ROLE_NODE. */
+void peers_start(struct peers *peers, struct world *world, int64_t role, const struct peer_setup *setup);
+void peers_seeds(struct peers *peers, const int64_t *seeds, int64_t n_seeds); /* replaces the former ones */
+void peers_on_timer(struct peers *peers);
+/* Handles a received probe. Returns 0 or ERROR_BAD_FRAME. */
+int peers_take(struct peers *peers, const struct frame *frame);
+/* Announces to all peers that this process is leaving. */
+void peers_leave(struct peers *peers);
+void peers_end(struct peers *peers);
+/* The peer at addr, or NULL; not this process itself. */
+const struct peer *peers_find(const struct peers *peers, int64_t addr);
+/* 1 if the process at addr is alive or suspected, of this boot (0: any), and not leaving. */
+int peers_live(const struct peers *peers, int64_t addr, int64_t boot);
+/* The lowest level of all processes that are not dead. Newer kinds of records must not be written. */
+int64_t peers_level(const struct peers *peers);
+int64_t peers_fleet_ms(const struct peers *peers); /* the median clock, in ms since 1970 */
 #endif
