--- a/src/keeper/duties.c
+++ b/src/keeper/duties.c
@@ -1,5 +1,6 @@
-/* Giving duties: for each, the first live node in an agreed order, under an
- * epoch that only rises. Only the leader of the control log does this. */
+/* Assigns shards and homes of executors to nodes: each to the first live node in an order that all keepers agree on,
+ * under an epoch that only rises. Also proposes planned settings when they are due. Only the leader of the control log
+ * does this. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,126 +9,129 @@
 #include "base/error.h"
 #include "keeper/keeper.h"
 
-enum { ASSIGN_MS = 150, MOVE_MS = 400, MOVES = 1 };
+/* Times between two rounds, and between two moves from a live owner; the number of such moves in a round. */
+enum { ASSIGN_INTERVAL_MS = 150, MOVE_INTERVAL_MS = 400, MOVES_PER_ROUND = 1 };
 
 static int is_live_node(const struct peer_news *news)
 {
     return news->role == ROLE_NODE && news->state != SIB_DEAD && !news->leaving;
 }
 
-/* Rendezvous order: every keeper computes the same first node from the same news. */
-static const struct peer *first_in_order(const struct keeper *k, const char *duty)
+/* The live node that ranks first for a shard or home, by rendezvous hashing: keepers that know the same peers compute
+ * the same node. */
+static const struct peer *first_in_order(const struct keeper *keeper, const char *name)
 {
     const struct peer *best = NULL;
-    uint64_t best_rank = 0, name = hash_text(duty);
-    for (int64_t i = 0; i < k->peers.n; i++) {
-        const struct peer *one = &k->peers.all[i];
-        uint64_t rank = hash_mix(name, (uint64_t)one->news.addr);
-        if (!is_live_node(&one->news) || (best && rank <= best_rank))
+    uint64_t best_rank = 0, name_hash = hash_text(name);
+    for (int64_t i = 0; i < keeper->peers.n; i++) {
+        const struct peer *peer = &keeper->peers.all[i];
+        uint64_t rank = hash_mix(name_hash, (uint64_t)peer->news.addr);
+        if (!is_live_node(&peer->news) || (best && rank <= best_rank))
             continue;
-        best = one;
+        best = peer;
         best_rank = rank;
     }
     return best;
 }
 
-static void gave(void *arg, int64_t tag, int error, const struct bytes *result)
+static void assign_done(void *arg, int64_t tag, int error, const struct bytes *result)
 {
-    struct keeper *k = arg;
+    struct keeper *keeper = arg;
     (void)tag, (void)error, (void)result;
-    k->duties_busy = 0;
+    keeper->assign_in_progress = 0;
 }
 
-static void give(struct config_tree_op *op, const char *name, const struct peer *to, int64_t epoch)
+static void assign(struct config_tree_op *op, const char *name, const struct peer *to, int64_t epoch)
 {
     struct duty *duty = list_more(op->duties, op->n_duties);
     *duty = (struct duty){.name = must_dup(name), .owner = to->news.addr, .boot = to->news.boot, .epoch = epoch};
 }
 
-/* A dead owner's duty moves at once; a live one's only after things have been
- * calm for a while, one at a time, to a node that has been there as long. */
-static void consider(struct keeper *k, struct config_tree_op *op, const char *name, int64_t now_ms, int64_t settle_ms,
-                     int *moves)
+/* Adds to op the assignment of a shard or home if it has to move. From a dead owner it moves at once. From a live owner
+ * it moves only after no peer has changed state for settle_ms, one move at a time, to a node that has been alive for as
+ * long. */
+static void assign_if_needed(struct keeper *keeper, struct config_tree_op *op, const char *name, int64_t now_ms,
+                             int64_t settle_ms, int *moves)
 {
-    const struct duty *duty = config_tree_duty(&k->config_tree, name);
-    const struct peer *first = first_in_order(k, name);
+    const struct duty *duty = config_tree_duty(&keeper->config_tree, name);
+    const struct peer *first = first_in_order(keeper, name);
     if (!first)
         return;
-    if (!duty || !peers_live(&k->peers, duty->owner, duty->boot)) {
-        give(op, name, first, duty ? duty->epoch + 1 : 1);
+    if (!duty || !peers_live(&keeper->peers, duty->owner, duty->boot)) {
+        assign(op, name, first, duty ? duty->epoch + 1 : 1);
         return;
     }
     if ((duty->owner == first->news.addr && duty->boot == first->news.boot) || *moves <= 0 ||
-        now_ms - k->moved_ms < MOVE_MS || now_ms - k->peers.changed_ms < settle_ms ||
+        now_ms - keeper->moved_ms < MOVE_INTERVAL_MS || now_ms - keeper->peers.changed_ms < settle_ms ||
         now_ms - first->since_ms < settle_ms || first->news.state != SIB_ALIVE)
         return;
     --*moves;
-    k->moved_ms = now_ms;
-    give(op, name, first, duty->epoch + 1);
+    keeper->moved_ms = now_ms;
+    assign(op, name, first, duty->epoch + 1);
 }
 
-static void propose_op(struct keeper *k, const struct config_tree_op *op, log_done *done)
+static void propose_op(struct keeper *keeper, const struct config_tree_op *op, log_done *done)
 {
     struct bytes bytes = {0};
     schema_pack(&config_tree_op_schema, op, &bytes);
-    log_propose(&k->logs[GROUP_CONTROL], ENTRY_OP, &bytes, done, k, 0);
+    log_propose(&keeper->logs[GROUP_CONTROL], ENTRY_OP, &bytes, done, keeper, 0);
     bytes_free(&bytes);
 }
 
-static void due(void *arg, int64_t tag, int error, const struct bytes *result)
+static void planned_done(void *arg, int64_t tag, int error, const struct bytes *result)
 {
     (void)tag, (void)error, (void)result;
-    ((struct keeper *)arg)->due_busy = 0;
+    ((struct keeper *)arg)->planned_in_progress = 0;
 }
 
-/* Planned settings changes fall due by the peers' median clock. */
-static void planned_due(struct keeper *k)
+/* Proposes the first planned change of settings that is due by the median clock of the peers. */
+static void propose_planned(struct keeper *keeper)
 {
-    int64_t now_ms = peers_fleet_ms(&k->peers);
-    for (int64_t i = 0; i < k->config_tree.n_calendar && !k->due_busy; i++) {
-        const struct planned *p = &k->config_tree.calendar[i];
-        if (p->state != PLAN_WAITS || strcmp(p->kind, "settings") || p->at_ms > now_ms)
+    int64_t now_ms = peers_fleet_ms(&keeper->peers);
+    for (int64_t i = 0; i < keeper->config_tree.n_calendar && !keeper->planned_in_progress; i++) {
+        const struct planned *planned = &keeper->config_tree.calendar[i];
+        if (planned->state != PLAN_WAITS || strcmp(planned->kind, "settings") || planned->at_ms > now_ms)
             continue;
-        struct config_tree_op op = {.kind = CH_DUE, .path = p->id};
-        k->due_busy = 1;
-        world_note(k->w, EV_PLANNED, "settings=%s at=%lld", p->id, (long long)p->at_ms);
-        propose_op(k, &op, due);
+        struct config_tree_op op = {.kind = CH_DUE, .path = planned->id};
+        keeper->planned_in_progress = 1;
+        world_note(keeper->world, EV_PLANNED, "settings=%s at=%lld", planned->id, (long long)planned->at_ms);
+        propose_op(keeper, &op, planned_done);
         return;
     }
 }
 
-void duties_on_timer(struct keeper *k)
+void ownership_on_timer(struct keeper *keeper)
 {
-    struct log *log = &k->logs[GROUP_CONTROL];
-    int64_t now_ms = world_ms(k->w);
+    struct log *log = &keeper->logs[GROUP_CONTROL];
+    int64_t now_ms = world_ms(keeper->world);
     struct config_tree_op op = {.kind = CH_DUTIES};
     struct settings root;
     char name[32];
-    int moves = MOVES;
+    int moves = MOVES_PER_ROUND;
     if (log->role != LOG_LEADER) {
-        k->duties_busy = k->due_busy = 0;
+        keeper->assign_in_progress = keeper->planned_in_progress = 0;
         return;
     }
-    if (now_ms < k->assign_due_ms || log->applied < log->commit || log_term_at(log, log->commit) != log->term)
+    if (now_ms < keeper->assign_due_ms || log->applied < log->commit || log_term_at(log, log->commit) != log->term)
         return;
-    k->assign_due_ms = now_ms + ASSIGN_MS;
-    planned_due(k);
-    if (k->duties_busy)
+    keeper->assign_due_ms = now_ms + ASSIGN_INTERVAL_MS;
+    propose_planned(keeper);
+    if (keeper->assign_in_progress)
         return;
-    config_tree_effective(&k->config_tree, "root", &root);
+    config_tree_effective(&keeper->config_tree, "root", &root);
     for (int64_t i = 0; i < SHARD_COUNT; i++) {
         snprintf(name, sizeof name, "shard/%lld", (long long)i);
-        consider(k, &op, name, now_ms, root.settle_ms, &moves);
+        assign_if_needed(keeper, &op, name, now_ms, root.settle_ms, &moves);
     }
-    for (int64_t i = 0; i < k->config_tree.n_duties; i++)
-        if (!strncmp(k->config_tree.duties[i].name, "home/", 5))
-            consider(k, &op, k->config_tree.duties[i].name, now_ms, root.settle_ms, &moves);
+    for (int64_t i = 0; i < keeper->config_tree.n_duties; i++)
+        if (!strncmp(keeper->config_tree.duties[i].name, "home/", 5))
+            assign_if_needed(keeper, &op, keeper->config_tree.duties[i].name, now_ms, root.settle_ms, &moves);
     if (op.n_duties) {
-        k->duties_busy = 1;
+        keeper->assign_in_progress = 1;
         for (int64_t i = 0; i < op.n_duties; i++)
-            world_note(k->w, EV_DUTY_GIVEN, "duty=%s to=%s epoch=%lld", op.duties[i].name,
+            world_note(keeper->world, EV_DUTY_GIVEN, "duty=%s to=%s epoch=%lld", op.duties[i].name,
                        addr_text((uint64_t)op.duties[i].owner), (long long)op.duties[i].epoch);
-        propose_op(k, &op, gave);
+        propose_op(keeper, &op, assign_done);
     }
     schema_free(&config_tree_op_schema, &op);
 }
--- a/src/keeper/feed.c
+++ b/src/keeper/feed.c
@@ -1,146 +1,149 @@
-/* The numbered feed: what the control log holds from a place on, told only
- * after a majority confirmed that we still lead. And proposals for both logs. */
+/* Serves the nodes: sends them the committed entries of the control log, after a majority of its voters has confirmed
+ * that this keeper still leads, and proposes their ops for both logs. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "base/error.h"
 #include "keeper/keeper.h"
 
-enum { FEED_ENTRIES = 500, FEED_BYTES = 1 << 20 };
+/* Limits of one reply. */
+enum { UPDATES_MAX_ENTRIES = 500, UPDATES_MAX_BYTES = 1 << 20 };
 
-static void feed_reject(struct keeper *k, int64_t to, int64_t sent_ms)
+static void updates_reject(struct keeper *keeper, int64_t to, int64_t sent_ms)
 {
-    struct feed feed = {.sent_ms = sent_ms, .leader = k->logs[GROUP_CONTROL].leader_addr};
-    keeper_send(k, to, FRAME_FEED, &feed_schema, &feed);
+    struct control_updates updates = {.sent_ms = sent_ms, .leader = keeper->logs[GROUP_CONTROL].leader_addr};
+    keeper_send(keeper, to, FRAME_FEED, &feed_schema, &updates);
 }
 
-/* Whoever still votes in either log counts: only when a lost keeper votes in
- * none may the next be taken away. */
-static void add_voter(struct feed *feed, const struct log_member *m, int in_other)
+/* Adds a member that votes in one log, or with in_other in both. Operators need the voters of either log: another
+ * keeper may be shut down only after a lost one has no vote left in any of them. */
+static void add_voter(struct control_updates *updates, const struct log_member *member, int in_other)
 {
-    if (!log_votes(m))
+    if (!log_votes(member))
         return;
-    *list_more(feed->voters, feed->n_voters) = m->addr;
-    *list_more(feed->voters, feed->n_voters) = 1 + in_other;
+    *list_more(updates->voters, updates->n_voters) = member->addr;
+    *list_more(updates->voters, updates->n_voters) = 1 + in_other;
 }
 
-static void feed_send(struct keeper *k, const struct keeper_wait *wait)
+static void updates_send(struct keeper *keeper, const struct pending_request *request)
 {
-    struct log *log = &k->logs[GROUP_CONTROL];
-    struct feed feed = {.ok = 1,
-                        .sent_ms = wait->sent_ms,
-                        .commit = log->applied,
-                        .leader = log->leader_addr,
-                        .jobs_leader = k->logs[GROUP_JOBS].leader_addr,
-                        .upto = wait->feed_from};
+    struct log *log = &keeper->logs[GROUP_CONTROL];
+    struct control_updates updates = {.ok = 1,
+                                      .sent_ms = request->sent_ms,
+                                      .commit = log->applied,
+                                      .leader = log->leader_addr,
+                                      .jobs_leader = keeper->logs[GROUP_JOBS].leader_addr,
+                                      .last_index = request->index};
     struct bytes snapshot = {0};
     int64_t bytes = 0;
-    if (wait->feed_from + 1 < log->first_index || wait->feed_from > log->applied) {
-        config_tree_snapshot(&k->config_tree, &snapshot);
-        feed.snapshot = snapshot;
-        feed.snapshot_index = feed.upto = log->applied;
+    if (request->index + 1 < log->first_index || request->index > log->applied) {
+        config_tree_snapshot(&keeper->config_tree, &snapshot);
+        updates.snapshot = snapshot;
+        updates.snapshot_index = updates.last_index = log->applied;
     }
-    for (int64_t i = feed.upto + 1; i <= log->applied && feed.n < FEED_ENTRIES && bytes < FEED_BYTES; i++) {
+    for (int64_t i = updates.last_index + 1;
+         i <= log->applied && updates.n < UPDATES_MAX_ENTRIES && bytes < UPDATES_MAX_BYTES; i++) {
         const struct log_entry *entry = &log->entries[i - log->first_index];
-        feed.upto = i;
+        updates.last_index = i;
         if (entry->kind != ENTRY_OP)
             continue;
-        *list_more(feed.entries, feed.n) = (struct feed_entry){.index = i, .op = entry->body};
+        *list_more(updates.entries, updates.n) = (struct control_entry){.index = i, .op = entry->body};
         bytes += entry->body.len;
     }
     for (int64_t i = 0; i < log->members.n; i++) {
-        const struct log_member *m = &log->members.members[i];
-        add_voter(&feed, m, log_voter(&k->logs[GROUP_JOBS], m->id));
+        const struct log_member *member = &log->members.members[i];
+        add_voter(&updates, member, log_voter(&keeper->logs[GROUP_JOBS], member->id));
     }
-    for (int64_t i = 0; i < k->logs[GROUP_JOBS].members.n; i++) {
-        const struct log_member *m = &k->logs[GROUP_JOBS].members.members[i];
-        if (!log_voter(log, m->id))
-            add_voter(&feed, m, 0);
+    for (int64_t i = 0; i < keeper->logs[GROUP_JOBS].members.n; i++) {
+        const struct log_member *member = &keeper->logs[GROUP_JOBS].members.members[i];
+        if (!log_voter(log, member->id))
+            add_voter(&updates, member, 0);
     }
-    keeper_send(k, wait->from, FRAME_FEED, &feed_schema, &feed);
-    free(feed.voters);
-    free(feed.entries);
+    keeper_send(keeper, request->from, FRAME_FEED, &feed_schema, &updates);
+    free(updates.voters);
+    free(updates.entries);
     bytes_free(&snapshot);
 }
 
-static void confirmed(void *arg, int64_t tag, int error, const struct bytes *unused)
+/* Replies to a request for updates once the log has confirmed or lost the leadership. */
+static void leadership_confirmed(void *arg, int64_t tag, int error, const struct bytes *unused)
 {
-    struct keeper *k = arg;
-    struct keeper_wait *at = slab_at(&k->waits, tag);
+    struct keeper *keeper = arg;
+    struct pending_request *pending = slab_at(&keeper->pending_requests, tag);
     (void)unused;
-    if (!at)
+    if (!pending)
         return;
-    struct keeper_wait wait = *at;
-    slab_free(&k->waits, tag);
+    struct pending_request request = *pending;
+    slab_free(&keeper->pending_requests, tag);
     if (error)
-        feed_reject(k, wait.from, wait.sent_ms);
+        updates_reject(keeper, request.from, request.sent_ms);
     else
-        feed_send(k, &wait);
+        updates_send(keeper, &request);
 }
 
-static void follower_heard(struct keeper *k, int64_t addr)
+static void subscribe(struct keeper *keeper, int64_t addr)
 {
-    int64_t i = 0, now_ms = world_ms(k->w);
-    while (i < k->n_followers && k->followers[i].addr != addr)
+    int64_t i = 0, now_ms = world_ms(keeper->world);
+    while (i < keeper->n_subscribers && keeper->subscribers[i].addr != addr)
         i++;
-    if (i == COUNT_OF(k->followers))
-        return; /* it is not nudged and asks in its own time */
-    if (i == k->n_followers)
-        k->n_followers++;
-    k->followers[i] = (struct follower){.addr = addr, .heard_ms = now_ms};
+    if (i == COUNT_OF(keeper->subscribers))
+        return; /* it gets no notices and polls at its interval */
+    if (i == keeper->n_subscribers)
+        keeper->n_subscribers++;
+    keeper->subscribers[i] = (struct subscriber){.addr = addr, .heard_ms = now_ms};
 }
 
-/* Something was committed: whoever follows us is nudged to ask at once. */
-void feed_news(struct keeper *k)
+/* Notifies the subscribers of new committed entries, so that they request them at once. */
+void updates_notify(struct keeper *keeper)
 {
-    struct log *log = &k->logs[GROUP_CONTROL];
-    struct confirm news = {.from = log->applied};
-    k->news_due = 0;
+    struct log *log = &keeper->logs[GROUP_CONTROL];
+    struct control_updates_request notice = {.index = log->applied};
+    keeper->notice_due = 0;
     if (log->role != LOG_LEADER)
         return;
-    for (int64_t i = 0; i < k->n_followers; i++) {
-        if (world_ms(k->w) - k->followers[i].heard_ms < 2000)
-            keeper_send(k, k->followers[i].addr, FRAME_NEWS, &confirm_schema, &news);
+    for (int64_t i = 0; i < keeper->n_subscribers; i++) {
+        if (world_ms(keeper->world) - keeper->subscribers[i].heard_ms < 2000)
+            keeper_send(keeper, keeper->subscribers[i].addr, FRAME_NEWS, &confirm_schema, &notice);
         else
-            k->followers[i--] = k->followers[--k->n_followers];
+            keeper->subscribers[i--] = keeper->subscribers[--keeper->n_subscribers];
     }
 }
 
-void feed_on_confirm(struct keeper *k, int64_t from, const struct confirm *m)
+void updates_on_request(struct keeper *keeper, int64_t from, const struct control_updates_request *request)
 {
-    struct log *log = &k->logs[GROUP_CONTROL];
-    follower_heard(k, from);
+    struct log *log = &keeper->logs[GROUP_CONTROL];
+    subscribe(keeper, from);
     if (log->role != LOG_LEADER) {
-        feed_reject(k, from, m->sent_ms);
+        updates_reject(keeper, from, request->sent_ms);
         return;
     }
-    int64_t number = slab_take(&k->waits, sizeof(struct keeper_wait));
-    *(struct keeper_wait *)slab_at(&k->waits, number) =
-        (struct keeper_wait){.from = from, .feed_from = m->from, .sent_ms = m->sent_ms, .boot = m->boot};
-    log_read(log, confirmed, k, number);
+    int64_t number = slab_take(&keeper->pending_requests, sizeof(struct pending_request));
+    *(struct pending_request *)slab_at(&keeper->pending_requests, number) = (struct pending_request){
+        .from = from, .index = request->index, .sent_ms = request->sent_ms, .boot = request->boot};
+    log_read(log, leadership_confirmed, keeper, number);
 }
 
-static void proposed(void *arg, int64_t tag, int error, const struct bytes *result)
+static void reply_to_proposal(void *arg, int64_t tag, int error, const struct bytes *result)
 {
-    struct keeper *k = arg;
-    struct keeper_wait *at = slab_at(&k->waits, tag);
-    if (!at)
+    struct keeper *keeper = arg;
+    struct pending_request *pending = slab_at(&keeper->pending_requests, tag);
+    if (!pending)
         return;
-    struct keeper_wait wait = *at;
-    slab_free(&k->waits, tag);
-    struct proposed m = {
-        .group = wait.group, .req = wait.req, .error = error, .leader = k->logs[wait.group].leader_addr};
+    struct pending_request request = *pending;
+    slab_free(&keeper->pending_requests, tag);
+    struct proposed message = {
+        .group = request.group, .req = request.req, .error = error, .leader = keeper->logs[request.group].leader_addr};
     if (result)
-        m.result = *result;
-    keeper_send(k, wait.from, FRAME_PROPOSED, &proposed_schema, &m);
+        message.result = *result;
+    keeper_send(keeper, request.from, FRAME_PROPOSED, &proposed_schema, &message);
 }
 
-void feed_on_propose(struct keeper *k, int64_t from, const struct propose *m)
+void updates_on_propose(struct keeper *keeper, int64_t from, const struct propose *message)
 {
-    if (m->group < 0 || m->group >= GROUP_COUNT)
+    if (message->group < 0 || message->group >= GROUP_COUNT)
         return;
-    int64_t number = slab_take(&k->waits, sizeof(struct keeper_wait));
-    *(struct keeper_wait *)slab_at(&k->waits, number) =
-        (struct keeper_wait){.from = from, .req = m->req, .group = m->group};
-    log_propose(&k->logs[m->group], ENTRY_OP, &m->op, proposed, k, number);
+    int64_t number = slab_take(&keeper->pending_requests, sizeof(struct pending_request));
+    *(struct pending_request *)slab_at(&keeper->pending_requests, number) =
+        (struct pending_request){.from = from, .req = message->req, .group = message->group};
+    log_propose(&keeper->logs[message->group], ENTRY_OP, &message->op, reply_to_proposal, keeper, number);
 }
--- a/src/keeper/found.c
+++ b/src/keeper/found.c
@@ -1,5 +1,5 @@
-/* Identity and bootstrap. Three empty keepers found the logs together, by the
- * word of the lowest seed; an empty keeper that comes later joins as learner. */
+/* A keeper's identity, and the bootstrap of the logs: the empty keeper with the lowest seed address makes all seeds the
+ * first voters once they are all up and empty. An empty keeper that starts later joins as a learner. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -7,129 +7,140 @@
 #include "base/error.h"
 #include "keeper/keeper.h"
 
-enum { FOUND_MS = 300, FRESH_MS = 2000 };
+enum { BOOTSTRAP_INTERVAL_MS = 300, FRESH_MS = 2000 };
 
-static const struct field found_fields[] = {INT(found, id), INT(found, empty), INT(found, addr), STR(found, zone)};
-SCHEMA(found_schema, found, found_fields);
+static const struct field status_fields[] = {INT(bootstrap_status, id), INT(bootstrap_status, empty),
+                                             INT(bootstrap_status, addr), STR(bootstrap_status, zone)};
+SCHEMA(found_schema, bootstrap_status, status_fields);
 
-/* Who this keeper is, for both logs. */
-int found_identity(struct keeper *k) { return log_identity(k->w, k->cluster, &k->id); }
+/* Loads this keeper's identity, which serves for both logs, or creates it at the first start. */
+int keeper_bootstrap_identity(struct keeper *keeper)
+{
+    return log_identity(keeper->world, keeper->cluster, &keeper->id);
+}
 
-int found_empty(const struct keeper *k)
+int keeper_bootstrap_empty(const struct keeper *keeper)
 {
     for (int64_t g = 0; g < GROUP_COUNT; g++)
-        if (k->logs[g].members.n || log_last(&k->logs[g]) || k->logs[g].term)
+        if (keeper->logs[g].members.n || log_last(&keeper->logs[g]) || keeper->logs[g].term)
             return 0;
     return 1;
 }
 
-static struct founder *founder_of(struct keeper *k, int64_t addr)
+/* The entry of a seed; NULL: the list is full. */
+static struct bootstrap_peer *bootstrap_peer_of(struct keeper *keeper, int64_t addr)
 {
-    for (int64_t i = 0; i < k->n_founders; i++)
-        if (k->founders[i].addr == addr)
-            return &k->founders[i];
-    if (k->n_founders == COUNT_OF(k->founders))
+    for (int64_t i = 0; i < keeper->n_bootstrap_peers; i++)
+        if (keeper->bootstrap_peers[i].addr == addr)
+            return &keeper->bootstrap_peers[i];
+    if (keeper->n_bootstrap_peers == COUNT_OF(keeper->bootstrap_peers))
         return NULL;
-    k->founders[k->n_founders] = (struct founder){.addr = addr};
-    return &k->founders[k->n_founders++];
+    keeper->bootstrap_peers[keeper->n_bootstrap_peers] = (struct bootstrap_peer){.addr = addr};
+    return &keeper->bootstrap_peers[keeper->n_bootstrap_peers++];
 }
 
-static int64_t lowest_seed(const struct keeper *k)
+static int64_t lowest_seed(const struct keeper *keeper)
 {
     int64_t lowest = 0;
-    for (int64_t i = 0; i < k->n_seeds; i++)
-        if (!lowest || k->seeds[i] < lowest)
-            lowest = k->seeds[i];
+    for (int64_t i = 0; i < keeper->n_seeds; i++)
+        if (!lowest || keeper->seeds[i] < lowest)
+            lowest = keeper->seeds[i];
     return lowest;
 }
 
-/* Bootstrap takes two logs; what was agreed is on disk before the first, so a
- * keeper that dies in between finishes it when it comes back. */
-static int bootstrap_save(struct keeper *k, const struct log_members *members)
+/* Saves the first voters before either log is bootstrapped, so a keeper that crashes between the two logs finishes the
+ * bootstrap when it restarts. */
+static int bootstrap_save(struct keeper *keeper, const struct log_members *members)
 {
-    return log_save_schema(k->w, "founding", &log_members_schema, members);
+    return log_save_schema(keeper->world, "founding", &log_members_schema, members);
 }
 
-void found_finish(struct keeper *k)
+/* Bootstraps those logs that are still empty, by the saved list of first voters. */
+void keeper_bootstrap_finish(struct keeper *keeper)
 {
     struct log_members members = {0};
-    if (!log_load_schema(k->w, "founding", &log_members_schema, &members)) {
+    if (!log_load_schema(keeper->world, "founding", &log_members_schema, &members)) {
         int ours = 0;
         for (int64_t i = 0; i < members.n; i++)
-            ours |= members.members[i].id == k->id;
+            ours |= members.members[i].id == keeper->id;
         for (int64_t g = 0; ours && g < GROUP_COUNT; g++)
-            if (!log_last(&k->logs[g]) && !k->logs[g].term)
-                log_bootstrap(&k->logs[g], &members);
+            if (!log_last(&keeper->logs[g]) && !keeper->logs[g].term)
+                log_bootstrap(&keeper->logs[g], &members);
     }
     schema_free(&log_members_schema, &members);
 }
 
-static void found_now(struct keeper *k)
+/* Bootstraps the logs if all seeds have reported empty logs within FRESH_MS. */
+static void bootstrap_if_complete(struct keeper *keeper)
 {
     struct log_members members = {0};
-    int64_t now_ms = world_ms(k->w);
-    *list_more(members.members, members.n) =
-        (struct log_member){.id = k->id, .addr = (int64_t)k->w->self, .voter = 1, .zone = must_dup(k->zone)};
-    for (int64_t i = 0; i < k->n_founders; i++) {
-        struct founder *f = &k->founders[i];
-        if (f->id && now_ms - f->heard_ms < FRESH_MS)
+    int64_t now_ms = world_ms(keeper->world);
+    *list_more(members.members, members.n) = (struct log_member){
+        .id = keeper->id, .addr = (int64_t)keeper->world->self, .voter = 1, .zone = must_dup(keeper->zone)};
+    for (int64_t i = 0; i < keeper->n_bootstrap_peers; i++) {
+        struct bootstrap_peer *peer = &keeper->bootstrap_peers[i];
+        if (peer->id && now_ms - peer->heard_ms < FRESH_MS)
             *list_more(members.members, members.n) =
-                (struct log_member){.id = f->id, .addr = f->addr, .voter = 1, .zone = must_dup(f->zone)};
+                (struct log_member){.id = peer->id, .addr = peer->addr, .voter = 1, .zone = must_dup(peer->zone)};
     }
-    if (members.n == k->n_seeds && !bootstrap_save(k, &members)) {
-        found_finish(k);
-        world_note(k->w, EV_FOUNDED, "keepers=%lld", (long long)members.n);
+    if (members.n == keeper->n_seeds && !bootstrap_save(keeper, &members)) {
+        keeper_bootstrap_finish(keeper);
+        world_note(keeper->world, EV_FOUNDED, "keepers=%lld", (long long)members.n);
     }
     schema_free(&log_members_schema, &members);
 }
 
-void found_on_timer(struct keeper *k)
+void keeper_bootstrap_on_timer(struct keeper *keeper)
 {
-    int64_t now_ms = world_ms(k->w), self = (int64_t)k->w->self;
-    struct found request = {.id = k->id, .empty = 1, .addr = self, .zone = k->zone};
-    struct join join = {.id = k->id, .addr = self, .zone = k->zone};
-    if (now_ms < k->found_due_ms || (log_member(&k->logs[0], k->id) && log_member(&k->logs[1], k->id)))
+    int64_t now_ms = world_ms(keeper->world), self = (int64_t)keeper->world->self;
+    struct bootstrap_status request = {.id = keeper->id, .empty = 1, .addr = self, .zone = keeper->zone};
+    struct join join = {.id = keeper->id, .addr = self, .zone = keeper->zone};
+    if (now_ms < keeper->bootstrap_due_ms ||
+        (log_member(&keeper->logs[0], keeper->id) && log_member(&keeper->logs[1], keeper->id)))
         return;
-    k->found_due_ms = now_ms + FOUND_MS;
-    for (int64_t i = 0; i < k->n_seeds; i++) {
-        if (k->seeds[i] == self)
+    keeper->bootstrap_due_ms = now_ms + BOOTSTRAP_INTERVAL_MS;
+    for (int64_t i = 0; i < keeper->n_seeds; i++) {
+        if (keeper->seeds[i] == self)
             continue;
-        if (found_empty(k) && self == lowest_seed(k))
-            keeper_send(k, k->seeds[i], FRAME_FOUND_REQUEST, &found_schema, &request);
-        keeper_send(k, k->seeds[i], FRAME_JOIN, &join_schema, &join);
+        if (keeper_bootstrap_empty(keeper) && self == lowest_seed(keeper))
+            keeper_send(keeper, keeper->seeds[i], FRAME_FOUND_REQUEST, &found_schema, &request);
+        keeper_send(keeper, keeper->seeds[i], FRAME_JOIN, &join_schema, &join);
     }
-    for (int64_t i = 0; i < k->peers.n; i++) {
-        const struct peer_news *news = &k->peers.all[i].news;
+    for (int64_t i = 0; i < keeper->peers.n; i++) {
+        const struct peer_news *news = &keeper->peers.all[i].news;
         if (news->role == ROLE_KEEPER && news->state != SIB_DEAD)
-            keeper_send(k, news->addr, FRAME_JOIN, &join_schema, &join);
+            keeper_send(keeper, news->addr, FRAME_JOIN, &join_schema, &join);
     }
-    if (found_empty(k) && self == lowest_seed(k))
-        found_now(k);
+    if (keeper_bootstrap_empty(keeper) && self == lowest_seed(keeper))
+        bootstrap_if_complete(keeper);
 }
 
-void found_take(struct keeper *k, const struct frame *frame)
+void keeper_bootstrap_take(struct keeper *keeper, const struct frame *frame)
 {
-    struct found found = {0};
+    struct bootstrap_status status = {0};
     struct join join = {0};
     if (frame->kind == FRAME_JOIN) {
         if (!schema_unpack(&join_schema, &join, frame->body, frame->len))
-            replace_on_join(k, &join);
+            replace_on_join(keeper, &join);
         schema_free(&join_schema, &join);
         return;
     }
-    if (schema_unpack(&found_schema, &found, frame->body, frame->len))
+    if (schema_unpack(&found_schema, &status, frame->body, frame->len))
         return;
     if (frame->kind == FRAME_FOUND_REQUEST) {
-        struct found reply = {.id = k->id, .empty = found_empty(k), .addr = (int64_t)k->w->self, .zone = k->zone};
-        keeper_send(k, (int64_t)frame->from, FRAME_FOUND, &found_schema, &reply);
+        struct bootstrap_status reply = {.id = keeper->id,
+                                         .empty = keeper_bootstrap_empty(keeper),
+                                         .addr = (int64_t)keeper->world->self,
+                                         .zone = keeper->zone};
+        keeper_send(keeper, (int64_t)frame->from, FRAME_FOUND, &found_schema, &reply);
     } else {
-        struct founder *f = founder_of(k, (int64_t)frame->from);
-        if (f) {
-            f->id = found.empty ? found.id : 0; /* who holds something founds nothing */
-            f->heard_ms = world_ms(k->w);
-            free(f->zone);
-            f->zone = must_dup(found.zone);
+        struct bootstrap_peer *peer = bootstrap_peer_of(keeper, (int64_t)frame->from);
+        if (peer) {
+            peer->id = status.empty ? status.id : 0; /* only keepers with empty logs can be first voters */
+            peer->heard_ms = world_ms(keeper->world);
+            free(peer->zone);
+            peer->zone = must_dup(status.zone);
         }
     }
-    schema_free(&found_schema, &found);
+    schema_free(&found_schema, &status);
 }
--- a/src/keeper/keeper.c
+++ b/src/keeper/keeper.c
@@ -1,3 +1,4 @@
+/* A keeper's life cycle, its state machines of the two logs, its frames and its API. */
 #include "keeper/keeper.h"
 
 #include <stdlib.h>
@@ -6,19 +7,19 @@
 #include "base/events.h"
 #include "base/error.h"
 
-/* --- the jobs log's machine: every shard's rows ------------------------------------ */
+/* --- state machine of the jobs log: the rows of all shards ------------------------- */
 
 static void jobs_apply(void *arg, int64_t index, const struct bytes *op, struct bytes *out)
 {
-    struct keeper *k = arg;
+    struct keeper *keeper = arg;
     struct batch batch = {0};
     struct batch_result result = {.error = ERROR_BAD_FRAME};
     (void)index;
     if (!schema_unpack(&batch_schema, &batch, op->at, op->len) && batch.shard >= 0 && batch.shard < SHARD_COUNT) {
         result.error = ERROR_NONE;
-        rows_apply_batch(&k->shards[batch.shard], &batch, &result);
+        rows_apply_batch(&keeper->shards[batch.shard], &batch, &result);
         if (out && batch.open && !result.error)
-            rows_snapshot(&k->shards[batch.shard], &result.snapshot);
+            rows_snapshot(&keeper->shards[batch.shard], &result.snapshot);
     }
     if (out)
         schema_pack(&batch_result_schema, &result, out);
@@ -28,48 +29,48 @@
 
 static void jobs_snapshot(void *arg, struct bytes *to)
 {
-    struct keeper *k = arg;
+    struct keeper *keeper = arg;
     for (int64_t i = 0; i < SHARD_COUNT; i++) {
-        struct bytes one = {0};
-        rows_snapshot(&k->shards[i], &one);
-        bytes_add(to, &one.len, sizeof one.len);
-        bytes_add(to, one.at, one.len);
-        bytes_free(&one);
+        struct bytes shard = {0};
+        rows_snapshot(&keeper->shards[i], &shard);
+        bytes_add(to, &shard.len, sizeof shard.len);
+        bytes_add(to, shard.at, shard.len);
+        bytes_free(&shard);
     }
 }
 
-/* Reads all shards into a list of SHARD_COUNT started ones. */
-static int jobs_read(struct rows *into, const struct bytes *from)
+/* Reads a snapshot of all shards into a list of SHARD_COUNT initialized rows. */
+static int jobs_read(struct rows *to, const struct bytes *from)
 {
     int64_t off = 0;
     for (int64_t i = 0; i < SHARD_COUNT; i++) {
-        struct bytes one = {0};
-        if (off + (int64_t)sizeof one.len > from->len)
+        struct bytes shard = {0};
+        if (off + (int64_t)sizeof shard.len > from->len)
             return ERROR_DISK;
-        memcpy(&one.len, from->at + off, sizeof one.len);
-        off += (int64_t)sizeof one.len;
-        if (one.len < 0 || off + one.len > from->len)
+        memcpy(&shard.len, from->at + off, sizeof shard.len);
+        off += (int64_t)sizeof shard.len;
+        if (shard.len < 0 || off + shard.len > from->len)
             return ERROR_DISK;
-        one.at = from->at + off;
-        off += one.len;
-        if (rows_restore(&into[i], &one))
+        shard.at = from->at + off;
+        off += shard.len;
+        if (rows_restore(&to[i], &shard))
             return ERROR_DISK;
     }
     return off == from->len ? ERROR_NONE : ERROR_DISK;
 }
 
-/* All or nothing: what cannot be read leaves the shards as they were. */
+/* On an error all shards stay as they were. */
 static int jobs_restore(void *arg, const struct bytes *from)
 {
-    struct keeper *k = arg;
+    struct keeper *keeper = arg;
     struct rows *fresh = must_alloc(sizeof *fresh * SHARD_COUNT);
     for (int64_t i = 0; i < SHARD_COUNT; i++)
         rows_start(&fresh[i], i);
     int rc = jobs_read(fresh, from);
     for (int64_t i = 0; i < SHARD_COUNT; i++) {
         if (!rc) {
-            struct rows former = k->shards[i];
-            k->shards[i] = fresh[i];
+            struct rows former = keeper->shards[i];
+            keeper->shards[i] = fresh[i];
             fresh[i] = former;
         }
         rows_end(&fresh[i]);
@@ -78,13 +79,13 @@
     return rc;
 }
 
-/* --- the control log's machine: the configuration tree ------------------------------------------ */
+/* --- state machine of the control log: the configuration tree ------------------------------------ */
 
 static void control_apply(void *arg, int64_t index, const struct bytes *op, struct bytes *out)
 {
     (void)index;
     config_tree_apply(&((struct keeper *)arg)->config_tree, op, out);
-    ((struct keeper *)arg)->news_due = 1;
+    ((struct keeper *)arg)->notice_due = 1;
 }
 
 static void control_snapshot(void *arg, struct bytes *to)
@@ -97,143 +98,143 @@
     return config_tree_restore(&((struct keeper *)arg)->config_tree, from);
 }
 
-/* --- life --------------------------------------------------------------------------------- */
+/* --- life cycle --------------------------------------------------------------------------- */
 
-int keeper_start(struct keeper *k, struct world *w, const struct peer_setup *setup)
+int keeper_start(struct keeper *keeper, struct world *world, const struct peer_setup *setup)
 {
-    *k = (struct keeper){.w = w, .cluster = (uint32_t)hash_text(setup->cluster), .boot = setup->boot};
-    k->zone = must_dup(setup->zone);
-    k->started_ms = world_ms(w);
-    for (int64_t i = 0; i < setup->n_seeds && i < COUNT_OF(k->seeds); i++)
-        k->seeds[k->n_seeds++] = setup->seeds[i];
+    *keeper = (struct keeper){.world = world, .cluster = (uint32_t)hash_text(setup->cluster), .boot = setup->boot};
+    keeper->zone = must_dup(setup->zone);
+    keeper->started_ms = world_ms(world);
+    for (int64_t i = 0; i < setup->n_seeds && i < COUNT_OF(keeper->seeds); i++)
+        keeper->seeds[keeper->n_seeds++] = setup->seeds[i];
     for (int64_t i = 0; i < SHARD_COUNT; i++)
-        rows_start(&k->shards[i], i);
-    peers_start(&k->peers, w, ROLE_KEEPER, setup);
-    int rc = found_identity(k);
+        rows_start(&keeper->shards[i], i);
+    peers_start(&keeper->peers, world, ROLE_KEEPER, setup);
+    int rc = keeper_bootstrap_identity(keeper);
     const struct log_machine machines[GROUP_COUNT] = {
-        {.arg = k, .apply = control_apply, .snapshot = control_snapshot, .restore = control_restore},
-        {.arg = k, .apply = jobs_apply, .snapshot = jobs_snapshot, .restore = jobs_restore}};
+        {.arg = keeper, .apply = control_apply, .snapshot = control_snapshot, .restore = control_restore},
+        {.arg = keeper, .apply = jobs_apply, .snapshot = jobs_snapshot, .restore = jobs_restore}};
     for (int64_t g = 0; g < GROUP_COUNT; g++) {
-        log_start(&k->logs[g], w, k->cluster, g, k->id, &machines[g]);
+        log_start(&keeper->logs[g], world, keeper->cluster, g, keeper->id, &machines[g]);
         if (!rc)
-            rc = log_load(&k->logs[g]);
+            rc = log_load(&keeper->logs[g]);
     }
     if (!rc)
-        found_finish(k);
+        keeper_bootstrap_finish(keeper);
     return rc;
 }
 
-void keeper_end(struct keeper *k)
+void keeper_end(struct keeper *keeper)
 {
     for (int64_t g = 0; g < GROUP_COUNT; g++)
-        log_end(&k->logs[g]);
+        log_end(&keeper->logs[g]);
     for (int64_t i = 0; i < SHARD_COUNT; i++)
-        rows_end(&k->shards[i]);
-    for (int64_t i = 0; i < k->n_founders; i++)
-        free(k->founders[i].zone);
-    for (int64_t i = 0; i < k->n_joiners; i++)
-        free(k->joiners[i].zone);
-    slab_end(&k->waits);
-    config_tree_end(&k->config_tree);
-    peers_end(&k->peers);
-    free(k->zone);
+        rows_end(&keeper->shards[i]);
+    for (int64_t i = 0; i < keeper->n_bootstrap_peers; i++)
+        free(keeper->bootstrap_peers[i].zone);
+    for (int64_t i = 0; i < keeper->n_joiners; i++)
+        free(keeper->joiners[i].zone);
+    slab_end(&keeper->pending_requests);
+    config_tree_end(&keeper->config_tree);
+    peers_end(&keeper->peers);
+    free(keeper->zone);
 }
 
-void keeper_send(struct keeper *k, int64_t to, enum frame_kind kind, const struct schema *schema, const void *msg)
+void keeper_send(struct keeper *keeper, int64_t to, enum frame_kind kind, const struct schema *schema, const void *msg)
 {
     struct blob *out = blob_new();
-    frame_build(&out->bytes, kind, k->cluster, k->w->self, schema, msg);
-    k->w->calls->send(k->w, (uint64_t)to, out, frame_lossy(kind));
+    frame_build(&out->bytes, kind, keeper->cluster, keeper->world->self, schema, msg);
+    keeper->world->calls->send(keeper->world, (uint64_t)to, out, frame_lossy(kind));
     blob_drop(out);
 }
 
-static void dropped(struct keeper *k, const struct frame *frame)
+static void note_dropped(struct keeper *keeper, const struct frame *frame)
 {
-    k->frames_dropped++;
-    world_note(k->w, EV_FRAME_DROPPED, "from=%s kind=%d", frame ? addr_text(frame->from) : "?",
+    keeper->frames_dropped++;
+    world_note(keeper->world, EV_FRAME_DROPPED, "from=%s kind=%d", frame ? addr_text(frame->from) : "?",
                frame ? (int)frame->kind : 0);
 }
 
-static int take_config_tree(struct keeper *k, const struct frame *frame)
+static int take_of_node(struct keeper *keeper, const struct frame *frame)
 {
-    struct confirm confirm = {0};
+    struct control_updates_request request = {0};
     struct propose propose = {0};
     if (frame->kind == FRAME_CONFIRM) {
-        if (schema_unpack(&confirm_schema, &confirm, frame->body, frame->len))
+        if (schema_unpack(&confirm_schema, &request, frame->body, frame->len))
             return ERROR_BAD_FRAME;
-        feed_on_confirm(k, (int64_t)frame->from, &confirm);
+        updates_on_request(keeper, (int64_t)frame->from, &request);
     } else {
         if (schema_unpack(&propose_schema, &propose, frame->body, frame->len))
             return ERROR_BAD_FRAME;
-        feed_on_propose(k, (int64_t)frame->from, &propose);
+        updates_on_propose(keeper, (int64_t)frame->from, &propose);
         schema_free(&propose_schema, &propose);
     }
     return ERROR_NONE;
 }
 
-void keeper_take(struct keeper *k, const uint8_t *at, int64_t len)
+void keeper_take(struct keeper *keeper, const uint8_t *at, int64_t len)
 {
     struct frame frame;
     int rc = ERROR_NONE;
-    if (k->logs[0].broken || k->logs[1].broken)
-        k->silent = 1;
-    if (k->silent)
+    if (keeper->logs[0].broken || keeper->logs[1].broken)
+        keeper->silent = 1;
+    if (keeper->silent)
         return;
-    if (frame_parse(&frame, at, len, k->cluster)) {
-        dropped(k, NULL);
+    if (frame_parse(&frame, at, len, keeper->cluster)) {
+        note_dropped(keeper, NULL);
         return;
     }
     if (frame_lossy(frame.kind))
-        rc = peers_take(&k->peers, &frame);
+        rc = peers_take(&keeper->peers, &frame);
     else if (frame_of_log(frame.kind))
         for (int64_t g = 0; g < GROUP_COUNT && !rc; g++)
-            rc = log_take(&k->logs[g], &frame);
+            rc = log_take(&keeper->logs[g], &frame);
     else if (frame.kind >= FRAME_FOUND_REQUEST && frame.kind <= FRAME_JOIN)
-        found_take(k, &frame);
+        keeper_bootstrap_take(keeper, &frame);
     else if (frame.kind == FRAME_CONFIRM || frame.kind == FRAME_PROPOSE)
-        rc = take_config_tree(k, &frame);
+        rc = take_of_node(keeper, &frame);
     else
         rc = ERROR_BAD_FRAME;
     if (rc)
-        dropped(k, &frame);
+        note_dropped(keeper, &frame);
 }
 
-void keeper_flush(struct keeper *k)
+void keeper_flush(struct keeper *keeper)
 {
     for (int64_t g = 0; g < GROUP_COUNT; g++)
-        log_flush(&k->logs[g]);
-    if (k->news_due)
-        feed_news(k);
+        log_flush(&keeper->logs[g]);
+    if (keeper->notice_due)
+        updates_notify(keeper);
 }
 
-void keeper_on_timer(struct keeper *k)
+void keeper_on_timer(struct keeper *keeper)
 {
-    if (k->logs[0].broken || k->logs[1].broken)
-        k->silent = 1;
+    if (keeper->logs[0].broken || keeper->logs[1].broken)
+        keeper->silent = 1;
     for (int64_t g = 0; g < GROUP_COUNT; g++)
-        log_on_timer(&k->logs[g]);
-    if (k->silent)
+        log_on_timer(&keeper->logs[g]);
+    if (keeper->silent)
         return;
-    peers_on_timer(&k->peers);
-    k->boot = k->peers.self.boot;
-    found_on_timer(k);
-    replace_on_timer(k);
-    duties_on_timer(k);
-    keeper_flush(k);
+    peers_on_timer(&keeper->peers);
+    keeper->boot = keeper->peers.self.boot;
+    keeper_bootstrap_on_timer(keeper);
+    replace_on_timer(keeper);
+    ownership_on_timer(keeper);
+    keeper_flush(keeper);
 }
 
-void keeper_leave(struct keeper *k)
+void keeper_leave(struct keeper *keeper)
 {
-    k->leaving = 1;
-    peers_leave(&k->peers);
+    keeper->leaving = 1;
+    peers_leave(&keeper->peers);
     for (int64_t g = 0; g < GROUP_COUNT; g++)
-        log_hand_over(&k->logs[g]);
+        log_hand_over(&keeper->logs[g]);
 }
 
-int keeper_left(const struct keeper *k)
+int keeper_left(const struct keeper *keeper)
 {
     for (int64_t g = 0; g < GROUP_COUNT; g++)
-        if (k->logs[g].role == LOG_LEADER)
+        if (keeper->logs[g].role == LOG_LEADER)
             return 0;
     return 1;
 }
@@ -251,18 +252,21 @@
                      (json_int_t)log->last_sync_ms, "broken", (int)log->broken, "members", members);
 }
 
-void keeper_request(struct keeper *k, int64_t slot, const char *method, const char *path, const char *body, int64_t len)
+void keeper_request(struct keeper *keeper, int64_t slot, const char *method, const char *path, const char *body,
+                    int64_t len)
 {
     (void)body, (void)len;
     if (strcmp(method, "GET") || strcmp(path, "/v1/status")) {
-        world_answer(k->w, slot, ERROR_NO_SUCH, "a keeper shows GET /v1/status only; ask a node");
+        world_answer(keeper->world, slot, ERROR_NO_SUCH,
+                     "a keeper serves only GET /v1/status; send other requests to a node");
         return;
     }
-    json_t *out = json_pack("{s:s,s:s,s:s,s:I,s:b,s:o,s:o}", "role", "keeper", "addr", addr_text(k->w->self), "zone",
-                            k->zone, "framesDropped", (json_int_t)k->frames_dropped, "silent", (int)k->silent,
-                            "control", log_view(&k->logs[0]), "jobs", log_view(&k->logs[1]));
+    json_t *out =
+        json_pack("{s:s,s:s,s:s,s:I,s:b,s:o,s:o}", "role", "keeper", "addr", addr_text(keeper->world->self), "zone",
+                  keeper->zone, "framesDropped", (json_int_t)keeper->frames_dropped, "silent", (int)keeper->silent,
+                  "control", log_view(&keeper->logs[0]), "jobs", log_view(&keeper->logs[1]));
     char *text = json_dumps(out, JSON_COMPACT);
     json_decref(out);
-    k->w->calls->answer(k->w, slot, 200, 0, text);
+    keeper->world->calls->answer(keeper->world, slot, 200, 0, text);
     free(text);
 }
--- a/src/keeper/keeper.h
+++ b/src/keeper/keeper.h
@@ -1,5 +1,5 @@
-/* A keeper: one of the machines with a disk. Holds both logs, folds what they
- * say, feeds the nodes, and as leader of the control log gives the duties. */
+/* A keeper: a process with a disk that stores both replicated logs and applies them. It sends the nodes the entries of
+ * the control log; as the leader of that log it assigns shards and homes to nodes. */
 #ifndef SAGEHITCH_KEEPER_H
 #define SAGEHITCH_KEEPER_H
 #include "base/slab.h"
@@ -9,32 +9,33 @@
 #include "node/node.h"
 #include "peer/peer.h"
 
-struct found {
+/* A keeper's state at the bootstrap of the logs. empty: it holds nothing of either log. */
+struct bootstrap_status {
     int64_t id, empty, addr;
     char *zone;
 };
 extern const struct schema found_schema;
 
-/* A node that follows the feed from us. */
-struct follower {
+/* A node that requested updates from this keeper, and is notified of new entries. */
+struct subscriber {
     int64_t addr, heard_ms;
 };
 
-struct founder {
+/* What is known of another seed at the bootstrap. id 0: nothing, or its logs are not empty. */
+struct bootstrap_peer {
     int64_t addr, id, heard_ms;
     char *zone;
 };
 
-/* A confirm or a proposal that waits for its log. */
-struct keeper_wait {
-    int64_t from, req, group, feed_from, sent_ms, boot;
+/* A request for updates, or a proposal, that waits for its log. index: the last entry that the node has. */
+struct pending_request {
+    int64_t from, req, group, index, sent_ms, boot;
 };
 
-/* Invariants: id is synced before it is told; founded or joined, it is the
- * only name under which this keeper ever votes. silent: the disk cannot be
- * trusted, nothing more is said. */
+/* Invariants: id is on disk before it is sent to any process; from the bootstrap or join on it is the only identity
+ * under which this keeper votes. silent: the disk cannot be trusted, so this keeper sends nothing any more. */
 struct keeper {
-    struct world *w;
+    struct world *world;
     uint32_t cluster;
     char *zone;
     int64_t id, boot, leaving, silent;
@@ -43,46 +44,49 @@
     struct log logs[GROUP_COUNT];
     struct config_tree config_tree;
     struct rows shards[SHARD_COUNT];
-    struct founder founders[8];
-    int64_t n_founders, found_due_ms;
-    struct slab waits;
-    int64_t assign_due_ms, member_due_ms, duties_busy, moved_ms, due_busy;
+    struct bootstrap_peer bootstrap_peers[8];
+    int64_t n_bootstrap_peers, bootstrap_due_ms;
+    struct slab pending_requests;
+    int64_t assign_due_ms, member_due_ms, assign_in_progress, moved_ms, planned_in_progress;
     struct join joiners[8];
     int64_t n_joiners;
-    struct follower followers[256];
-    int64_t n_followers, news_due;
+    struct subscriber subscribers[256];
+    int64_t n_subscribers, notice_due;
     int64_t frames_dropped, started_ms;
 };
 
-/* Loads the identity and the logs from the disk. Returns 0, or an error: then nothing may be said under the identity,
- * and keeper_end() is still due. */
-int keeper_start(struct keeper *k, struct world *w, const struct peer_setup *setup);
-void keeper_end(struct keeper *k);
-void keeper_on_timer(struct keeper *k);
-void keeper_take(struct keeper *k, const uint8_t *at, int64_t len);
-void keeper_flush(struct keeper *k);
-void keeper_leave(struct keeper *k);
-int keeper_left(const struct keeper *k);
-void keeper_request(struct keeper *k, int64_t slot, const char *method, const char *path, const char *body,
+/* Loads the identity and the logs from the disk. Returns 0 or an error. After an error nothing may be sent under the
+ * identity, and keeper_end() must still be called. */
+int keeper_start(struct keeper *keeper, struct world *world, const struct peer_setup *setup);
+void keeper_end(struct keeper *keeper);
+void keeper_on_timer(struct keeper *keeper);
+/* Handles a received frame. */
+void keeper_take(struct keeper *keeper, const uint8_t *at, int64_t len);
+/* Flushes both logs and notifies the nodes of new entries; called after the frames of a turn. */
+void keeper_flush(struct keeper *keeper);
+void keeper_leave(struct keeper *keeper); /* hands leadership of the logs over */
+/* 1: this keeper leads neither log. */
+int keeper_left(const struct keeper *keeper);
+void keeper_request(struct keeper *keeper, int64_t slot, const char *method, const char *path, const char *body,
                     int64_t len);
-void keeper_send(struct keeper *k, int64_t to, enum frame_kind kind, const struct schema *schema, const void *msg);
+void keeper_send(struct keeper *keeper, int64_t to, enum frame_kind kind, const struct schema *schema, const void *msg);
 
-/* found.c */
-int found_identity(struct keeper *k);
-void found_finish(struct keeper *k);
-int found_empty(const struct keeper *k);
-void found_on_timer(struct keeper *k);
-void found_take(struct keeper *k, const struct frame *frame);
+/* bootstrap.c */
+int keeper_bootstrap_identity(struct keeper *keeper);
+void keeper_bootstrap_finish(struct keeper *keeper);
+int keeper_bootstrap_empty(const struct keeper *keeper);
+void keeper_bootstrap_on_timer(struct keeper *keeper);
+void keeper_bootstrap_take(struct keeper *keeper, const struct frame *frame);
 
 /* replace.c */
-void replace_on_timer(struct keeper *k);
-void replace_on_join(struct keeper *k, const struct join *join);
+void replace_on_timer(struct keeper *keeper);
+void replace_on_join(struct keeper *keeper, const struct join *join);
 
-/* feed.c */
-void feed_on_confirm(struct keeper *k, int64_t from, const struct confirm *m);
-void feed_news(struct keeper *k);
-void feed_on_propose(struct keeper *k, int64_t from, const struct propose *m);
+/* control_updates.c */
+void updates_on_request(struct keeper *keeper, int64_t from, const struct control_updates_request *request);
+void updates_notify(struct keeper *keeper);
+void updates_on_propose(struct keeper *keeper, int64_t from, const struct propose *message);
 
-/* duties.c */
-void duties_on_timer(struct keeper *k);
+/* ownership.c */
+void ownership_on_timer(struct keeper *keeper);
 #endif
--- a/src/keeper/replace.c
+++ b/src/keeper/replace.c
@@ -1,105 +1,110 @@
-/* Keepers that come later: learners first, voters once they hold the log and a
- * voter is gone for good, one change at a time in each log. */
+/* Replaces lost keepers: a new keeper joins each log as a learner and gets the vote of a lost voter once it has caught
+ * up. Each log makes one change at a time. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "base/error.h"
 #include "keeper/keeper.h"
 
-enum { GONE_MS = 3000, STEP_MS = 200, VOTERS = 3 };
+enum { LOST_MS = 3000, CHECK_INTERVAL_MS = 200, VOTERS = 3 };
 
-/* The leader notes who asks; the same address under a new identity is a new one. */
-void replace_on_join(struct keeper *k, const struct join *join)
+/* Keeps the newest requests to join. A new identity at a known address replaces the former one there. */
+void replace_on_join(struct keeper *keeper, const struct join *join)
 {
-    for (int64_t i = 0; i < k->n_joiners; i++) {
-        if (k->joiners[i].addr != join->addr)
+    for (int64_t i = 0; i < keeper->n_joiners; i++) {
+        if (keeper->joiners[i].addr != join->addr)
             continue;
-        k->joiners[i].id = join->id;
+        keeper->joiners[i].id = join->id;
         return;
     }
-    if (k->n_joiners == COUNT_OF(k->joiners)) {
-        free(k->joiners[0].zone);
-        memmove(k->joiners, k->joiners + 1, sizeof k->joiners[0] * (size_t)--k->n_joiners);
+    if (keeper->n_joiners == COUNT_OF(keeper->joiners)) {
+        free(keeper->joiners[0].zone);
+        memmove(keeper->joiners, keeper->joiners + 1, sizeof keeper->joiners[0] * (size_t)--keeper->n_joiners);
     }
-    k->joiners[k->n_joiners++] = (struct join){.id = join->id, .addr = join->addr, .zone = must_dup(join->zone)};
+    keeper->joiners[keeper->n_joiners++] =
+        (struct join){.id = join->id, .addr = join->addr, .zone = must_dup(join->zone)};
 }
 
-static int same_place(const struct keeper *k, const struct log_member *member)
+/* 1 if a keeper with another identity has asked to join from the address of the member. */
+static int is_address_reused(const struct keeper *keeper, const struct log_member *member)
 {
-    for (int64_t i = 0; i < k->n_joiners; i++)
-        if (k->joiners[i].addr == member->addr && k->joiners[i].id != member->id)
+    for (int64_t i = 0; i < keeper->n_joiners; i++)
+        if (keeper->joiners[i].addr == member->addr && keeper->joiners[i].id != member->id)
             return 1;
     return 0;
 }
 
-/* Gone: its address answers under another identity, or it is long unheard. */
-static int is_gone(struct keeper *k, struct log *log, const struct log_member *member)
+/* A member is lost if its address belongs to another identity now, or if it has sent nothing for LOST_MS and is not
+ * live among the peers. */
+static int is_lost(struct keeper *keeper, struct log *log, const struct log_member *member)
 {
-    if (member->id == k->id)
+    if (member->id == keeper->id)
         return 0;
-    if (same_place(k, member))
+    if (is_address_reused(keeper, member))
         return 1;
-    struct log_peer *s = log_peer(log, member->id);
-    return s && world_ms(k->w) - s->heard_ms > GONE_MS && !peers_live(&k->peers, member->addr, 0);
+    struct log_peer *peer = log_peer(log, member->id);
+    return peer && world_ms(keeper->world) - peer->heard_ms > LOST_MS && !peers_live(&keeper->peers, member->addr, 0);
 }
 
 static int caught_up(struct log *log, const struct log_member *member) { return log_caught_up(log, member->id); }
 
-static void step(struct keeper *k, struct log *log)
+/* Starts the next change of the members of one log, if one is needed. */
+static void change_members(struct keeper *keeper, struct log *log)
 {
-    const struct log_member *gone = NULL, *learner = NULL, *lost = NULL;
+    const struct log_member *lost_voter = NULL, *learner = NULL, *lost_learner = NULL;
     int64_t voters = 0;
     if (log_settle(log) != ERROR_NO_SUCH)
         return;
     for (int64_t i = 0; i < log->members.n; i++) {
-        const struct log_member *m = &log->members.members[i];
-        voters += log_votes(m);
-        if (log_votes(m) && is_gone(k, log, m))
-            gone = m;
-        else if (!m->voter && is_gone(k, log, m))
-            lost = m;
-        else if (!m->voter && caught_up(log, m))
-            learner = m;
+        const struct log_member *member = &log->members.members[i];
+        voters += log_votes(member);
+        if (log_votes(member) && is_lost(keeper, log, member))
+            lost_voter = member;
+        else if (!member->voter && is_lost(keeper, log, member))
+            lost_learner = member;
+        else if (!member->voter && caught_up(log, member))
+            learner = member;
     }
-    if (lost) {
-        log_change(log, lost->id, lost->addr, NULL, 0, 1);
+    if (lost_learner) {
+        log_change(log, lost_learner->id, lost_learner->addr, NULL, 0, 1);
         return;
     }
-    for (int64_t i = 0; gone && i < log->members.n; i++) {
-        const struct log_member *m = &log->members.members[i];
-        if (!m->voter && m->addr == gone->addr && m->id != gone->id && !is_gone(k, log, m) && caught_up(log, m)) {
-            log_exchange(log, gone->id, m->id); /* its disk may come back */
+    for (int64_t i = 0; lost_voter && i < log->members.n; i++) {
+        const struct log_member *member = &log->members.members[i];
+        if (!member->voter && member->addr == lost_voter->addr && member->id != lost_voter->id &&
+            !is_lost(keeper, log, member) && caught_up(log, member)) {
+            log_exchange(log, lost_voter->id, member->id); /* not log_replace(): the lost disk may come back */
             return;
         }
     }
-    if (learner && gone && voters == VOTERS) {
-        log_exchange(log, gone->id, learner->id);
+    if (learner && lost_voter && voters == VOTERS) {
+        log_exchange(log, lost_voter->id, learner->id);
         return;
     }
     if (learner && voters < VOTERS) {
         log_change(log, learner->id, learner->addr, learner->zone, 1, 0);
         return;
     }
-    if (gone && voters > VOTERS) {
-        log_change(log, gone->id, gone->addr, NULL, 0, 1);
+    if (lost_voter && voters > VOTERS) {
+        log_change(log, lost_voter->id, lost_voter->addr, NULL, 0, 1);
         return;
     }
-    for (int64_t i = 0; i < k->n_joiners; i++) {
-        const struct join *j = &k->joiners[i];
-        if (!log_member(log, j->id) && peers_live(&k->peers, j->addr, 0)) {
-            log_change(log, j->id, j->addr, j->zone, 0, 0);
+    for (int64_t i = 0; i < keeper->n_joiners; i++) {
+        const struct join *join = &keeper->joiners[i];
+        if (!log_member(log, join->id) && peers_live(&keeper->peers, join->addr, 0)) {
+            log_change(log, join->id, join->addr, join->zone, 0, 0);
             return;
         }
     }
 }
 
-void replace_on_timer(struct keeper *k)
+void replace_on_timer(struct keeper *keeper)
 {
-    int64_t now_ms = world_ms(k->w);
-    if (now_ms < k->member_due_ms)
+    int64_t now_ms = world_ms(keeper->world);
+    if (now_ms < keeper->member_due_ms)
         return;
-    k->member_due_ms = now_ms + STEP_MS;
+    keeper->member_due_ms = now_ms + CHECK_INTERVAL_MS;
     for (int64_t g = 0; g < GROUP_COUNT; g++)
-        if (k->logs[g].role == LOG_LEADER && now_ms - k->logs[g].leader_since_ms > GONE_MS)
-            step(k, &k->logs[g]);
+        if (keeper->logs[g].role == LOG_LEADER && now_ms - keeper->logs[g].leader_since_ms > LOST_MS)
+            change_members(keeper, &keeper->logs[g]);
 }
--- a/src/node/api.c
+++ b/src/node/api.c
@@ -1,5 +1,5 @@
-/* Requests from outside: each is a continuation in a slab, answered here or
- * sent on to the node whose duty it is. */
+/* The HTTP API of a node: keeps each request in a slab until its response, and routes it to its handler here or
+ * forwards it to the node that owns what it concerns. */
 #include <stdarg.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -16,11 +16,11 @@
     if (!request)
         return;
     if (request->from) {
-        struct sent_on m = {
+        struct forward_response message = {
             .req = request->from_req, .status = status, .retry_ms = retry_ms, .body = (char *)(uintptr_t)body};
         int64_t to = request->from;
         slab_free(&node->requests, number);
-        node_send(node, to, FRAME_SENT_ON, &sent_on_schema, &m);
+        node_send(node, to, FRAME_SENT_ON, &sent_on_schema, &message);
     } else {
         int64_t slot = request->slot;
         slab_free(&node->requests, number);
@@ -36,17 +36,17 @@
     free(text);
 }
 
-static void answer_error(struct node *node, int64_t request, int error, const char *path, const char *why)
+static void respond_with_error(struct node *node, int64_t request, int error, const char *path, const char *why)
 {
-    const struct error_response *answer = error_response(error);
-    json_t *body = json_pack("{s:s,s:s}", "problem", answer->name, "why", why);
+    const struct error_response *response = error_response(error);
+    json_t *body = json_pack("{s:s,s:s}", "problem", response->name, "why", why);
     if (!body)
-        body = json_pack("{s:s}", "problem", answer->name);
+        body = json_pack("{s:s}", "problem", response->name);
     if (*path)
         json_object_set_new(body, "path", json_string(path));
     char *text = json_dumps(body, JSON_COMPACT);
     json_decref(body);
-    api_response(node, request, answer->status, answer->retry_ms, text);
+    api_response(node, request, response->status, response->retry_ms, text);
     free(text);
 }
 
@@ -57,14 +57,14 @@
     va_start(args, format);
     vsnprintf(why, sizeof why, format, args);
     va_end(args);
-    answer_error(node, request, error, "", why);
+    respond_with_error(node, request, error, "", why);
 }
 
 void api_validation_error(struct node *node, int64_t request, const struct validation_error *validation_error)
 {
     char why[160];
     snprintf(why, sizeof why, "expected %s", validation_error->expected);
-    answer_error(node, request, validation_error->error, validation_error->path, why);
+    respond_with_error(node, request, validation_error->error, validation_error->path, why);
 }
 
 char *api_setting(const char *path, const char *name)
@@ -84,7 +84,7 @@
     return NULL;
 }
 
-/* --- taking ------------------------------------------------------------------- */
+/* --- incoming, forwarded and waiting requests ------------------------------------ */
 
 static int64_t new_request(struct node *node)
 {
@@ -102,41 +102,43 @@
     api_route(node, number, method, path, body, len);
 }
 
-void node_on_send_on(struct node *node, int64_t from, const struct send_on *m)
+void node_on_forward_request(struct node *node, int64_t from, const struct forward_request *message)
 {
     int64_t number = new_request(node);
     struct request *request = slab_at(&node->requests, number);
     request->from = from;
-    request->from_req = m->req;
-    request->hops = m->hops;
-    request->shard = m->shard;
-    if (!m->method || !m->path) {
+    request->from_req = message->req;
+    request->hops = message->hops;
+    request->shard = message->shard;
+    if (!message->method || !message->path) {
         api_error(node, number, ERROR_BAD_FRAME, "no method or path");
         return;
     }
-    api_route(node, number, m->method, m->path, m->body ? m->body : "", m->body ? (int64_t)strlen(m->body) : 0);
+    api_route(node, number, message->method, message->path, message->body ? message->body : "",
+              message->body ? (int64_t)strlen(message->body) : 0);
 }
 
 void api_send_on(struct node *node, int64_t number, int64_t to, const struct api_call *call)
 {
     struct request *request = slab_at(&node->requests, number);
     if (!to || request->hops >= HOPS_MAX) {
-        api_error(node, number, ERROR_NO_OWNER, to ? "duties are moving" : "nobody owns this shard now");
+        api_error(node, number, ERROR_NO_OWNER,
+                  to ? "forwarded too often: ownership is moving" : "no node owns this shard or executor now");
         return;
     }
     request->sent_to = to;
-    struct send_on m = {.req = number,
-                        .hops = request->hops + 1,
-                        .shard = call->shard,
-                        .method = (char *)(uintptr_t)call->method,
-                        .path = (char *)(uintptr_t)call->path,
-                        .body = (char *)(uintptr_t)call->body};
-    node_send(node, to, FRAME_SEND_ON, &send_on_schema, &m);
+    struct forward_request message = {.req = number,
+                                      .hops = request->hops + 1,
+                                      .shard = call->shard,
+                                      .method = (char *)(uintptr_t)call->method,
+                                      .path = (char *)(uintptr_t)call->path,
+                                      .body = (char *)(uintptr_t)call->body};
+    node_send(node, to, FRAME_SEND_ON, &send_on_schema, &message);
 }
 
-void node_on_sent_on(struct node *node, const struct sent_on *m)
+void node_on_forward_response(struct node *node, const struct forward_response *message)
 {
-    api_response(node, m->req, (int)m->status, m->retry_ms, m->body ? m->body : "");
+    api_response(node, message->req, (int)message->status, message->retry_ms, message->body ? message->body : "");
 }
 
 void api_on_timer(struct node *node)
@@ -147,24 +149,26 @@
         struct request *request = slab_at(&node->requests, number);
         if (!request)
             continue;
-        /* a dead or late owner is told about at once, and when to come back */
+        /* If the owner has died, the client learns at once that it may retry, and when. */
         int dead = request->sent_to && !peers_live(&node->peers, request->sent_to, 0) &&
                    peers_find(&node->peers, request->sent_to) &&
                    peers_find(&node->peers, request->sent_to)->news.state == SIB_DEAD;
         if (dead)
-            api_error(node, number, ERROR_NO_OWNER, "the owner died meanwhile");
-        else if (!admission_open(node) && !request->sent_to) /* what waits here for the logs waits in vain */
-            api_error(node, number, ERROR_UNAVAILABLE,
-                      "this node lost its place meanwhile; resend to another with the same key");
+            api_error(node, number, ERROR_NO_OWNER, "the node that owns this died");
+        else if (!admission_open(node) && !request->sent_to) /* the logs may not answer its proposal in time */
+            api_error(
+                node, number, ERROR_UNAVAILABLE,
+                "this node can no longer confirm its state with the keepers; resend to another with the same key");
         else if (now_ms >= request->until_ms + (request->from ? 0 : WAIT_MARGIN_MS))
-            api_error(node, number, ERROR_GAVE_UP, "no agreement in time; it may still have been accepted");
+            api_error(node, number, ERROR_GAVE_UP, "no confirmation in time; the request may still have been accepted");
     }
 }
 
 /* --- routing -------------------------------------------------------------------- */
 
-static int starts(const char *text, const char *with) { return !strncmp(text, with, strlen(with)); }
+static int starts_with(const char *text, const char *prefix) { return !strncmp(text, prefix, strlen(prefix)); }
 
+/* The job named in the path, or 0. */
 static int64_t path_job(const char *path)
 {
     char id[64];
@@ -177,8 +181,9 @@
     return job_id_parse(id);
 }
 
-static int to_owner(struct node *node, int64_t request, int64_t shard, const char *method, const char *path,
-                    const char *body)
+/* Forwards the request if another node owns the shard, and returns 1. */
+static int forward_to_owner(struct node *node, int64_t request, int64_t shard, const char *method, const char *path,
+                            const char *body)
 {
     int64_t owner = shard_owner(node, shard);
     if (owner == (int64_t)node->w->self)
@@ -199,7 +204,7 @@
         api_error(node, request, ERROR_BAD_METHOD, "GET, DELETE or POST .../cancel");
         return;
     }
-    if (to_owner(node, request, job_shard(job), method, path, body))
+    if (forward_to_owner(node, request, job_shard(job), method, path, body))
         return;
     if (cancel)
         enqueue_cancel(node, request, job);
@@ -220,7 +225,7 @@
         api_error(node, request, ERROR_BAD_METHOD, "GET or POST");
     else if (shard < 0 || shard >= SHARD_COUNT)
         api_error(node, request, ERROR_NO_SUCH, "no such shard");
-    else if (!to_owner(node, request, shard, method, path, body))
+    else if (!forward_to_owner(node, request, shard, method, path, body))
         enqueue_list(node, request, shard, path);
     free(key);
     free(from);
@@ -228,18 +233,18 @@
 
 void api_route(struct node *node, int64_t request, const char *method, const char *path, const char *body, int64_t len)
 {
-    if (!starts(path, "/v1/"))
-        api_error(node, request, ERROR_NO_SUCH, "doors are under /v1/");
-    else if (starts(path, "/v1/executors/report"))
+    if (!starts_with(path, "/v1/"))
+        api_error(node, request, ERROR_NO_SUCH, "all paths begin with /v1/");
+    else if (starts_with(path, "/v1/executors/report"))
         home_report(node, request, body, len);
     else if (api_views(node, request, method, path))
         return;
     else if (!admission_open(node))
-        api_error(node, request, ERROR_UNAVAILABLE, "this node cannot confirm its place");
-    else if (starts(path, "/v1/jobs/"))
+        api_error(node, request, ERROR_UNAVAILABLE, "this node cannot confirm its state with the keepers");
+    else if (starts_with(path, "/v1/jobs/"))
         route_job(node, request, method, path, body);
-    else if (starts(path, "/v1/jobs"))
+    else if (starts_with(path, "/v1/jobs"))
         route_jobs(node, request, method, path, body, len);
     else if (!api_operators(node, request, method, path, body, len))
-        api_error(node, request, ERROR_NO_SUCH, "no such door");
+        api_error(node, request, ERROR_NO_SUCH, "no such path");
 }
--- a/src/node/api_operators.c
+++ b/src/node/api_operators.c
@@ -1,21 +1,23 @@
-/* What operators change: settings, whole or by branch, and the calendar. */
+/* The API by which operators change the configuration tree: all settings, one branch of them, and the calendar. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "base/error.h"
 #include "node/node.h"
 
-static void changed(struct node *node, int64_t request, int error, const struct bytes *bytes)
+/* Responds with the result of a proposed change. */
+static void change_done(struct node *node, int64_t request, int error, const struct bytes *bytes)
 {
     struct config_tree_result result = {0};
     if (error) {
-        api_error(node, request, error, "the keepers did not agree in time; look before asking again");
+        api_error(node, request, error,
+                  "the keepers did not confirm the change in time; read the current version before a retry");
         return;
     }
     if (schema_unpack(&config_tree_result_schema, &result, bytes->at, bytes->len))
         result.error = ERROR_BAD_FRAME;
     if (result.error == ERROR_STALE) {
-        json_t *body = json_pack("{s:s,s:s,s:I}", "problem", "stale_version", "why", "somebody changed it first",
+        json_t *body = json_pack("{s:s,s:s,s:I}", "problem", "stale_version", "why", "another change came first",
                                  "version", (json_int_t)result.version);
         api_json(node, request, 409, body);
     } else if (result.error && result.path) {
@@ -36,39 +38,41 @@
 {
     struct bytes bytes = {0};
     op->who = (int64_t)(hash_mix((uint64_t)node->boot, node->w->self) >> 1);
-    op->req = ++node->reqs;
+    op->req = ++node->last_req;
     schema_pack(&config_tree_op_schema, op, &bytes);
-    node_propose(node, GROUP_CONTROL, &bytes, node->root_settings.deadline_ms - 200, changed, request);
+    node_propose(node, GROUP_CONTROL, &bytes, node->root_settings.deadline_ms - 200, change_done, request);
 }
 
-static int no_expect(struct node *node, int64_t request, char *expect)
+/* Responds with an error and returns 1 if expect is not a version. */
+static int reject_bad_expect(struct node *node, int64_t request, char *expect)
 {
     if (!expect || !*expect || strspn(expect, "0123456789") != strlen(expect))
-        return api_error(node, request, ERROR_BAD_FIELD, "?expect=VERSION must name the version this change is to"), 1;
+        return api_error(node, request, ERROR_BAD_FIELD, "?expect=VERSION must be the version to be changed"), 1;
     return 0;
 }
 
-/* A request to change the settings tree or, branch, one branch of it; gone: to take it away. */
+/* A request to change all settings or, with branch, one branch of them; is_delete: to delete that branch. */
 struct settings_request {
     const char *path, *body;
     int64_t len;
-    int branch, gone;
+    int branch, is_delete;
 };
 
-static void put_settings(struct node *node, int64_t request, const struct settings_request *put)
+static void put_settings(struct node *node, int64_t request, const struct settings_request *change)
 {
-    char *expect = api_setting(put->path, "expect"), *name = api_setting(put->path, "path");
-    struct config_tree_op op = {.kind = put->branch ? CH_BRANCH : CH_WHOLE};
+    char *expect = api_setting(change->path, "expect"), *name = api_setting(change->path, "path");
+    struct config_tree_op op = {.kind = change->branch ? CH_BRANCH : CH_WHOLE};
     json_error_t error;
-    json_t *json = put->gone ? NULL : json_loadb(put->body, (size_t)put->len, JSON_REJECT_DUPLICATES, &error);
-    if (!put->gone && !json) {
+    json_t *json =
+        change->is_delete ? NULL : json_loadb(change->body, (size_t)change->len, JSON_REJECT_DUPLICATES, &error);
+    if (!change->is_delete && !json) {
         api_error(node, request, ERROR_BAD_JSON, "line %d column %d: %s", error.line, error.column, error.text);
-    } else if (put->branch && !config_tree_path_ok(name)) {
+    } else if (change->branch && !config_tree_path_ok(name)) {
         api_error(node, request, ERROR_BAD_FIELD, "?path= must be like root/service/queue");
-    } else if (!no_expect(node, request, expect)) {
+    } else if (!reject_bad_expect(node, request, expect)) {
         op.expect = text_to_int64(expect);
         op.path = name;
-        op.json = put->gone ? NULL : json_dumps(json, JSON_COMPACT | JSON_SORT_KEYS);
+        op.json = change->is_delete ? NULL : json_dumps(json, JSON_COMPACT | JSON_SORT_KEYS);
         propose_op(node, request, &op);
         free(op.json);
     }
@@ -77,9 +81,10 @@
     free(name);
 }
 
-/* The body of a planned move carries its job or its settings as an object. */
-static int planned_from(const char *body, int64_t len, struct planned *planned,
-                        struct validation_error *validation_error)
+/* Reads a calendar entry from the body of a request. Its "json" member, a job or settings, comes as an object there
+ * and is kept as text. */
+static int planned_from_body(const char *body, int64_t len, struct planned *planned,
+                             struct validation_error *validation_error)
 {
     json_error_t error;
     json_t *json = json_loadb(body, (size_t)len, JSON_REJECT_DUPLICATES, &error);
@@ -113,22 +118,22 @@
     return rc;
 }
 
-static void put_plan(struct node *node, int64_t request, const char *path, const char *body, int64_t len, int gone)
+static void put_plan(struct node *node, int64_t request, const char *path, const char *body, int64_t len, int is_delete)
 {
     char *expect = api_setting(path, "expect");
     char *id = must_dup(path + strlen("/v1/calendar/"));
     struct planned planned = {0};
     struct validation_error validation_error = {0};
-    struct config_tree_op op = {.kind = gone ? CH_UNPLAN : CH_PLAN};
+    struct config_tree_op op = {.kind = is_delete ? CH_UNPLAN : CH_PLAN};
     id[strcspn(id, "?")] = 0;
     if (!*id || strlen(id) > 100)
-        api_error(node, request, ERROR_BAD_FIELD, "a planned move needs a name of up to 100 letters");
-    else if (!gone && planned_from(body, len, &planned, &validation_error))
+        api_error(node, request, ERROR_BAD_FIELD, "a calendar entry needs a name of up to 100 characters");
+    else if (!is_delete && planned_from_body(body, len, &planned, &validation_error))
         api_validation_error(node, request, &validation_error);
-    else if (!no_expect(node, request, expect)) {
+    else if (!reject_bad_expect(node, request, expect)) {
         op.expect = text_to_int64(expect);
         op.path = id;
-        if (!gone) {
+        if (!is_delete) {
             free(planned.id);
             planned.id = must_dup(id);
             op.planned = &planned;
@@ -143,18 +148,18 @@
 int api_operators(struct node *node, int64_t request, const char *method, const char *path, const char *body,
                   int64_t len)
 {
-    int put = !strcmp(method, "PUT"), gone = !strcmp(method, "DELETE");
+    int put = !strcmp(method, "PUT"), is_delete = !strcmp(method, "DELETE");
     int branch = !strncmp(path, "/v1/settings/branch", 19);
     int whole = !branch && !strncmp(path, "/v1/settings", 12), plan = !strncmp(path, "/v1/calendar/", 13);
     if (!branch && !whole && !plan)
         return 0;
-    if (!put && !(gone && !whole))
+    if (!put && !(is_delete && !whole))
         api_error(node, request, ERROR_BAD_METHOD, whole ? "GET or PUT" : "GET, PUT or DELETE");
     else if (plan)
-        put_plan(node, request, path, body, len, gone);
+        put_plan(node, request, path, body, len, is_delete);
     else
-        put_settings(
-            node, request,
-            &(struct settings_request){.path = path, .body = body, .len = len, .branch = branch, .gone = gone});
+        put_settings(node, request,
+                     &(struct settings_request){
+                         .path = path, .body = body, .len = len, .branch = branch, .is_delete = is_delete});
     return 1;
 }
--- a/src/node/api_views.c
+++ b/src/node/api_views.c
@@ -1,4 +1,4 @@
-/* What can be looked at on any node: it explains its actions. */
+/* The read-only API of a node: its view of the cluster, its state, its counters, and why a task waits. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -30,13 +30,13 @@
     return json_pack("{s:o}", "members", list);
 }
 
-static json_t *duties_view(struct node *node)
+static json_t *ownerships_view(struct node *node)
 {
     json_t *list = json_array();
     for (int64_t i = 0; i < node->config_tree.n_duties; i++) {
-        const struct duty *d = &node->config_tree.duties[i];
-        json_array_append_new(list, json_pack("{s:s,s:o,s:I}", "duty", d->name, "owner", addr_json(d->owner), "epoch",
-                                              (json_int_t)d->epoch));
+        const struct duty *duty = &node->config_tree.duties[i];
+        json_array_append_new(list, json_pack("{s:s,s:o,s:I}", "duty", duty->name, "owner", addr_json(duty->owner),
+                                              "epoch", (json_int_t)duty->epoch));
     }
     return json_pack("{s:o}", "duties", list);
 }
@@ -46,17 +46,17 @@
     static const char *const states[] = {"open", "silent", "leaving", "quarantine", "probation", "closed"};
     json_t *list = json_array();
     for (int64_t i = 0; i < node->n_rooms; i++) {
-        const struct room *r = &node->rooms[i];
-        const struct planned *drain = config_tree_drained(&node->config_tree, r->executor, node_fleet_ms(node), 0);
-        json_t *one =
-            json_pack("{s:s,s:s,s:s,s:s,s:o,s:I,s:I,s:I,s:I,s:I,s:I,s:I}", "executor", r->executor, "kind", r->kind,
-                      "rack", r->rack, "state", states[r->state], "home", addr_json(r->home), "epoch",
-                      (json_int_t)r->epoch, "incarnation", (json_int_t)r->incarnation, "cores", (json_int_t)r->cores,
-                      "freeCores", (json_int_t)r->free_cores, "slowPct", (json_int_t)r->slow_pct, "memMb",
-                      (json_int_t)r->mem_mb, "freeMb", (json_int_t)r->free_mb);
+        const struct room *room = &node->rooms[i];
+        const struct planned *drain = config_tree_drained(&node->config_tree, room->executor, node_fleet_ms(node), 0);
+        json_t *item = json_pack("{s:s,s:s,s:s,s:s,s:o,s:I,s:I,s:I,s:I,s:I,s:I,s:I}", "executor", room->executor,
+                                 "kind", room->kind, "rack", room->rack, "state", states[room->state], "home",
+                                 addr_json(room->home), "epoch", (json_int_t)room->epoch, "incarnation",
+                                 (json_int_t)room->incarnation, "cores", (json_int_t)room->cores, "freeCores",
+                                 (json_int_t)room->free_cores, "slowPct", (json_int_t)room->slow_pct, "memMb",
+                                 (json_int_t)room->mem_mb, "freeMb", (json_int_t)room->free_mb);
         if (drain)
-            json_object_set_new(one, "drainedBy", json_string(drain->id));
-        json_array_append_new(list, one);
+            json_object_set_new(item, "drainedBy", json_string(drain->id));
+        json_array_append_new(list, item);
     }
     return json_pack("{s:o}", "executors", list);
 }
@@ -65,15 +65,15 @@
 {
     json_t *shards = json_array();
     for (int64_t i = 0; i < SHARD_COUNT; i++) {
-        const struct shard *s = &node->shards[i];
-        if (s->state == SHARD_NONE)
+        const struct shard *shard = &node->shards[i];
+        if (shard->state == SHARD_NONE)
             continue;
-        json_array_append_new(shards, json_pack("{s:I,s:I,s:b,s:I,s:I,s:I,s:b,s:I}", "shard", (json_int_t)s->no,
-                                                "epoch", (json_int_t)s->epoch, "open", s->state == SHARD_OPEN, "jobs",
-                                                (json_int_t)s->rows.n_jobs, "live", (json_int_t)s->rows.n_live,
-                                                "buffered", (json_int_t)s->n_buffer, "breakerOpen",
-                                                world_ms(node->w) < s->breaker.open_until_ms, "checkpointMs",
-                                                (json_int_t)s->checkpoint_ms));
+        json_array_append_new(shards, json_pack("{s:I,s:I,s:b,s:I,s:I,s:I,s:b,s:I}", "shard", (json_int_t)shard->no,
+                                                "epoch", (json_int_t)shard->epoch, "open", shard->state == SHARD_OPEN,
+                                                "jobs", (json_int_t)shard->rows.n_jobs, "live",
+                                                (json_int_t)shard->rows.n_live, "buffered", (json_int_t)shard->n_buffer,
+                                                "breakerOpen", world_ms(node->w) < shard->breaker.open_until_ms,
+                                                "checkpointMs", (json_int_t)shard->checkpoint_ms));
     }
     json_t *voters = json_array();
     for (int64_t i = 0; i + 1 < node->n_voters; i += 2)
@@ -84,10 +84,10 @@
         json_array_append_new(homes, json_string(node->homes[i]->name));
     return json_pack("{s:s,s:o,s:b,s:b,s:I,s:I,s:o,s:I,s:I,s:I,s:o,s:o,s:o}", "role", "node", "addr",
                      addr_json((int64_t)node->w->self), "gate", admission_open(node), "leaving", (int)node->leaving,
-                     "feed", (json_int_t)node->feed_index, "version", (json_int_t)node->config_tree.version, "leader",
-                     addr_json(node->leaders[GROUP_CONTROL]), "fleetMs", (json_int_t)node_fleet_ms(node), "picks",
-                     (json_int_t)node->picks, "framesDropped", (json_int_t)node->frames_dropped, "shards", shards,
-                     "homes", homes, "voters", voters);
+                     "feed", (json_int_t)node->applied_index, "version", (json_int_t)node->config_tree.version,
+                     "leader", addr_json(node->leaders[GROUP_CONTROL]), "fleetMs", (json_int_t)node_fleet_ms(node),
+                     "picks", (json_int_t)node->picks, "framesDropped", (json_int_t)node->frames_dropped, "shards",
+                     shards, "homes", homes, "voters", voters);
 }
 
 static json_t *calendar_view(struct node *node)
@@ -95,14 +95,14 @@
     static const char *const states[] = {"waits", "done", "denied"};
     json_t *list = json_array();
     for (int64_t i = 0; i < node->config_tree.n_calendar; i++) {
-        json_t *one = schema_to_json(&planned_schema, &node->config_tree.calendar[i]);
-        json_object_set_new(one, "state", json_string(states[node->config_tree.calendar[i].state % 3]));
-        json_array_append_new(list, one);
+        json_t *item = schema_to_json(&planned_schema, &node->config_tree.calendar[i]);
+        json_object_set_new(item, "state", json_string(states[node->config_tree.calendar[i].state % 3]));
+        json_array_append_new(list, item);
     }
     return json_pack("{s:I,s:o}", "version", (json_int_t)node->config_tree.version, "calendar", list);
 }
 
-static void effective_view(struct node *node, int64_t request, const char *path)
+static void respond_effective(struct node *node, int64_t request, const char *path)
 {
     char *name = api_setting(path, "path");
     if (!config_tree_path_ok(name))
@@ -114,20 +114,20 @@
     free(name);
 }
 
-/* Counters only rise while the process lives; gauges are of this moment. */
+/* Counters only grow while the process runs; gauges are current values. */
 static json_t *counters_view(struct node *node)
 {
     int64_t commits = 0, scanned = 0, trips = 0, live = 0, jobs = 0, buffered = 0, accounts = 0, silent = 0;
     for (int64_t i = 0; i < SHARD_COUNT; i++) {
-        const struct shard *s = &node->shards[i];
-        commits += s->commits;
-        scanned += s->scanned;
-        trips += s->breaker.trips;
-        if (s->state != SHARD_OPEN)
+        const struct shard *shard = &node->shards[i];
+        commits += shard->commits;
+        scanned += shard->scanned;
+        trips += shard->breaker.trips;
+        if (shard->state != SHARD_OPEN)
             continue;
-        live += s->rows.n_live;
-        jobs += s->rows.n_jobs;
-        buffered += s->n_buffer;
+        live += shard->rows.n_live;
+        jobs += shard->rows.n_jobs;
+        buffered += shard->n_buffer;
     }
     for (int64_t i = 0; i < node->n_homes; i++) {
         accounts += node->homes[i]->n_rows;
@@ -150,21 +150,21 @@
     return json_pack("{s:b,s:I}", "alive", 1, "upMs", (json_int_t)(world_ms(node->w) - node->started_ms));
 }
 
-/* Ready: its place is confirmed, it is not leaving, and what it owns is open. */
-static void ready_api(struct node *node, int64_t request)
+/* Ready: admission is open, the node is not leaving, and all shards that it owns are open. */
+static void respond_ready(struct node *node, int64_t request)
 {
     int64_t opening = 0;
     for (int64_t i = 0; i < SHARD_COUNT; i++)
         opening += node->shards[i].state == SHARD_OPENING;
     if (!admission_open(node))
-        api_error(node, request, ERROR_UNAVAILABLE, "this node cannot confirm its place");
+        api_error(node, request, ERROR_UNAVAILABLE, "this node cannot confirm its state with the keepers");
     else if (node->leaving || opening)
         api_error(node, request, ERROR_NO_OWNER, node->leaving ? "leaving" : "shards are being opened");
     else
         api_json(node, request, 200, json_pack("{s:b}", "ready", 1));
 }
 
-static void journal_api(struct node *node, int64_t request, const char *path)
+static void respond_journal(struct node *node, int64_t request, const char *path)
 {
     char *job = api_setting(path, "job"), *from = api_setting(path, "from");
     int64_t id = job ? job_id_parse(job) : 0;
@@ -183,22 +183,22 @@
     static const struct {
         const char *path;
         json_t *(*view)(struct node *node);
-    } views[] = {{"/v1/settings", settings_view},   {"/v1/members", members_view}, {"/v1/duties", duties_view},
+    } views[] = {{"/v1/settings", settings_view},   {"/v1/members", members_view}, {"/v1/duties", ownerships_view},
                  {"/v1/executors", executors_view}, {"/v1/status", status_view},   {"/v1/calendar", calendar_view},
                  {"/v1/counters", counters_view},   {"/v1/health", health_view}};
     size_t len = strcspn(path, "?");
     if (strcmp(method, "GET"))
         return 0;
     if (!strncmp(path, "/v1/settings/effective", 22)) {
-        effective_view(node, request, path);
+        respond_effective(node, request, path);
         return 1;
     }
     if (len == 9 && !strncmp(path, "/v1/ready", len)) {
-        ready_api(node, request);
+        respond_ready(node, request);
         return 1;
     }
     if (len == 11 && !strncmp(path, "/v1/journal", len)) {
-        journal_api(node, request, path);
+        respond_journal(node, request, path);
         return 1;
     }
     for (int i = 0; i < COUNT_OF(views); i++)
@@ -209,7 +209,7 @@
     return 0;
 }
 
-/* Why a task waits, or sits where it does. */
+/* Explains why a task waits, or where it was placed and when. */
 json_t *why_view(struct node *node, struct shard *shard, const struct job *job, int64_t no)
 {
     const struct row *row = &job->rows[no];
@@ -220,22 +220,22 @@
     json_t *reasons = json_array();
     char text[300];
     if (row->state == ROW_BLOCKED)
-        json_array_append_new(reasons, json_string("an earlier step is not done"));
+        json_array_append_new(reasons, json_string("a step that it depends on is not done"));
     if (row->state == ROW_READY && row->due_ms > now_ms) {
         snprintf(text, sizeof text, "due in %lld ms", (long long)(row->due_ms - now_ms));
         json_array_append_new(reasons, json_string(text));
     }
     if (row->state == ROW_READY && shard->breaker.open_until_ms > world_ms(node->w))
-        json_array_append_new(reasons, json_string("the shard's breaker is open"));
+        json_array_append_new(reasons, json_string("the circuit breaker of its shard is open"));
     if (row->state == ROW_READY && row->staged)
-        json_array_append_new(reasons, json_string("staged, a room is being reserved"));
+        json_array_append_new(reasons, json_string("an executor is being reserved for it"));
     for (int64_t i = 0; row->state == ROW_READY && i < node->n_rooms; i++) {
         const char *denies = assign_denies(node, job, no, &node->rooms[i]);
-        snprintf(text, sizeof text, "%s: %s", node->rooms[i].executor, denies ? denies : "would do");
+        snprintf(text, sizeof text, "%s: %s", node->rooms[i].executor, denies ? denies : "has capacity for it");
         json_array_append_new(reasons, json_string(text));
     }
     if (row->state == ROW_PLACED) {
-        snprintf(text, sizeof text, "on %s since %lld ms, licence %lld ms, home epoch %lld", row->executor,
+        snprintf(text, sizeof text, "on %s for %lld ms, lease %lld ms, home epoch %lld", row->executor,
                  (long long)(now_ms - row->placed_ms), (long long)row->lease_ms, (long long)row->home_epoch);
         json_array_append_new(reasons, json_string(text));
     }
--- a/src/node/follow.c
+++ b/src/node/follow.c
@@ -1,5 +1,5 @@
-/* Follows the numbered feed of the control log, keeps the gate, and carries
- * proposals to the leaders of both logs. */
+/* A node's connection to the keepers: polls the leader of the control log for new entries, by which it also learns
+ * whether it may act (admission), and takes proposals to the leaders of both logs. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,7 +8,7 @@
 #include "base/error.h"
 #include "node/node.h"
 
-enum { ANSWER_MS = 400, RESEND_MS = 500 };
+enum { REPLY_TIMEOUT_MS = 400, RESEND_MS = 500 };
 
 int admission_open(const struct node *node) { return world_ms(node->w) - node->confirmed_ms < ADMISSION_MS; }
 
@@ -18,109 +18,111 @@
     return news->role == ROLE_KEEPER && news->state != SIB_DEAD;
 }
 
-/* The next keeper to try: those known by the peers, else the seeds. */
+/* The address of the next keeper to try: the live ones among the peers in turn, or a random seed if there are none. */
 static int64_t next_keeper(struct node *node)
 {
-    const struct peers *s = &node->peers;
-    int64_t n = 0, best = 0, last = node->keeper_turn;
-    for (int pass = 0; pass < 2 && !best; pass++) { /* the lowest address above the last one tried */
-        for (int64_t i = 0; i < s->n; i++) {
+    const struct peers *peers = &node->peers;
+    int64_t n = 0, best = 0, last = node->last_keeper;
+    for (int pass = 0; pass < 2 && !best; pass++) { /* the lowest address above the last one, else the lowest of all */
+        for (int64_t i = 0; i < peers->n; i++) {
             n += is_keeper(node, i);
-            if (is_keeper(node, i) && s->all[i].news.addr > last && (!best || s->all[i].news.addr < best))
-                best = s->all[i].news.addr;
+            if (is_keeper(node, i) && peers->all[i].news.addr > last && (!best || peers->all[i].news.addr < best))
+                best = peers->all[i].news.addr;
         }
         last = 0;
     }
-    if (!n && s->n_seeds)
-        return s->seeds[world_random(node->w) % (uint64_t)s->n_seeds];
-    node->keeper_turn = best;
+    if (!n && peers->n_seeds)
+        return peers->seeds[world_random(node->w) % (uint64_t)peers->n_seeds];
+    node->last_keeper = best;
     return best;
 }
 
-static void confirm_send(struct node *node, int64_t now_ms)
+static void request_updates(struct node *node, int64_t now_ms)
 {
     if (!node->leaders[GROUP_CONTROL])
         node->leaders[GROUP_CONTROL] = next_keeper(node);
-    struct confirm confirm = {.from = node->feed_index, .sent_ms = now_ms, .boot = node->boot};
-    node->confirm_sent_ms = now_ms;
-    node->confirm_to = node->leaders[GROUP_CONTROL];
-    node->confirm_due_ms = now_ms + CONFIRM_MS;
-    node_send(node, node->confirm_to, FRAME_CONFIRM, &confirm_schema, &confirm);
+    struct control_updates_request request = {.index = node->applied_index, .sent_ms = now_ms, .boot = node->boot};
+    node->updates_request_sent_ms = now_ms;
+    node->updates_request_to = node->leaders[GROUP_CONTROL];
+    node->updates_request_due_ms = now_ms + UPDATES_INTERVAL_MS;
+    node_send(node, node->updates_request_to, FRAME_CONFIRM, &confirm_schema, &request);
 }
 
 void follow_on_timer(struct node *node)
 {
     int64_t now_ms = world_ms(node->w);
-    if (node->confirm_to && now_ms - node->confirm_sent_ms >= ANSWER_MS) {
+    if (node->updates_request_to && now_ms - node->updates_request_sent_ms >= REPLY_TIMEOUT_MS) {
         node->leaders[GROUP_CONTROL] = 0;
-        confirm_send(node, now_ms);
-    } else if (!node->confirm_to && now_ms >= node->confirm_due_ms) {
-        confirm_send(node, now_ms);
+        request_updates(node, now_ms);
+    } else if (!node->updates_request_to && now_ms >= node->updates_request_due_ms) {
+        request_updates(node, now_ms);
     }
     if (node->admission_open != admission_open(node)) {
         node->admission_open = admission_open(node);
         world_note(node->w, node->admission_open ? EV_GATE_OPEN : EV_GATE_CLOSED, "feed=%lld",
-                   (long long)node->feed_index);
+                   (long long)node->applied_index);
     }
 }
 
-/* There is more in the feed: ask now. It is only a nudge; what it says is
- * believed when the leader answers, and a lost one costs one turn. */
-void follow_on_news(struct node *node, const struct confirm *m)
+/* The leader has committed more entries: request them now. The notice is only a hint: entries are taken from the reply
+ * to the request alone, and a lost notice costs one interval. */
+void follow_on_notice(struct node *node, const struct control_updates_request *notice)
 {
-    if (m->from > node->feed_index)
-        node->confirm_due_ms = 0;
+    if (notice->index > node->applied_index)
+        node->updates_request_due_ms = 0;
 }
 
-static void config_tree_changed(struct node *node)
+/* Brings settings and ownerships of the node in line with the configuration tree. */
+static void apply_config_changes(struct node *node)
 {
     if (node->settings_generation != node->config_tree.version) {
         node->settings_generation = node->config_tree.version;
         config_tree_effective(&node->config_tree, "root", &node->root_settings);
         world_note(node->w, EV_CHARTER, "version=%lld", (long long)node->config_tree.version);
     }
-    if (node->duties_generation != node->config_tree.generation) {
-        node->duties_generation = node->config_tree.generation;
-        duties_follow(node);
+    if (node->ownerships_generation != node->config_tree.generation) {
+        node->ownerships_generation = node->config_tree.generation;
+        ownerships_follow(node);
     }
 }
 
-void follow_on_feed(struct node *node, int64_t from, struct feed *feed)
+void follow_on_updates(struct node *node, int64_t from, struct control_updates *updates)
 {
-    if (from != node->confirm_to || feed->sent_ms != node->confirm_sent_ms)
+    if (from != node->updates_request_to || updates->sent_ms != node->updates_request_sent_ms)
         return;
-    node->confirm_to = 0;
-    if (!feed->ok) {
-        node->leaders[GROUP_CONTROL] = feed->leader != from ? feed->leader : 0;
-        node->confirm_due_ms = world_ms(node->w) + 50;
+    node->updates_request_to = 0;
+    if (!updates->ok) {
+        node->leaders[GROUP_CONTROL] = updates->leader != from ? updates->leader : 0;
+        node->updates_request_due_ms = world_ms(node->w) + 50;
         return;
     }
     node->n_voters = 0;
-    for (int64_t i = 0; i < feed->n_voters && i < COUNT_OF(node->voters); i++)
-        node->voters[node->n_voters++] = feed->voters[i];
-    if (feed->jobs_leader)
-        node->leaders[GROUP_JOBS] = feed->jobs_leader;
-    if (feed->snapshot.len && feed->snapshot_index > node->feed_index &&
-        !config_tree_restore(&node->config_tree, &feed->snapshot))
-        node->feed_index = feed->snapshot_index;
-    for (int64_t i = 0; i < feed->n; i++) {
-        if (feed->entries[i].index <= node->feed_index)
+    for (int64_t i = 0; i < updates->n_voters && i < COUNT_OF(node->voters); i++)
+        node->voters[node->n_voters++] = updates->voters[i];
+    if (updates->jobs_leader)
+        node->leaders[GROUP_JOBS] = updates->jobs_leader;
+    if (updates->snapshot.len && updates->snapshot_index > node->applied_index &&
+        !config_tree_restore(&node->config_tree, &updates->snapshot))
+        node->applied_index = updates->snapshot_index;
+    for (int64_t i = 0; i < updates->n; i++) {
+        if (updates->entries[i].index <= node->applied_index)
             continue;
-        config_tree_apply(&node->config_tree, &feed->entries[i].op, NULL);
-        node->feed_index = feed->entries[i].index;
+        config_tree_apply(&node->config_tree, &updates->entries[i].op, NULL);
+        node->applied_index = updates->entries[i].index;
     }
-    if (feed->upto > node->feed_index)
-        node->feed_index = feed->upto;
-    if (node->feed_index < feed->commit)
-        node->confirm_due_ms = 0; /* more waits there */
+    if (updates->last_index > node->applied_index)
+        node->applied_index = updates->last_index;
+    if (node->applied_index < updates->commit)
+        node->updates_request_due_ms = 0; /* the reply was full: request the rest at once */
     else
-        node->confirmed_ms = feed->sent_ms; /* counted from the question, not the answer */
-    config_tree_changed(node);
+        node->confirmed_ms = updates->sent_ms; /* admission counts from the request, not from the reply */
+    apply_config_changes(node);
 }
 
-/* --- duties ----------------------------------------------------------------- */
+/* --- ownerships ------------------------------------------------------------- */
 
-void duties_follow(struct node *node)
+/* Opens what this node now owns and gives up what it no longer owns, by the ownerships in the configuration tree. */
+void ownerships_follow(struct node *node)
 {
     for (int64_t i = 0; i < node->config_tree.n_duties; i++) {
         const struct duty *duty = &node->config_tree.duties[i];
@@ -143,22 +145,22 @@
 
 static void proposal_send(struct node *node, int64_t number)
 {
-    struct proposal *p = slab_at(&node->proposals, number);
-    struct propose m = {.group = p->group, .req = number, .op = p->op};
-    if (!node->leaders[p->group])
-        node->leaders[p->group] = next_keeper(node);
-    p->sent_ms = world_ms(node->w);
-    p->sent_to = node->leaders[p->group];
-    node_send(node, p->sent_to, FRAME_PROPOSE, &propose_schema, &m);
+    struct proposal *proposal = slab_at(&node->proposals, number);
+    struct propose message = {.group = proposal->group, .req = number, .op = proposal->op};
+    if (!node->leaders[proposal->group])
+        node->leaders[proposal->group] = next_keeper(node);
+    proposal->sent_ms = world_ms(node->w);
+    proposal->sent_to = node->leaders[proposal->group];
+    node_send(node, proposal->sent_to, FRAME_PROPOSE, &propose_schema, &message);
 }
 
 int64_t node_propose(struct node *node, int64_t group, struct bytes *op, int64_t wait_ms, proposal_done *done,
                      int64_t tag)
 {
     int64_t number = slab_take(&node->proposals, sizeof(struct proposal)), now_ms = world_ms(node->w);
-    struct proposal *p = slab_at(&node->proposals, number);
-    *p = (struct proposal){
-        .group = group, .tag = tag, .op = *op, .done = done, .until_ms = now_ms + wait_ms, .born_ms = now_ms};
+    struct proposal *proposal = slab_at(&node->proposals, number);
+    *proposal = (struct proposal){
+        .group = group, .tag = tag, .op = *op, .done = done, .until_ms = now_ms + wait_ms, .created_ms = now_ms};
     *op = (struct bytes){0};
     proposal_send(node, number);
     return number;
@@ -166,10 +168,10 @@
 
 static void proposal_end(struct node *node, int64_t number, int error, const struct bytes *result)
 {
-    struct proposal p = *(struct proposal *)slab_at(&node->proposals, number);
+    struct proposal proposal = *(struct proposal *)slab_at(&node->proposals, number);
     slab_free(&node->proposals, number);
-    p.done(node, p.tag, error, result);
-    bytes_free(&p.op);
+    proposal.done(node, proposal.tag, error, result);
+    bytes_free(&proposal.op);
 }
 
 void proposals_on_timer(struct node *node)
@@ -177,32 +179,33 @@
     int64_t now_ms = world_ms(node->w);
     for (int64_t i = 0; i < node->proposals.cap; i++) {
         int64_t number = slab_number(&node->proposals, i);
-        struct proposal *p = slab_at(&node->proposals, number);
-        if (!p)
+        struct proposal *proposal = slab_at(&node->proposals, number);
+        if (!proposal)
             continue;
-        if (now_ms >= p->until_ms) {
+        if (now_ms >= proposal->until_ms) {
             proposal_end(node, number, ERROR_GAVE_UP, NULL);
-        } else if (now_ms - p->sent_ms >= RESEND_MS) {
-            if (p->sent_to == node->leaders[p->group])
-                node->leaders[p->group] = 0;
+        } else if (now_ms - proposal->sent_ms >= RESEND_MS) {
+            if (proposal->sent_to == node->leaders[proposal->group])
+                node->leaders[proposal->group] = 0;
             proposal_send(node, number);
         }
     }
 }
 
-void node_on_proposed(struct node *node, int64_t from, const struct proposed *m)
+void node_on_proposed(struct node *node, int64_t from, const struct proposed *message)
 {
-    struct proposal *p = slab_at(&node->proposals, m->req);
-    if (!p || p->group != m->group)
+    struct proposal *proposal = slab_at(&node->proposals, message->req);
+    if (!proposal || proposal->group != message->group)
         return;
-    if (m->error == ERROR_NOT_LEADER) {
-        /* also said when a leader was unseated meanwhile: the op may still win, and asking again is harmless */
-        if (node->leaders[p->group] == from || !node->leaders[p->group])
-            node->leaders[p->group] = m->leader != from ? m->leader : 0;
-        p->sent_ms = world_ms(node->w) - RESEND_MS + 50;
-        p->sent_to = 0;
+    if (message->error == ERROR_NOT_LEADER) {
+        /* Also the reply of a leader that lost its leadership after it took the op, which may still be committed.
+         * Resending it is harmless then. */
+        if (node->leaders[proposal->group] == from || !node->leaders[proposal->group])
+            node->leaders[proposal->group] = message->leader != from ? message->leader : 0;
+        proposal->sent_ms = world_ms(node->w) - RESEND_MS + 50;
+        proposal->sent_to = 0;
         return;
     }
-    node->leaders[p->group] = from;
-    proposal_end(node, m->req, (int)m->error, &m->result);
+    node->leaders[proposal->group] = from;
+    proposal_end(node, message->req, (int)message->error, &message->result);
 }
--- a/src/node/frames.c
+++ b/src/node/frames.c
@@ -1,23 +1,25 @@
+/* Schemas of the frames between nodes and keepers, and between nodes. */
 #include "node/node.h"
 
-static const struct field confirm_fields[] = {INT(confirm, from), INT_NAMED(confirm, sent_ms, "sentMs"),
-                                              INT(confirm, boot)};
-SCHEMA(confirm_schema, confirm, confirm_fields);
+static const struct field updates_request_fields[] = {INT_NAMED(control_updates_request, index, "from"),
+                                                      INT_NAMED(control_updates_request, sent_ms, "sentMs"),
+                                                      INT(control_updates_request, boot)};
+SCHEMA(confirm_schema, control_updates_request, updates_request_fields);
 
-static const struct field entry_fields[] = {INT(feed_entry, index), BYTES(feed_entry, op)};
-static SCHEMA(feed_entry_schema, feed_entry, entry_fields);
+static const struct field entry_fields[] = {INT(control_entry, index), BYTES(control_entry, op)};
+static SCHEMA(control_entry_schema, control_entry, entry_fields);
 
-static const struct field feed_fields[] = {INT(feed, ok),
-                                           INT_NAMED(feed, sent_ms, "sentMs"),
-                                           INT(feed, upto),
-                                           INT(feed, commit),
-                                           INT(feed, leader),
-                                           INT_NAMED(feed, jobs_leader, "jobsLeader"),
-                                           INT_NAMED(feed, snapshot_index, "digestIndex"),
-                                           LIST(feed, entries, n, feed_entry_schema),
-                                           BYTES_NAMED(feed, snapshot, "digest"),
-                                           INTS(feed, voters, n_voters)};
-SCHEMA(feed_schema, feed, feed_fields);
+static const struct field updates_fields[] = {INT(control_updates, ok),
+                                              INT_NAMED(control_updates, sent_ms, "sentMs"),
+                                              INT_NAMED(control_updates, last_index, "upto"),
+                                              INT(control_updates, commit),
+                                              INT(control_updates, leader),
+                                              INT_NAMED(control_updates, jobs_leader, "jobsLeader"),
+                                              INT_NAMED(control_updates, snapshot_index, "digestIndex"),
+                                              LIST(control_updates, entries, n, control_entry_schema),
+                                              BYTES_NAMED(control_updates, snapshot, "digest"),
+                                              INTS(control_updates, voters, n_voters)};
+SCHEMA(feed_schema, control_updates, updates_fields);
 
 static const struct field propose_fields[] = {INT(propose, group), INT(propose, req), BYTES(propose, op)};
 SCHEMA(propose_schema, propose, propose_fields);
@@ -27,10 +29,12 @@
                                                BYTES(proposed, result)};
 SCHEMA(proposed_schema, proposed, proposed_fields);
 
-static const struct field send_on_fields[] = {INT(send_on, req),    INT(send_on, hops), INT(send_on, shard),
-                                              STR(send_on, method), STR(send_on, path), STR(send_on, body)};
-SCHEMA(send_on_schema, send_on, send_on_fields);
+static const struct field forward_request_fields[] = {INT(forward_request, req),   INT(forward_request, hops),
+                                                      INT(forward_request, shard), STR(forward_request, method),
+                                                      STR(forward_request, path),  STR(forward_request, body)};
+SCHEMA(send_on_schema, forward_request, forward_request_fields);
 
-static const struct field sent_on_fields[] = {INT(sent_on, req), INT(sent_on, status),
-                                              INT_NAMED(sent_on, retry_ms, "retryMs"), STR(sent_on, body)};
-SCHEMA(sent_on_schema, sent_on, sent_on_fields);
+static const struct field forward_response_fields[] = {INT(forward_response, req), INT(forward_response, status),
+                                                       INT_NAMED(forward_response, retry_ms, "retryMs"),
+                                                       STR(forward_response, body)};
+SCHEMA(sent_on_schema, forward_response, forward_response_fields);
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -1,3 +1,4 @@
+/* A node's life cycle, its queues and their settings, and the dispatch of frames to their handlers. */
 #include "node/node.h"
 
 #include <stdio.h>
@@ -13,7 +14,7 @@
     node->cluster_name = must_dup(setup->cluster);
     node->started_ms = world_ms(w);
     node->confirmed_ms = node->started_ms - ADMISSION_MS;
-    node->duties_generation = node->settings_generation = -1;
+    node->ownerships_generation = node->settings_generation = -1;
     schema_defaults(&settings_schema, &node->root_settings);
     peers_start(&node->peers, w, ROLE_NODE, setup);
     for (int64_t i = 0; i < SHARD_COUNT; i++) {
@@ -22,12 +23,12 @@
     }
 }
 
-static void drop_proposals(struct node *node)
+static void free_proposals(struct node *node)
 {
     for (int64_t i = 0; i < node->proposals.cap; i++) {
-        struct proposal *p = slab_at(&node->proposals, slab_number(&node->proposals, i));
-        if (p)
-            bytes_free(&p->op);
+        struct proposal *proposal = slab_at(&node->proposals, slab_number(&node->proposals, i));
+        if (proposal)
+            bytes_free(&proposal->op);
     }
     slab_end(&node->proposals);
 }
@@ -38,7 +39,7 @@
     shards_end(node);
     for (int64_t i = 0; i < node->stagings.cap; i++)
         place_forget(node, slab_number(&node->stagings, i));
-    drop_proposals(node);
+    free_proposals(node);
     slab_end(&node->requests);
     slab_end(&node->stagings);
     for (int64_t i = 0; i < node->n_queues; i++)
@@ -88,22 +89,22 @@
 
 const struct settings *node_settings(struct node *node, int64_t queue)
 {
-    struct queue *q = &node->queues[queue];
-    if (q->generation != node->config_tree.version) {
-        config_tree_effective(&node->config_tree, q->path, &q->settings);
-        q->generation = node->config_tree.version;
+    struct queue *item = &node->queues[queue];
+    if (item->generation != node->config_tree.version) {
+        config_tree_effective(&node->config_tree, item->path, &item->settings);
+        item->generation = node->config_tree.version;
     }
-    return &q->settings;
+    return &item->settings;
 }
 
-static void take_typed(struct node *node, const struct frame *frame)
+static void take_unpacked(struct node *node, const struct frame *frame)
 {
     union {
-        struct feed feed;
-        struct confirm news;
+        struct control_updates updates;
+        struct control_updates_request notice;
         struct proposed proposed;
-        struct send_on send_on;
-        struct sent_on sent_on;
+        struct forward_request forward_request;
+        struct forward_response forward_response;
         struct rooms_msg rooms;
         struct reserve reserve;
         struct reserved reserved;
@@ -111,7 +112,7 @@
         struct check check;
         struct checked checked;
         struct ended ended;
-    } m;
+    } message;
     static const struct schema *const schemas[FRAME_LAST] = {
         [FRAME_FEED] = &feed_schema,         [FRAME_NEWS] = &confirm_schema,      [FRAME_PROPOSED] = &proposed_schema,
         [FRAME_SEND_ON] = &send_on_schema,   [FRAME_SENT_ON] = &sent_on_schema,   [FRAME_ROOMS] = &rooms_msg_schema,
@@ -121,32 +122,32 @@
         [FRAME_ENDED_ACK] = &ended_schema};
     const struct schema *schema = schemas[frame->kind];
     int64_t from = (int64_t)frame->from;
-    memset(&m, 0, sizeof m);
-    if (!schema || schema_unpack(schema, &m, frame->body, frame->len)) {
+    memset(&message, 0, sizeof message);
+    if (!schema || schema_unpack(schema, &message, frame->body, frame->len)) {
         node->frames_dropped++;
         world_note(node->w, EV_FRAME_DROPPED, "from=%s kind=%d", addr_text(frame->from), frame->kind);
         return;
     }
     switch (frame->kind) {
-    case FRAME_FEED: follow_on_feed(node, from, &m.feed); break;
-    case FRAME_NEWS: follow_on_news(node, &m.news); break;
-    case FRAME_PROPOSED: node_on_proposed(node, from, &m.proposed); break;
-    case FRAME_SEND_ON: node_on_send_on(node, from, &m.send_on); break;
-    case FRAME_SENT_ON: node_on_sent_on(node, &m.sent_on); break;
-    case FRAME_ROOMS: rooms_take(node, from, &m.rooms); break;
-    case FRAME_RESERVE: home_on_reserve(node, from, &m.reserve); break;
-    case FRAME_RESERVED: place_on_reserved(node, &m.reserved); break;
-    case FRAME_RELEASE: home_on_release(node, from, &m.reserve); break;
-    case FRAME_START: home_on_start(node, from, &m.start); break;
-    case FRAME_STOP: home_on_stop(node, from, &m.check); break;
-    case FRAME_GO: home_on_go(node, &m.check); break;
-    case FRAME_CHECK: home_on_check(node, from, &m.check); break;
-    case FRAME_CHECKED: track_on_checked(node, &m.checked); break;
-    case FRAME_ENDED: track_on_ended(node, &m.ended); break;
-    case FRAME_ENDED_ACK: home_on_ended_ack(node, &m.ended); break;
+    case FRAME_FEED: follow_on_updates(node, from, &message.updates); break;
+    case FRAME_NEWS: follow_on_notice(node, &message.notice); break;
+    case FRAME_PROPOSED: node_on_proposed(node, from, &message.proposed); break;
+    case FRAME_SEND_ON: node_on_forward_request(node, from, &message.forward_request); break;
+    case FRAME_SENT_ON: node_on_forward_response(node, &message.forward_response); break;
+    case FRAME_ROOMS: rooms_take(node, from, &message.rooms); break;
+    case FRAME_RESERVE: home_on_reserve(node, from, &message.reserve); break;
+    case FRAME_RESERVED: place_on_reserved(node, &message.reserved); break;
+    case FRAME_RELEASE: home_on_release(node, from, &message.reserve); break;
+    case FRAME_START: home_on_start(node, from, &message.start); break;
+    case FRAME_STOP: home_on_stop(node, from, &message.check); break;
+    case FRAME_GO: home_on_go(node, &message.check); break;
+    case FRAME_CHECK: home_on_check(node, from, &message.check); break;
+    case FRAME_CHECKED: track_on_checked(node, &message.checked); break;
+    case FRAME_ENDED: track_on_ended(node, &message.ended); break;
+    case FRAME_ENDED_ACK: home_on_ended_ack(node, &message.ended); break;
     default: break;
     }
-    schema_free(schema, &m);
+    schema_free(schema, &message);
 }
 
 void node_take(struct node *node, const uint8_t *at, int64_t len)
@@ -160,7 +161,7 @@
     if (frame_lossy(frame.kind))
         peers_take(&node->peers, &frame);
     else
-        take_typed(node, &frame);
+        take_unpacked(node, &frame);
 }
 
 void node_on_timer(struct node *node)
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,5 +1,5 @@
-/* A node: follows the configuration tree, and does the duties it is given - owner of
- * shards, home of executors - and takes requests from outside. */
+/* A node: a process that replicates the configuration tree from the keepers, runs what it owns by the ownerships
+ * there (shards, and the homes of executors), and serves the HTTP API. */
 #ifndef SAGEHITCH_NODE_H
 #define SAGEHITCH_NODE_H
 #include "base/frame.h"
@@ -11,67 +11,82 @@
 #include "shard/rows.h"
 #include "peer/peer.h"
 
-enum { ADMISSION_MS = 1500, CONFIRM_MS = 250, HOPS_MAX = 3 };
+/* ADMISSION_MS: a node is admitted for this long after it sent the last request that a leader answered. */
+enum { ADMISSION_MS = 1500, UPDATES_INTERVAL_MS = 250, HOPS_MAX = 3 };
 
-/* --- frames of the configuration tree slice ------------------------------------------ */
+/* --- frames between nodes and keepers --------------------------------------------------- */
 
-struct confirm {
-    int64_t from, sent_ms, boot;
+/* Asks the leader of the control log for the entries after index. As FRAME_NEWS, from the leader: the log is committed
+ * up to index. */
+struct control_updates_request {
+    int64_t index, sent_ms, boot;
 };
-struct feed_entry {
+struct control_entry {
     int64_t index;
     struct bytes op;
 };
-struct feed {
-    int64_t ok, sent_ms, upto, commit, leader, jobs_leader, snapshot_index;
-    struct feed_entry *entries;
+/* The leader's reply. ok: it confirmed its leadership with a majority after the request arrived; otherwise the
+ * reply carries only sent_ms and leader. snapshot and entries bring the node up to last_index; the log is committed up
+ * to commit. */
+struct control_updates {
+    int64_t ok, sent_ms, last_index, commit, leader, jobs_leader, snapshot_index;
+    struct control_entry *entries;
     int64_t n;
     struct bytes snapshot;
-    int64_t *voters; /* pairs: address, in how many of the two logs */
+    int64_t *voters; /* pairs: an address, and in how many of the two logs it votes */
     int64_t n_voters;
 };
+/* Proposes op for a log (enum log_group). req: the number that the response repeats. */
 struct propose {
     int64_t group, req;
     struct bytes op;
 };
+/* The outcome: error, and the result of applying op. leader: the leader's address as far as the keeper knows it. */
 struct proposed {
     int64_t group, req, error, leader;
     struct bytes result;
 };
-struct send_on {
+
+/* --- frames between nodes ------------------------------------------------------------------- */
+
+/* An API request that one node forwards to another, and the response to it. shard: the shard it concerns, or -1. */
+struct forward_request {
     int64_t req, hops, shard;
     char *method, *path, *body;
 };
-struct sent_on {
+struct forward_response {
     int64_t req, status, retry_ms;
     char *body;
 };
 extern const struct schema confirm_schema, feed_schema, propose_schema, proposed_schema, send_on_schema, sent_on_schema;
 
-/* --- continuations --------------------------------------------------------- */
+/* --- requests and proposals in progress --------------------------------------------------- */
 
-/* A request from outside (slot) or sent on by a peer (from, from_req).
- * Invariant: it is answered exactly once, then its cell is freed. */
+/* An API request, from an HTTP client (slot) or forwarded by another node (from, from_req).
+ * Invariant: it gets exactly one response, after which its cell is freed. */
 struct request {
     int64_t slot, from, from_req, hops, until_ms, shard, sent_to;
 };
 
+/* Ends a proposal: error, or the result of applying the op. */
 typedef void proposal_done(struct node *node, int64_t tag, int error, const struct bytes *result);
 struct proposal {
-    int64_t group, tag, sent_ms, until_ms, sent_to, born_ms;
+    int64_t group, tag, sent_ms, until_ms, sent_to, created_ms;
     struct bytes op;
     proposal_done *done;
 };
 
-/* --- owner side -------------------------------------------------------------- */
+/* --- shards owned by this node -------------------------------------------------------------- */
 
 enum shard_state { SHARD_NONE, SHARD_OPENING, SHARD_OPEN };
 
+/* An op that is not committed yet, and the request or staging that waits for it (0: none). */
 struct buffered {
     struct op op;
     int64_t request, staging, since_ms;
 };
 
+/* Circuit breaker of a shard's proposals to the jobs log: outcomes since window_from_ms. */
 struct breaker {
     int64_t window_from_ms, good, bad, slow, open_until_ms, trips;
 };
@@ -79,17 +94,16 @@
 struct ready_item {
     int64_t priority, due_ms, job, no;
 };
-/* Invariant: items is a heap; an item counts only while its row is READY, not
- * staged and its due_ms is the row's. */
+/* The ready rows of one queue in one shard.
+ * Invariant: items is a heap; an item is valid only while its row is READY, not staged, and has the same due_ms. */
 struct ready {
     int64_t queue;
     struct ready_item *items;
     int64_t n;
 };
 
-/* Invariants: ops leave the buffer in order and are folded into rows only when
- * the jobs log has them; in_flight of them, from the front on, are proposed;
- * checkpoint_ms is the last time the scan of times has been through. */
+/* Invariants: ops leave the buffer in order and are folded into rows only once the jobs log has committed them; the
+ * first in_flight ops of the buffer are proposed; entries of times up to checkpoint_ms have been scanned. */
 struct shard {
     int64_t no, epoch, state, seq, in_flight, proposal, checkpoint_ms, open_since_ms, retry_ms, started_ms;
     struct rows rows;
@@ -98,29 +112,36 @@
     struct breaker breaker;
     struct ready *readies;
     int64_t n_readies;
-    Pvoid_t times; /* JudyL: ms -> list of task refs */
+    Pvoid_t times; /* JudyL: ms -> list of the tasks to look at then */
     struct task_ref *placed;
     int64_t n_placed;
     int64_t scanned, commits;
 };
 
+/* A queue that jobs of this node use. settings: as of configuration tree version generation. staged: rows that are
+ * being placed; drained: rows placed since rate (placements a second, smoothed) was last computed. */
 struct queue {
     char *path;
     struct settings settings;
     int64_t generation, staged, drained, rate, blocked_ms, mean_ms;
 };
 
+/* A reservation for row no of a job on one executor. */
 struct staging_place {
     int64_t no, room, answered, good;
     char *executor;
     int64_t home_epoch, incarnation, home;
 };
+/* The placement of one row, or of all rows of a gang: reserved on executors, then committed. */
 struct staging {
     int64_t shard, shard_epoch, job, queue, until_ms, committing, n_places, failed, step, urgency;
-    int64_t bold; /* asks although our view says there is no room now */
+    int64_t bold; /* reserves even where the executor view shows no free capacity */
     struct staging_place *places;
 };
 
+/* applied_index: the last entry of the control log in config_tree. confirmed_ms: when the last request for updates that
+ * brought the node up to date was sent. updates_request_to: the keeper that has not answered the last request yet; 0:
+ * none. last_keeper: the last one that next_keeper() chose. voters: as in struct control_updates. */
 struct node {
     struct world *w;
     uint32_t cluster;
@@ -129,8 +150,8 @@
     struct peers peers;
     struct config_tree config_tree;
     struct journal journal;
-    int64_t feed_index, confirmed_ms, admission_open, confirm_due_ms, confirm_sent_ms, confirm_to, duties_generation,
-        keeper_turn;
+    int64_t applied_index, confirmed_ms, admission_open, updates_request_due_ms, updates_request_sent_ms,
+        updates_request_to, ownerships_generation, last_keeper;
     int64_t leaders[GROUP_COUNT];
     int64_t voters[32], n_voters;
     struct settings root_settings;
@@ -143,8 +164,8 @@
     int64_t n_rooms;
     struct home **homes;
     int64_t n_homes;
-    int64_t rooms_due_ms, rooms_told_ms, rooms_all_ms, rooms_hash, rate_due_ms, reqs, started_ms, runs_due_ms;
-    int64_t picks, pick_steps; /* counts for measurements */
+    int64_t rooms_due_ms, rooms_told_ms, rooms_all_ms, rooms_hash, rate_due_ms, last_req, started_ms, runs_due_ms;
+    int64_t picks, pick_steps; /* counters of /v1/counters */
     int64_t frames_dropped;
 };
 
@@ -152,118 +173,152 @@
 void node_start(struct node *node, struct world *w, const struct peer_setup *setup);
 void node_end(struct node *node);
 void node_on_timer(struct node *node);
-void node_take(struct node *node, const uint8_t *at, int64_t len);
-void node_leave(struct node *node);
-int node_left(const struct node *node); /* all duties are with others */
+void node_take(struct node *node, const uint8_t *at, int64_t len); /* a frame received */
+void node_leave(struct node *node);     /* asks for the ownerships to be moved to other nodes */
+int node_left(const struct node *node); /* 1: this node owns nothing any more */
+/* Sends msg to a process; to this node itself by calling node_take(). to 0: does nothing. */
 void node_send(struct node *node, int64_t to, enum frame_kind kind, const struct schema *schema, const void *msg);
-int64_t node_fleet_ms(const struct node *node);
+int64_t node_fleet_ms(const struct node *node); /* the cluster's median clock */
+/* Adds an event of a task to this node's journal. */
 void node_tell(struct node *node, int64_t job, int64_t task, int64_t attempt, const char *what, const char *detail);
-int64_t node_queue(struct node *node, const char *service, const char *queue); /* dense index */
-const struct settings *node_settings(struct node *node, int64_t queue);
+/* The index of the queue in node->queues; a new queue is added. */
+int64_t node_queue(struct node *node, const char *service, const char *queue);
+const struct settings *node_settings(struct node *node, int64_t queue); /* valid until the next node_queue() */
 
 /* follow.c */
-void follow_on_news(struct node *node, const struct confirm *m);
+void follow_on_notice(struct node *node, const struct control_updates_request *notice);
 void follow_on_timer(struct node *node);
-void follow_on_feed(struct node *node, int64_t from, struct feed *feed);
+void follow_on_updates(struct node *node, int64_t from, struct control_updates *updates);
+/* 1 while a leader has confirmed this node's configuration tree recently enough to act by it. */
 int admission_open(const struct node *node);
+/* Proposes op, which it takes over, and resends it until a leader answers; done is called once with tag, with
+ * ERROR_GAVE_UP after wait_ms. Returns the number of the proposal. */
 int64_t node_propose(struct node *node, int64_t group, struct bytes *op, int64_t wait_ms, proposal_done *done,
-                     int64_t tag); /* takes op over */
+                     int64_t tag);
 void proposals_on_timer(struct node *node);
-void node_on_proposed(struct node *node, int64_t from, const struct proposed *m);
-void duties_follow(struct node *node);
+void node_on_proposed(struct node *node, int64_t from, const struct proposed *message);
+void ownerships_follow(struct node *node);
 
-/* door.c */
+/* api.c */
+/* Takes a request of an HTTP client, which slot names. */
 void node_request(struct node *node, int64_t slot, const char *method, const char *path, const char *body, int64_t len);
-void node_on_send_on(struct node *node, int64_t from, const struct send_on *m);
-void node_on_sent_on(struct node *node, const struct sent_on *m);
+void node_on_forward_request(struct node *node, int64_t from, const struct forward_request *message);
+void node_on_forward_response(struct node *node, const struct forward_response *message);
 void api_route(struct node *node, int64_t request, const char *method, const char *path, const char *body, int64_t len);
 void api_response(struct node *node, int64_t request, int status, int64_t retry_ms, const char *body);
 void api_json(struct node *node, int64_t request, int status, json_t *body); /* takes body over */
 void api_error(struct node *node, int64_t request, int error, const char *format, ...)
     __attribute__((format(printf, 4, 5)));
 void api_validation_error(struct node *node, int64_t request, const struct validation_error *validation_error);
-/* A request as it is sent on to the owner of what it asks for. shard: -1 where it is for none. Borrowed. */
+/* An API request to forward. shard: the shard it concerns, or -1. Borrowed. */
 struct api_call {
     int64_t shard;
     const char *method, *path, *body;
 };
-/* Sends a waiting request on to another node, whose response is passed back; or answers with an error where to is 0 or
- * it was sent on too often. */
+/* Forwards a waiting request to another node, whose response is passed back. Responds with an error if to is 0 or the
+ * request was forwarded too often. */
 void api_send_on(struct node *node, int64_t request, int64_t to, const struct api_call *call);
 void api_on_timer(struct node *node);
-char *api_setting(const char *path, const char *name); /* owned; NULL: not there */
+/* The value of a parameter of the query string (to be freed), or NULL. */
+char *api_setting(const char *path, const char *name);
 
-/* api_operators.c, api_views.c */
+/* api_operators.c, api_views.c: return 0 if the request is none of theirs, 1 if they responded or will. */
 int api_operators(struct node *node, int64_t request, const char *method, const char *path, const char *body,
                   int64_t len);
 int api_views(struct node *node, int64_t request, const char *method, const char *path);
 json_t *why_view(struct node *node, struct shard *shard, const struct job *job, int64_t no);
 
 /* shard/owner.c */
+/* Follows the ownership of a shard: under a higher epoch, gives the shard up and, if it is mine, opens it again. */
 void shard_follow(struct node *node, struct shard *shard, int64_t epoch, int mine);
 void shards_on_timer(struct node *node);
+/* Drops a shard with all that waits for it; requests get an error. */
 void shard_lose(struct node *node, struct shard *shard, const char *why);
 void shards_end(struct node *node);
-int64_t shard_owner(const struct node *node, int64_t shard); /* 0: nobody */
+int64_t shard_owner(const struct node *node, int64_t shard); /* the address of the owner; 0: none */
 
 /* shard/worker.c */
+/* Appends an op to the buffer of a shard, to be proposed to the jobs log. The pointer is valid until the next call. */
 struct op *worker_buffer(struct node *node, struct shard *shard, int64_t kind, int64_t job, int64_t request,
                          int64_t staging);
 void worker_on_timer(struct node *node, struct shard *shard);
-int breaker_shut(struct node *node, struct shard *shard); /* 1: ops may flow */
+/* 1 if the circuit breaker is closed, so ops may be proposed. */
+int breaker_shut(struct node *node, struct shard *shard);
+/* Counts a proposal, and opens the circuit breaker if too many failed or were slow. */
 void breaker_count(struct node *node, struct shard *shard, int good, int64_t took_ms);
 
 /* shard/ready.c */
+/* Builds the heaps and the times of a shard from its rows, when it is opened. */
 void ready_rebuild(struct node *node, struct shard *shard);
 void ready_clear(struct shard *shard);
+/* Adds a row that is READY to the heap of its queue, or to the times if it is due later; ready_job(): all rows of a
+ * job; ready_new(): those of a new job, with the times at which they expire. */
 void ready_row(struct node *node, struct shard *shard, struct job *job, int64_t no);
 void ready_job(struct node *node, struct shard *shard, struct job *job);
 void ready_new(struct node *node, struct shard *shard, struct job *job);
+/* Has ready_scan() look at a row at ms. */
 void ready_time(struct shard *shard, int64_t ms, int64_t job, int64_t no);
 void ready_scan(struct node *node, struct shard *shard);
+/* Takes the most urgent row of all shards and queues. Returns 0 if there is none that may be placed. */
 int ready_pick(struct node *node, int64_t now_ms, struct shard **shard, struct ready_item *item);
 int64_t row_priority(struct node *node, const struct job *job);
+/* Lower is more urgent. */
 int64_t row_urgency(struct node *node, int64_t queue, int64_t priority, int64_t due_ms, int64_t now_ms);
 
 /* shard/place.c, shard/assign.c */
 void place_on_timer(struct node *node);
-void place_on_reserved(struct node *node, const struct reserved *m);
+void place_on_reserved(struct node *node, const struct reserved *message);
+/* The placement op was committed; folded: the error with which the rows rejected it, or 0. */
 void place_committed(struct node *node, struct shard *shard, int64_t staging, const struct op *op, int folded);
 void place_forget(struct node *node, int64_t staging);
+/* Chooses an executor for each reservation of a staging, or returns an error. */
 int assign_places(struct node *node, struct shard *shard, struct job *job, struct staging *staging);
+/* Why the task may not be placed on the executor; NULL: it may. */
 const char *assign_denies(struct node *node, const struct job *job, int64_t no, const struct room *room);
+/* Records how long a finished task took, to tell slow executors. */
 void assign_learn(struct node *node, const struct job *job, int64_t no);
+/* 0 if no known executor could ever hold task *bad_no. */
 int assign_could_fit(struct node *node, const struct job_spec *spec, int64_t *bad_no);
 struct room *room_find(struct node *node, const char *executor);
-void rooms_take(struct node *node, int64_t from, struct rooms_msg *m);
+void rooms_take(struct node *node, int64_t from, struct rooms_msg *message);
 
 /* shard/gang.c */
+/* 1 if the task is one of a gang, whose tasks start together. */
 int gang_is(const struct job *job, int64_t no);
+/* 0 while some tasks of the gang are still placed. */
 int gang_may_stage(const struct job *job, int64_t no);
 void gang_placed(struct node *node, struct job *job, int64_t no);
+/* A home reported the state of a task; once all tasks of the gang are held, they are told to begin. */
 void gang_seen(struct node *node, struct shard *shard, struct job *job, int64_t no, int64_t state);
+/* Stops the gang if not all of its tasks run in time after the placement. */
 void gang_watch(struct node *node, struct shard *shard, struct job *job, int64_t no);
 void gang_stop(struct node *node, struct shard *shard, struct job *job, int64_t no);
 
 /* shard/track.c */
+/* Orders to the home of the executor: to begin a held task, to stop a task, to start a task. */
 void track_go(struct node *node, struct shard *shard, struct job *job, int64_t no);
 void track_on_timer(struct node *node, struct shard *shard);
 void track_stop(struct node *node, struct shard *shard, struct job *job, int64_t no);
 void track_start(struct node *node, struct shard *shard, struct job *job, int64_t no);
-void track_on_ended(struct node *node, const struct ended *m);
-void track_on_checked(struct node *node, const struct checked *m);
+/* Reports of homes: a task has ended; the states of tasks that were asked for. */
+void track_on_ended(struct node *node, const struct ended *message);
+void track_on_checked(struct node *node, const struct checked *message);
 void track_committed(struct node *node, struct shard *shard, const struct op *op);
 
 /* shard/preempt.c */
+/* Preempts the shard's tasks on an executor that is about to leave or to be drained. */
 void preempt_watch(struct node *node, struct shard *shard, const char *executor);
 void preempt_committed(struct node *node, struct shard *shard, struct job *job, const struct op *op);
+/* 1 if the current attempt of the task was preempted. */
 static inline int row_preempted(const struct row *row) { return row->preempted && row->preempted == row->attempt; }
 
 /* shard/enqueue.c */
+/* API requests on jobs: accept, cancel, show, list. */
 void enqueue_job(struct node *node, int64_t request, const char *body, int64_t len);
 void enqueue_cancel(struct node *node, int64_t request, int64_t job);
 void enqueue_show(struct node *node, int64_t request, int64_t job, const char *path);
 void enqueue_list(struct node *node, int64_t request, int64_t shard, const char *path);
 void enqueue_committed(struct node *node, struct shard *shard, const struct buffered *b, int folded);
+/* Accepts the jobs of planned runs that are due. */
 void enqueue_runs(struct node *node);
 #endif
