--- a/src/config_tree/config_tree.c
+++ b/src/config_tree/config_tree.c
@@ -1,3 +1,4 @@
+/* Schemas of the configuration tree, and the application of its ops. */
 #include "config_tree/config_tree.h"
 
 #include <stdlib.h>
@@ -25,7 +26,7 @@
 static const struct field duty_fields[] = {STR(duty, name), INT(duty, owner), INT(duty, boot), INT(duty, epoch)};
 SCHEMA(duty_schema, duty, duty_fields);
 
-static const struct field seen_fields[] = {INT(config_tree_seen, who), INT(config_tree_seen, req),
+static const struct field seen_fields[] = {INT_NAMED(config_tree_seen, requester, "who"), INT(config_tree_seen, req),
                                            INT_NAMED(config_tree_seen, error, "problem"),
                                            INT(config_tree_seen, version)};
 static SCHEMA(seen_schema, config_tree_seen, seen_fields);
@@ -37,7 +38,7 @@
 SCHEMA(config_tree_schema, config_tree, config_tree_fields);
 
 static const struct field op_fields[] = {INT(config_tree_op, kind),
-                                         INT(config_tree_op, who),
+                                         INT_NAMED(config_tree_op, requester, "who"),
                                          INT(config_tree_op, req),
                                          INT(config_tree_op, expect),
                                          STR(config_tree_op, path),
@@ -71,28 +72,28 @@
                                           int64_t ahead_ms)
 {
     for (int64_t i = 0; i < config_tree->n_calendar; i++) {
-        const struct planned *p = &config_tree->calendar[i];
-        if (!strcmp(p->kind, "drain") && !strcmp(p->executor, executor) && at_ms + ahead_ms >= p->at_ms &&
-            (!p->until_ms || at_ms < p->until_ms))
-            return p;
+        const struct planned *planned = &config_tree->calendar[i];
+        if (!strcmp(planned->kind, "drain") && !strcmp(planned->executor, executor) &&
+            at_ms + ahead_ms >= planned->at_ms && (!planned->until_ms || at_ms < planned->until_ms))
+            return planned;
     }
     return NULL;
 }
 
-static void fold_duties(struct config_tree *config_tree, const struct config_tree_op *op)
+static void fold_ownerships(struct config_tree *config_tree, const struct config_tree_op *op)
 {
     for (int64_t i = 0; i < op->n_duties; i++) {
-        const struct duty *given = &op->duties[i];
-        struct duty *have = (struct duty *)(uintptr_t)config_tree_duty(config_tree, given->name);
-        if (!have) {
-            have = list_more(config_tree->duties, config_tree->n_duties);
-            have->name = must_dup(given->name);
+        const struct duty *assigned = &op->duties[i];
+        struct duty *current = (struct duty *)(uintptr_t)config_tree_duty(config_tree, assigned->name);
+        if (!current) {
+            current = list_more(config_tree->duties, config_tree->n_duties);
+            current->name = must_dup(assigned->name);
         }
-        if (given->epoch <= have->epoch)
+        if (assigned->epoch <= current->epoch)
             continue;
-        have->owner = given->owner;
-        have->boot = given->boot;
-        have->epoch = given->epoch;
+        current->owner = assigned->owner;
+        current->boot = assigned->boot;
+        current->epoch = assigned->epoch;
     }
 }
 
@@ -123,7 +124,7 @@
         json_decref(json);
     }
     if (settings) {
-        /* it must fit now; it is checked again when it falls due */
+        /* It must be valid with the settings of now; it is checked again when it is applied. */
         struct config_tree trial = {0};
         schema_copy(&config_tree_schema, &trial, config_tree);
         int rc = config_tree_set_branch(&trial, planned->path ? planned->path : "", planned->json, validation_error);
@@ -131,42 +132,43 @@
         if (rc)
             return rc;
     }
-    struct planned *have = (struct planned *)(uintptr_t)config_tree_planned(config_tree, planned->id);
-    if (have)
-        schema_free(&planned_schema, have);
+    struct planned *current = (struct planned *)(uintptr_t)config_tree_planned(config_tree, planned->id);
+    if (current)
+        schema_free(&planned_schema, current);
     else
-        have = list_more(config_tree->calendar, config_tree->n_calendar);
-    schema_copy(&planned_schema, have, planned);
-    have->state = PLAN_WAITS;
+        current = list_more(config_tree->calendar, config_tree->n_calendar);
+    schema_copy(&planned_schema, current, planned);
+    current->state = PLAN_PENDING;
     return ERROR_NONE;
 }
 
 static int fold_unplan(struct config_tree *config_tree, const char *id)
 {
-    struct planned *have = (struct planned *)(uintptr_t)config_tree_planned(config_tree, id ? id : "");
-    if (!have)
+    struct planned *current = (struct planned *)(uintptr_t)config_tree_planned(config_tree, id ? id : "");
+    if (!current)
         return ERROR_NO_SUCH;
-    schema_free(&planned_schema, have);
-    *have = config_tree->calendar[--config_tree->n_calendar];
+    schema_free(&planned_schema, current);
+    *current = config_tree->calendar[--config_tree->n_calendar];
     return ERROR_NONE;
 }
 
-/* A settings change has fallen due. Changes the version if it still fits. */
-static int fold_due(struct config_tree *config_tree, const char *id, struct validation_error *validation_error)
+/* Applies a planned change of settings if it is still valid. */
+static int fold_planned(struct config_tree *config_tree, const char *id, struct validation_error *validation_error)
 {
-    struct planned *have = (struct planned *)(uintptr_t)config_tree_planned(config_tree, id ? id : "");
-    if (!have || have->state != PLAN_WAITS || strcmp(have->kind, "settings"))
+    struct planned *current = (struct planned *)(uintptr_t)config_tree_planned(config_tree, id ? id : "");
+    if (!current || current->state != PLAN_PENDING || strcmp(current->kind, "settings"))
         return ERROR_NO_SUCH;
-    int rc = config_tree_set_branch(config_tree, have->path ? have->path : "", have->json, validation_error);
-    have->state = rc ? PLAN_REJECTED : PLAN_DONE;
+    int rc = config_tree_set_branch(config_tree, current->path ? current->path : "", current->json, validation_error);
+    current->state = rc ? PLAN_REJECTED : PLAN_DONE;
     return rc;
 }
 
+/* The result of the same op if it was applied before, or NULL. */
 static const struct config_tree_seen *seen_before(const struct config_tree *config_tree,
                                                   const struct config_tree_op *op)
 {
     for (int64_t i = 0; op->req && i < config_tree->n_seen; i++)
-        if (config_tree->seen[i].who == op->who && config_tree->seen[i].req == op->req)
+        if (config_tree->seen[i].requester == op->requester && config_tree->seen[i].req == op->req)
             return &config_tree->seen[i];
     return NULL;
 }
@@ -179,7 +181,7 @@
     const struct config_tree_seen *seen = seen_before(config_tree, op);
     config_tree->generation++;
     if (op->kind == CH_DUTIES) {
-        fold_duties(config_tree, op);
+        fold_ownerships(config_tree, op);
         result->version = config_tree->version;
         return;
     }
@@ -199,7 +201,7 @@
     else if (op->kind == CH_UNPLAN)
         rc = fold_unplan(config_tree, op->path);
     else if (op->kind == CH_DUE)
-        rc = fold_due(config_tree, op->path, &validation_error);
+        rc = fold_planned(config_tree, op->path, &validation_error);
     else
         rc = ERROR_BAD_FRAME;
     if (!rc)
@@ -214,8 +216,8 @@
         return;
     if (config_tree->n_seen == SEEN_MAX)
         memmove(config_tree->seen, config_tree->seen + 1, sizeof *config_tree->seen * (size_t)--config_tree->n_seen);
-    *list_more(config_tree->seen, config_tree->n_seen) =
-        (struct config_tree_seen){.who = op->who, .req = op->req, .error = rc, .version = config_tree->version};
+    *list_more(config_tree->seen, config_tree->n_seen) = (struct config_tree_seen){
+        .requester = op->requester, .req = op->req, .error = rc, .version = config_tree->version};
 }
 
 void config_tree_apply(struct config_tree *config_tree, const struct bytes *bytes, struct bytes *out)
--- a/src/config_tree/config_tree_tree.c
+++ b/src/config_tree/config_tree_tree.c
@@ -1,4 +1,4 @@
-/* The settings tree: each branch overrides its parent, down from "root". */
+/* The settings by branch: a branch inherits the settings of its parent, up to "root", and overrides some of them. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -13,10 +13,10 @@
     int depth = 1;
     if (!path || strncmp(path, "root", 4) || (path[4] && path[4] != '/') || strlen(path) > PATH_MAX_LEN)
         return 0;
-    for (const char *c = path; *c; c++) {
-        if (*c == '/' && (c[1] == '/' || !c[1] || ++depth > PATH_DEPTH))
+    for (const char *at = path; *at; at++) {
+        if (*at == '/' && (at[1] == '/' || !at[1] || ++depth > PATH_DEPTH))
             return 0;
-        if (*c != '/' && (*c <= ' ' || *c == '"' || *c == '\\' || (unsigned char)*c >= 127))
+        if (*at != '/' && (*at <= ' ' || *at == '"' || *at == '\\' || (unsigned char)*at >= 127))
             return 0;
     }
     return 1;
@@ -38,7 +38,7 @@
     return rc;
 }
 
-/* Folds every ancestor of path from the root on, path itself included or not. */
+/* The settings of the ancestors of path, applied from the root down; with itself, those of path too. */
 static void inherit(const struct branch *branches, int64_t n, const char *path, int itself, struct settings *to)
 {
     char part[PATH_MAX_LEN + 1];
@@ -75,12 +75,12 @@
         const char *origin = "default";
         snprintf(part, sizeof part, "%s", path);
         for (char *slash = part; slash;) {
-            const struct branch *b = config_tree_branch(config_tree->branches, config_tree->n_branches, part);
-            json_t *json = b ? json_loads(b->json, 0, NULL) : NULL;
+            const struct branch *branch = config_tree_branch(config_tree->branches, config_tree->n_branches, part);
+            json_t *json = branch ? json_loads(branch->json, 0, NULL) : NULL;
             int has = json && json_object_get(json, name);
             json_decref(json);
             if (has) {
-                origin = b->path;
+                origin = branch->path;
                 break;
             }
             slash = strrchr(part, '/');
@@ -93,15 +93,16 @@
     return out;
 }
 
+/* Checks the fields of a branch, and that none exceeds a bound that it inherits. */
 static int check_branch(const struct branch *branches, int64_t n, const struct branch *branch,
                         struct validation_error *validation_error)
 {
-    struct settings above, own;
+    struct settings inherited, own;
     const char *key;
     json_t *value;
     int rc = ERROR_NONE;
-    inherit(branches, n, branch->path, 0, &above);
-    own = above;
+    inherit(branches, n, branch->path, 0, &inherited);
+    own = inherited;
     json_t *body = json_loads(branch->json, JSON_REJECT_DUPLICATES, NULL);
     if (!json_is_object(body)) {
         *validation_error = (struct validation_error){.error = ERROR_BAD_FIELD, .expected = "an object"};
@@ -117,15 +118,15 @@
     }
     json_object_foreach(body, key, value)
     {
-        const struct field *f = schema_field(&settings_schema, key);
-        if (rc || !f)
+        const struct field *field = schema_field(&settings_schema, key);
+        if (rc || !field)
             break;
-        int64_t have = *(int64_t *)((char *)&own + f->off), bound = *(int64_t *)((char *)&above + f->off);
-        if ((f->flags & FF_ROOT) && strcmp(branch->path, "root")) {
+        int64_t number = *(int64_t *)((char *)&own + field->off), bound = *(int64_t *)((char *)&inherited + field->off);
+        if ((field->flags & FF_ROOT) && strcmp(branch->path, "root")) {
             snprintf(validation_error->expected, sizeof validation_error->expected, "to be set at root only");
             rc = ERROR_BOUND;
-        } else if ((f->flags & FF_BOUND) && strcmp(branch->path, "root") && have > bound) {
-            snprintf(validation_error->expected, sizeof validation_error->expected, "at most %lld, inherited",
+        } else if ((field->flags & FF_BOUND) && strcmp(branch->path, "root") && number > bound) {
+            snprintf(validation_error->expected, sizeof validation_error->expected, "at most %lld, which is inherited",
                      (long long)bound);
             rc = ERROR_BOUND;
         }
@@ -164,7 +165,7 @@
     free(branches);
 }
 
-/* Takes the list over if it holds together, else frees it and changes nothing. */
+/* Makes the list the branches of the tree if it passes all checks; otherwise frees it and changes nothing. */
 static int put_branches(struct config_tree *config_tree, struct branch *branches, int64_t n,
                         struct validation_error *validation_error)
 {
@@ -181,7 +182,6 @@
     return ERROR_NONE;
 }
 
-/* json NULL takes the branch away, so it inherits everything again. */
 int config_tree_set_branch(struct config_tree *config_tree, const char *path, const char *json,
                            struct validation_error *validation_error)
 {
@@ -204,7 +204,8 @@
     json_t *value;
     if (!json_is_object(body)) {
         json_decref(body);
-        *validation_error = (struct validation_error){.error = ERROR_BAD_FIELD, .expected = "an object of paths"};
+        *validation_error =
+            (struct validation_error){.error = ERROR_BAD_FIELD, .expected = "an object of settings by path"};
         return ERROR_BAD_FIELD;
     }
     json_object_foreach(body, path, value)
--- a/src/config_tree/settings.c
+++ b/src/config_tree/settings.c
@@ -1,6 +1,8 @@
+/* Defaults and bounds of the settings. */
 #include "config_tree/settings.h"
 
 #define DAY_MS (24 * 3600LL * 1000)
+/* An integer setting: its default, bounds and flags (enum field_flag). */
 #define P(MEMBER, OUTER, DFLT, MIN, MAX, FLAGS) \
     INT_NAMED(settings, MEMBER, OUTER, .dflt = (DFLT), .min = (MIN), .max = (MAX), .flags = (FLAGS))
 
--- a/src/keeper/duties.c
+++ b/src/keeper/duties.c
@@ -90,7 +90,7 @@
     int64_t now_ms = peers_fleet_ms(&keeper->peers);
     for (int64_t i = 0; i < keeper->config_tree.n_calendar && !keeper->planned_in_progress; i++) {
         const struct planned *planned = &keeper->config_tree.calendar[i];
-        if (planned->state != PLAN_WAITS || strcmp(planned->kind, "settings") || planned->at_ms > now_ms)
+        if (planned->state != PLAN_PENDING || strcmp(planned->kind, "settings") || planned->at_ms > now_ms)
             continue;
         struct config_tree_op op = {.kind = CH_DUE, .path = planned->id};
         keeper->planned_in_progress = 1;
--- a/src/node/api_operators.c
+++ b/src/node/api_operators.c
@@ -37,7 +37,7 @@
 static void propose_op(struct node *node, int64_t request, struct config_tree_op *op)
 {
     struct bytes bytes = {0};
-    op->who = (int64_t)(hash_mix((uint64_t)node->boot, node->w->self) >> 1);
+    op->requester = (int64_t)(hash_mix((uint64_t)node->boot, node->w->self) >> 1);
     op->req = ++node->last_req;
     schema_pack(&config_tree_op_schema, op, &bytes);
     node_propose(node, GROUP_CONTROL, &bytes, node->root_settings.deadline_ms - 200, change_done, request);
--- a/tests/unit/config_tree_test.cc
+++ b/tests/unit/config_tree_test.cc
@@ -1,5 +1,5 @@
-// The settings tree: inheritance, bounds, versions; and the fold under random
-// operations against a plain model of versions and branches.
+// The configuration tree: inheritance, bounds and versions of settings, epochs of ownerships, and random changes
+// compared with a simple model.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -15,16 +15,16 @@
 {
 
 struct Tree {
-    config_tree c = {};
-    ~Tree() { config_tree_end(&c); }
+    config_tree config = {};
+    ~Tree() { config_tree_end(&config); }
     int64_t req = 0;
     int change(int64_t kind, int64_t expect, const char *path, const char *json, int64_t *version = nullptr)
     {
         config_tree_op op = {};
         config_tree_result result = {};
-        op.kind = kind, op.who = 1, op.req = ++req, op.expect = expect;
+        op.kind = kind, op.requester = 1, op.req = ++req, op.expect = expect;
         op.path = must_dup(path), op.json = must_dup(json);
-        config_tree_fold(&c, &op, &result);
+        config_tree_fold(&config, &op, &result);
         int rc = (int)result.error;
         if (version)
             *version = result.version;
@@ -34,70 +34,70 @@
     }
     settings at(const char *path)
     {
-        settings p;
-        config_tree_effective(&c, path, &p);
-        return p;
+        settings effective;
+        config_tree_effective(&config, path, &effective);
+        return effective;
     }
 };
 
-TEST(Charter, ABranchReachesAllBelowItAndNothingElse)
+TEST(ConfigTree, OnlyDescendantsInheritFromABranch)
 {
-    Tree t;
-    EXPECT_EQ(t.change(CH_WHOLE, 0, nullptr,
-                       R"({"root":{"attemptsMax":5},"root/a":{"licenceMs":7000},"root/a/q":{"attemptsMax":2}})"),
+    Tree tree;
+    EXPECT_EQ(tree.change(CH_WHOLE, 0, nullptr,
+                          R"({"root":{"attemptsMax":5},"root/a":{"licenceMs":7000},"root/a/q":{"attemptsMax":2}})"),
               ERROR_NONE);
-    EXPECT_EQ(t.at("root/a/q").attempts_max, 2);
-    EXPECT_EQ(t.at("root/a/q").lease_ms, 7000);
-    EXPECT_EQ(t.at("root/a/other").attempts_max, 5);
-    EXPECT_EQ(t.at("root/b").lease_ms, 4000);
-    EXPECT_EQ(t.change(CH_BRANCH, 1, "root/a", R"({"licenceMs":9000})"), ERROR_NONE);
-    EXPECT_EQ(t.at("root/a/q").lease_ms, 9000);
-    EXPECT_EQ(t.at("root/b/q").lease_ms, 4000);
-    json_t *explained = config_tree_explain(&t.c, "root/a/q");
+    EXPECT_EQ(tree.at("root/a/q").attempts_max, 2);
+    EXPECT_EQ(tree.at("root/a/q").lease_ms, 7000);
+    EXPECT_EQ(tree.at("root/a/other").attempts_max, 5);
+    EXPECT_EQ(tree.at("root/b").lease_ms, 4000);
+    EXPECT_EQ(tree.change(CH_BRANCH, 1, "root/a", R"({"licenceMs":9000})"), ERROR_NONE);
+    EXPECT_EQ(tree.at("root/a/q").lease_ms, 9000);
+    EXPECT_EQ(tree.at("root/b/q").lease_ms, 4000);
+    json_t *explained = config_tree_explain(&tree.config, "root/a/q");
     EXPECT_STREQ(json_string_value(json_object_get(json_object_get(explained, "licenceMs"), "from")), "root/a");
     EXPECT_STREQ(json_string_value(json_object_get(json_object_get(explained, "attemptsMax"), "from")), "root/a/q");
     EXPECT_STREQ(json_string_value(json_object_get(json_object_get(explained, "backoffMs"), "from")), "default");
     json_decref(explained);
-    EXPECT_EQ(t.change(CH_BRANCH, 2, "root/a", nullptr), ERROR_NONE);
-    EXPECT_EQ(t.at("root/a/q").lease_ms, 4000);
+    EXPECT_EQ(tree.change(CH_BRANCH, 2, "root/a", nullptr), ERROR_NONE);
+    EXPECT_EQ(tree.at("root/a/q").lease_ms, 4000);
 }
 
-TEST(Charter, AskingAgainGivesTheFirstAnswer)
+TEST(ConfigTree, RepeatedOpGetsItsFirstResult)
 {
-    Tree t;
+    Tree tree;
     int64_t version;
-    EXPECT_EQ(t.change(CH_BRANCH, 0, "root", R"({"attemptsMax":5})"), ERROR_NONE);
-    t.req--;
-    EXPECT_EQ(t.change(CH_BRANCH, 0, "root", R"({"attemptsMax":5})", &version), ERROR_NONE);
+    EXPECT_EQ(tree.change(CH_BRANCH, 0, "root", R"({"attemptsMax":5})"), ERROR_NONE);
+    tree.req--;
+    EXPECT_EQ(tree.change(CH_BRANCH, 0, "root", R"({"attemptsMax":5})", &version), ERROR_NONE);
     EXPECT_EQ(version, 1);
-    EXPECT_EQ(t.change(CH_BRANCH, 0, "root", R"({"attemptsMax":6})", &version), ERROR_STALE);
-    EXPECT_EQ(t.c.version, 1);
+    EXPECT_EQ(tree.change(CH_BRANCH, 0, "root", R"({"attemptsMax":6})", &version), ERROR_STALE);
+    EXPECT_EQ(tree.config.version, 1);
 }
 
-TEST(Charter, DutiesNeverGoBelowTheirEpoch)
+TEST(ConfigTree, OwnershipEpochNeverFalls)
 {
-    Tree t;
+    Tree tree;
     config_tree_op op = {};
     config_tree_result result = {};
-    duty d = {};
+    duty assigned = {};
     char name[] = "shard/1";
-    op.kind = CH_DUTIES, op.duties = &d, op.n_duties = 1;
-    d.name = name, d.owner = 7, d.epoch = 3;
-    config_tree_fold(&t.c, &op, &result);
-    d.owner = 8, d.epoch = 3;
-    config_tree_fold(&t.c, &op, &result);
-    EXPECT_EQ(config_tree_duty(&t.c, name)->owner, 7);
-    d.epoch = 4;
-    config_tree_fold(&t.c, &op, &result);
-    EXPECT_EQ(config_tree_duty(&t.c, name)->owner, 8);
+    op.kind = CH_DUTIES, op.duties = &assigned, op.n_duties = 1;
+    assigned.name = name, assigned.owner = 7, assigned.epoch = 3;
+    config_tree_fold(&tree.config, &op, &result);
+    assigned.owner = 8, assigned.epoch = 3;
+    config_tree_fold(&tree.config, &op, &result);
+    EXPECT_EQ(config_tree_duty(&tree.config, name)->owner, 7);
+    assigned.epoch = 4;
+    config_tree_fold(&tree.config, &op, &result);
+    EXPECT_EQ(config_tree_duty(&tree.config, name)->owner, 8);
 }
 
-TEST(Charter, RandomChangesKeepEveryBound)
+TEST(ConfigTree, RandomChangesKeepAllBounds)
 {
     const char *paths[] = {"root", "root/a", "root/a/x", "root/a/y", "root/b"};
     for (unsigned seed = 1; seed <= 20; seed++) {
         std::mt19937 random(seed);
-        Tree t;
+        Tree tree;
         std::map<std::string, int> model; // path -> attempts_max
         int64_t version = 0;
         auto effective = [&](std::string path) {
@@ -109,11 +109,11 @@
                 path.resize(path.rfind('/'));
             }
         };
-        auto holds = [&] {
+        auto bounds_kept = [&] {
             for (auto &[path, value] : model)
                 if (path != "root") {
-                    std::string above = path.substr(0, path.rfind('/'));
-                    if (value > effective(above))
+                    std::string parent = path.substr(0, path.rfind('/'));
+                    if (value > effective(parent))
                         return false;
                 }
             return true;
@@ -121,23 +121,24 @@
         for (int step = 0; step < 300; step++) {
             std::string path = paths[random() % 5];
             int value = 1 + (int)(random() % 6);
-            bool gone = random() % 5 == 0, stale = random() % 4 == 0;
+            bool removal = random() % 5 == 0, stale = random() % 4 == 0;
             std::map<std::string, int> before = model;
-            if (gone)
+            if (removal)
                 model.erase(path);
             else
                 model[path] = value;
-            int want = stale ? ERROR_STALE : holds() ? ERROR_NONE : ERROR_BOUND;
+            int expected = stale ? ERROR_STALE : bounds_kept() ? ERROR_NONE : ERROR_BOUND;
             std::string json = "{\"attemptsMax\":" + std::to_string(value) + "}";
-            int got = t.change(CH_BRANCH, stale ? version + 1 : version, path.c_str(), gone ? nullptr : json.c_str());
-            ASSERT_EQ(got, want) << "seed " << seed << " step " << step << " " << path << " " << json;
-            if (want == ERROR_NONE)
+            int got =
+                tree.change(CH_BRANCH, stale ? version + 1 : version, path.c_str(), removal ? nullptr : json.c_str());
+            ASSERT_EQ(got, expected) << "seed " << seed << " step " << step << " " << path << " " << json;
+            if (expected == ERROR_NONE)
                 version++;
             else
                 model = before;
-            ASSERT_EQ(t.c.version, version);
+            ASSERT_EQ(tree.config.version, version);
             for (const char *p : paths)
-                ASSERT_EQ(t.at(p).attempts_max, effective(p)) << p;
+                ASSERT_EQ(tree.at(p).attempts_max, effective(p)) << p;
         }
     }
 }
