--- a/src/dispatch/leader_executor_views.c
+++ b/src/dispatch/leader_executor_views.c
@@ -15,8 +15,8 @@
     if (*at)
         return *at;
     struct executor_view *view = *at = must_alloc(sizeof *view);
-    *view = (struct executor_view){.agent = agent, .slow_pct = 100};
-    *list_more(dispatch->executor_views, dispatch->n_executor_views) = view;
+    *view = (struct executor_view){.agent = agent, .duration_pct = 100};
+    *array_add(dispatch->executor_views, dispatch->n_executor_views) = view;
     return view;
 }
 
@@ -105,7 +105,7 @@
             view->newest_seq = ended->seq;
         if (!run) {
             if (!ended->seq)
-                *list_more(view->absent_runs, view->n_absent_runs) = ref;
+                *array_add(view->absent_runs, view->n_absent_runs) = ref;
             continue;
         }
         run->end_seq = ended->seq;
@@ -115,7 +115,7 @@
             step_pace_learn(dispatch, view, run);
         if (ended->how == END_DONE || ended->how == END_FAILED)
             executor_view_judge(dispatch, view, ended->how == END_FAILED, 1);
-        run_end(dispatch, run, ended->how, ended->saved);
+        run_end(dispatch, run, ended->how, ended->checkpoint);
     }
 }
 
@@ -128,7 +128,7 @@
         struct run_ref ref = {.job = active->job, .task = active->task, .attempt = active->attempt};
         struct run *run = run_find(dispatch, incarnation, &ref);
         if (!run) {
-            *list_more(view->orphan_runs, view->n_orphan_runs) = ref;
+            *array_add(view->orphan_runs, view->n_orphan_runs) = ref;
             continue;
         }
         if (!run->started_ms)
@@ -150,13 +150,13 @@
         struct run_ref ref = {.job = refused->job, .task = refused->task, .attempt = refused->attempt};
         struct run *run = run_find(dispatch, incarnation, &ref);
         if (!run) {
-            *list_more(view->absent_runs, view->n_absent_runs) = ref;
+            *array_add(view->absent_runs, view->n_absent_runs) = ref;
             continue;
         }
         run->known = 1;
         if (!run->refused) {
             run->refused = 1;
-            executor_view_judge(dispatch, view, refused->reason == REFUSED_SICK, 2);
+            executor_view_judge(dispatch, view, refused->reason == REFUSED_UNAVAILABLE, 2);
         }
         /* an unanswered call for the same start may still be carried out: only a stop settles it */
         run_stop(dispatch, run);
@@ -172,11 +172,11 @@
         if (incarnation >= 0 && dispatch->record->incarnations[incarnation].agent == view->agent)
             incarnation_lapsed(dispatch, incarnation, INT64_MAX);
         else
-            *list_more(view->lost_incarnations, view->n_lost_incarnations) = must_dup(report->lost_incarnations[i]);
+            *array_add(view->lost_incarnations, view->n_lost_incarnations) = must_dup(report->lost_incarnations[i]);
     }
     /* it is silent, and every lease ever sent to it has expired */
-    int over =
-        report->present && report->epoch == dispatch->epoch && report->executor.silent_ms && !report->executor.over_ms;
+    int over = report->present && report->epoch == dispatch->epoch && report->executor.silent_ms &&
+               !report->executor.lease_left_ms;
     int64_t silent = over ? incarnation_find(dispatch, report->executor.incarnation) : -1;
     if (silent >= 0 && dispatch->record->incarnations[silent].agent == view->agent)
         incarnation_lapsed(dispatch, silent, report->orders_taken);
@@ -226,7 +226,7 @@
     if (fresh) {
         reservations_recompute(dispatch, view, report->present ? report->executor.incarnation : NULL);
         view->seen = view->newest_seq = 0;
-        view->slow_pct = 100;
+        view->duration_pct = 100;
         view->bad_pct = view->quarantine_until_ms = 0;
         dispatch->plan_due = 1;
     }
--- a/src/keeper/feed.c
+++ b/src/keeper/control_updates.c
@@ -12,17 +12,17 @@
 static void updates_reject(struct keeper *keeper, int64_t to, int64_t sent_ms)
 {
     struct control_updates updates = {.sent_ms = sent_ms, .leader = keeper->logs[GROUP_CONTROL].leader_addr};
-    keeper_send(keeper, to, FRAME_FEED, &feed_schema, &updates);
+    keeper_send(keeper, to, FRAME_CONTROL_UPDATES, &control_updates_schema, &updates);
 }
 
 /* Adds a member that votes in one log, or with in_other in both. Operators need the voters of either log: another
  * keeper may be shut down only after a lost one has no vote left in any of them. */
 static void add_voter(struct control_updates *updates, const struct log_member *member, int in_other)
 {
-    if (!log_votes(member))
+    if (!log_votes_after_change(member))
         return;
-    *list_more(updates->voters, updates->n_voters) = member->addr;
-    *list_more(updates->voters, updates->n_voters) = 1 + in_other;
+    *array_add(updates->voters, updates->n_voters) = member->addr;
+    *array_add(updates->voters, updates->n_voters) = 1 + in_other;
 }
 
 static void updates_send(struct keeper *keeper, const struct pending_request *request)
@@ -47,19 +47,19 @@
         updates.last_index = i;
         if (entry->kind != ENTRY_OP)
             continue;
-        *list_more(updates.entries, updates.n) = (struct control_entry){.index = i, .op = entry->body};
+        *array_add(updates.entries, updates.n) = (struct control_entry){.index = i, .op = entry->body};
         bytes += entry->body.len;
     }
     for (int64_t i = 0; i < log->members.n; i++) {
         const struct log_member *member = &log->members.members[i];
-        add_voter(&updates, member, log_voter(&keeper->logs[GROUP_JOBS], member->id));
+        add_voter(&updates, member, log_is_voter(&keeper->logs[GROUP_JOBS], member->id));
     }
     for (int64_t i = 0; i < keeper->logs[GROUP_JOBS].members.n; i++) {
         const struct log_member *member = &keeper->logs[GROUP_JOBS].members.members[i];
-        if (!log_voter(log, member->id))
+        if (!log_is_voter(log, member->id))
             add_voter(&updates, member, 0);
     }
-    keeper_send(keeper, request->from, FRAME_FEED, &feed_schema, &updates);
+    keeper_send(keeper, request->from, FRAME_CONTROL_UPDATES, &control_updates_schema, &updates);
     free(updates.voters);
     free(updates.entries);
     bytes_free(&snapshot);
@@ -103,7 +103,8 @@
         return;
     for (int64_t i = 0; i < keeper->n_subscribers; i++) {
         if (world_ms(keeper->world) - keeper->subscribers[i].heard_ms < 2000)
-            keeper_send(keeper, keeper->subscribers[i].addr, FRAME_NEWS, &confirm_schema, &notice);
+            keeper_send(keeper, keeper->subscribers[i].addr, FRAME_CONTROL_UPDATES_NOTICE,
+                        &control_updates_request_schema, &notice);
         else
             keeper->subscribers[i--] = keeper->subscribers[--keeper->n_subscribers];
     }
--- a/src/keeper/keeper.c
+++ b/src/keeper/keeper.c
@@ -159,8 +159,8 @@
 {
     struct control_updates_request request = {0};
     struct propose propose = {0};
-    if (frame->kind == FRAME_CONFIRM) {
-        if (schema_unpack(&confirm_schema, &request, frame->body, frame->len))
+    if (frame->kind == FRAME_CONTROL_UPDATES_REQUEST) {
+        if (schema_unpack(&control_updates_request_schema, &request, frame->body, frame->len))
             return ERROR_BAD_FRAME;
         updates_on_request(keeper, (int64_t)frame->from, &request);
     } else {
@@ -172,7 +172,7 @@
     return ERROR_NONE;
 }
 
-void keeper_take(struct keeper *keeper, const uint8_t *at, int64_t len)
+void keeper_on_frame(struct keeper *keeper, const uint8_t *at, int64_t len)
 {
     struct frame frame;
     int rc = ERROR_NONE;
@@ -185,13 +185,13 @@
         return;
     }
     if (frame_lossy(frame.kind))
-        rc = peers_take(&keeper->peers, &frame);
-    else if (frame_of_log(frame.kind))
+        rc = peers_on_frame(&keeper->peers, &frame);
+    else if (frame_is_for_log(frame.kind))
         for (int64_t g = 0; g < GROUP_COUNT && !rc; g++)
-            rc = log_take(&keeper->logs[g], &frame);
-    else if (frame.kind >= FRAME_FOUND_REQUEST && frame.kind <= FRAME_JOIN)
+            rc = log_on_frame(&keeper->logs[g], &frame);
+    else if (frame.kind >= FRAME_BOOTSTRAP_STATUS_REQUEST && frame.kind <= FRAME_JOIN)
         keeper_bootstrap_take(keeper, &frame);
-    else if (frame.kind == FRAME_CONFIRM || frame.kind == FRAME_PROPOSE)
+    else if (frame.kind == FRAME_CONTROL_UPDATES_REQUEST || frame.kind == FRAME_PROPOSE)
         rc = take_of_node(keeper, &frame);
     else
         rc = ERROR_BAD_FRAME;
@@ -231,7 +231,7 @@
         log_hand_over(&keeper->logs[g]);
 }
 
-int keeper_left(const struct keeper *keeper)
+int keeper_has_left(const struct keeper *keeper)
 {
     for (int64_t g = 0; g < GROUP_COUNT; g++)
         if (keeper->logs[g].role == LOG_LEADER)
@@ -245,7 +245,7 @@
     json_t *members = json_array();
     for (int64_t i = 0; i < log->members.n; i++)
         json_array_append_new(members, json_pack("{s:s,s:b}", "addr", addr_text((uint64_t)log->members.members[i].addr),
-                                                 "voter", log_votes(&log->members.members[i])));
+                                                 "voter", log_votes_after_change(&log->members.members[i])));
     return json_pack("{s:s,s:s,s:I,s:I,s:I,s:I,s:I,s:I,s:b,s:o}", "log", log->name, "role", roles[log->role], "term",
                      (json_int_t)log->term, "last", (json_int_t)log_last(log), "commit", (json_int_t)log->commit,
                      "digest", (json_int_t)log->snapshot_index, "syncs", (json_int_t)log->syncs, "lastSyncMs",
@@ -257,7 +257,7 @@
 {
     (void)body, (void)len;
     if (strcmp(method, "GET") || strcmp(path, "/v1/status")) {
-        world_answer(keeper->world, slot, ERROR_NO_SUCH,
+        world_answer(keeper->world, slot, ERROR_NOT_FOUND,
                      "a keeper serves only GET /v1/status; send other requests to a node");
         return;
     }
--- a/src/keeper/keeper.h
+++ b/src/keeper/keeper.h
@@ -14,7 +14,7 @@
     int64_t id, empty, addr;
     char *zone;
 };
-extern const struct schema found_schema;
+extern const struct schema bootstrap_status_schema;
 
 /* A node that requested updates from this keeper, and is notified of new entries. */
 struct subscriber {
@@ -61,12 +61,12 @@
 void keeper_end(struct keeper *keeper);
 void keeper_on_timer(struct keeper *keeper);
 /* Handles a received frame. */
-void keeper_take(struct keeper *keeper, const uint8_t *at, int64_t len);
+void keeper_on_frame(struct keeper *keeper, const uint8_t *at, int64_t len);
 /* Flushes both logs and notifies the nodes of new entries; called after the frames of a turn. */
 void keeper_flush(struct keeper *keeper);
 void keeper_leave(struct keeper *keeper); /* hands leadership of the logs over */
 /* 1: this keeper leads neither log. */
-int keeper_left(const struct keeper *keeper);
+int keeper_has_left(const struct keeper *keeper);
 void keeper_request(struct keeper *keeper, int64_t slot, const char *method, const char *path, const char *body,
                     int64_t len);
 void keeper_send(struct keeper *keeper, int64_t to, enum frame_kind kind, const struct schema *schema, const void *msg);
--- a/src/keeper/found.c
+++ b/src/keeper/keeper_bootstrap.c
@@ -11,7 +11,7 @@
 
 static const struct field status_fields[] = {INT(bootstrap_status, id), INT(bootstrap_status, empty),
                                              INT(bootstrap_status, addr), STR(bootstrap_status, zone)};
-SCHEMA(found_schema, bootstrap_status, status_fields);
+SCHEMA(bootstrap_status_schema, bootstrap_status, status_fields);
 
 /* Loads this keeper's identity, which serves for both logs, or creates it at the first start. */
 int keeper_bootstrap_identity(struct keeper *keeper)
@@ -75,12 +75,12 @@
 {
     struct log_members members = {0};
     int64_t now_ms = world_ms(keeper->world);
-    *list_more(members.members, members.n) = (struct log_member){
+    *array_add(members.members, members.n) = (struct log_member){
         .id = keeper->id, .addr = (int64_t)keeper->world->self, .voter = 1, .zone = must_dup(keeper->zone)};
     for (int64_t i = 0; i < keeper->n_bootstrap_peers; i++) {
         struct bootstrap_peer *peer = &keeper->bootstrap_peers[i];
         if (peer->id && now_ms - peer->heard_ms < FRESH_MS)
-            *list_more(members.members, members.n) =
+            *array_add(members.members, members.n) =
                 (struct log_member){.id = peer->id, .addr = peer->addr, .voter = 1, .zone = must_dup(peer->zone)};
     }
     if (members.n == keeper->n_seeds && !bootstrap_save(keeper, &members)) {
@@ -103,13 +103,13 @@
         if (keeper->seeds[i] == self)
             continue;
         if (keeper_bootstrap_empty(keeper) && self == lowest_seed(keeper))
-            keeper_send(keeper, keeper->seeds[i], FRAME_FOUND_REQUEST, &found_schema, &request);
+            keeper_send(keeper, keeper->seeds[i], FRAME_BOOTSTRAP_STATUS_REQUEST, &bootstrap_status_schema, &request);
         keeper_send(keeper, keeper->seeds[i], FRAME_JOIN, &join_schema, &join);
     }
     for (int64_t i = 0; i < keeper->peers.n; i++) {
-        const struct peer_news *news = &keeper->peers.all[i].news;
-        if (news->role == ROLE_KEEPER && news->state != SIB_DEAD)
-            keeper_send(keeper, news->addr, FRAME_JOIN, &join_schema, &join);
+        const struct peer_info *info = &keeper->peers.all[i].info;
+        if (info->role == ROLE_KEEPER && info->state != PEER_DEAD)
+            keeper_send(keeper, info->addr, FRAME_JOIN, &join_schema, &join);
     }
     if (keeper_bootstrap_empty(keeper) && self == lowest_seed(keeper))
         bootstrap_if_complete(keeper);
@@ -125,14 +125,14 @@
         schema_free(&join_schema, &join);
         return;
     }
-    if (schema_unpack(&found_schema, &status, frame->body, frame->len))
+    if (schema_unpack(&bootstrap_status_schema, &status, frame->body, frame->len))
         return;
-    if (frame->kind == FRAME_FOUND_REQUEST) {
+    if (frame->kind == FRAME_BOOTSTRAP_STATUS_REQUEST) {
         struct bootstrap_status reply = {.id = keeper->id,
                                          .empty = keeper_bootstrap_empty(keeper),
                                          .addr = (int64_t)keeper->world->self,
                                          .zone = keeper->zone};
-        keeper_send(keeper, (int64_t)frame->from, FRAME_FOUND, &found_schema, &reply);
+        keeper_send(keeper, (int64_t)frame->from, FRAME_BOOTSTRAP_STATUS, &bootstrap_status_schema, &reply);
     } else {
         struct bootstrap_peer *peer = bootstrap_peer_of(keeper, (int64_t)frame->from);
         if (peer) {
@@ -142,5 +142,5 @@
             peer->zone = must_dup(status.zone);
         }
     }
-    schema_free(&found_schema, &status);
+    schema_free(&bootstrap_status_schema, &status);
 }
--- a/src/keeper/duties.c
+++ b/src/keeper/ownership.c
@@ -12,9 +12,9 @@
 /* Times between two rounds, and between two moves from a live owner; the number of such moves in a round. */
 enum { ASSIGN_INTERVAL_MS = 150, MOVE_INTERVAL_MS = 400, MOVES_PER_ROUND = 1 };
 
-static int is_live_node(const struct peer_news *news)
+static int is_live_node(const struct peer_info *info)
 {
-    return news->role == ROLE_NODE && news->state != SIB_DEAD && !news->leaving;
+    return info->role == ROLE_NODE && info->state != PEER_DEAD && !info->leaving;
 }
 
 /* The live node that ranks first for a shard or home, by rendezvous hashing: keepers that know the same peers compute
@@ -25,8 +25,8 @@
     uint64_t best_rank = 0, name_hash = hash_text(name);
     for (int64_t i = 0; i < keeper->peers.n; i++) {
         const struct peer *peer = &keeper->peers.all[i];
-        uint64_t rank = hash_mix(name_hash, (uint64_t)peer->news.addr);
-        if (!is_live_node(&peer->news) || (best && rank <= best_rank))
+        uint64_t rank = hash_mix(name_hash, (uint64_t)peer->info.addr);
+        if (!is_live_node(&peer->info) || (best && rank <= best_rank))
             continue;
         best = peer;
         best_rank = rank;
@@ -43,8 +43,9 @@
 
 static void assign(struct config_tree_op *op, const char *name, const struct peer *to, int64_t epoch)
 {
-    struct duty *duty = list_more(op->duties, op->n_duties);
-    *duty = (struct duty){.name = must_dup(name), .owner = to->news.addr, .boot = to->news.boot, .epoch = epoch};
+    struct ownership *ownership = array_add(op->ownerships, op->n_ownerships);
+    *ownership =
+        (struct ownership){.name = must_dup(name), .owner = to->info.addr, .boot = to->info.boot, .epoch = epoch};
 }
 
 /* Adds to op the assignment of a shard or home if it has to move. From a dead owner it moves at once. From a live owner
@@ -53,21 +54,21 @@
 static void assign_if_needed(struct keeper *keeper, struct config_tree_op *op, const char *name, int64_t now_ms,
                              int64_t settle_ms, int *moves)
 {
-    const struct duty *duty = config_tree_duty(&keeper->config_tree, name);
+    const struct ownership *ownership = config_tree_ownership(&keeper->config_tree, name);
     const struct peer *first = first_in_order(keeper, name);
     if (!first)
         return;
-    if (!duty || !peers_live(&keeper->peers, duty->owner, duty->boot)) {
-        assign(op, name, first, duty ? duty->epoch + 1 : 1);
+    if (!ownership || !peers_live(&keeper->peers, ownership->owner, ownership->boot)) {
+        assign(op, name, first, ownership ? ownership->epoch + 1 : 1);
         return;
     }
-    if ((duty->owner == first->news.addr && duty->boot == first->news.boot) || *moves <= 0 ||
+    if ((ownership->owner == first->info.addr && ownership->boot == first->info.boot) || *moves <= 0 ||
         now_ms - keeper->moved_ms < MOVE_INTERVAL_MS || now_ms - keeper->peers.changed_ms < settle_ms ||
-        now_ms - first->since_ms < settle_ms || first->news.state != SIB_ALIVE)
+        now_ms - first->since_ms < settle_ms || first->info.state != PEER_ALIVE)
         return;
     --*moves;
     keeper->moved_ms = now_ms;
-    assign(op, name, first, duty->epoch + 1);
+    assign(op, name, first, ownership->epoch + 1);
 }
 
 static void propose_op(struct keeper *keeper, const struct config_tree_op *op, log_done *done)
@@ -92,7 +93,7 @@
         const struct planned *planned = &keeper->config_tree.calendar[i];
         if (planned->state != PLAN_PENDING || strcmp(planned->kind, "settings") || planned->at_ms > now_ms)
             continue;
-        struct config_tree_op op = {.kind = CH_DUE, .path = planned->id};
+        struct config_tree_op op = {.kind = CONFIG_OP_APPLY_PLANNED, .path = planned->id};
         keeper->planned_in_progress = 1;
         world_note(keeper->world, EV_PLANNED, "settings=%s at=%lld", planned->id, (long long)planned->at_ms);
         propose_op(keeper, &op, planned_done);
@@ -104,7 +105,7 @@
 {
     struct log *log = &keeper->logs[GROUP_CONTROL];
     int64_t now_ms = world_ms(keeper->world);
-    struct config_tree_op op = {.kind = CH_DUTIES};
+    struct config_tree_op op = {.kind = CONFIG_OP_OWNERSHIPS};
     struct settings root;
     char name[32];
     int moves = MOVES_PER_ROUND;
@@ -123,14 +124,14 @@
         snprintf(name, sizeof name, "shard/%lld", (long long)i);
         assign_if_needed(keeper, &op, name, now_ms, root.settle_ms, &moves);
     }
-    for (int64_t i = 0; i < keeper->config_tree.n_duties; i++)
-        if (!strncmp(keeper->config_tree.duties[i].name, "home/", 5))
-            assign_if_needed(keeper, &op, keeper->config_tree.duties[i].name, now_ms, root.settle_ms, &moves);
-    if (op.n_duties) {
+    for (int64_t i = 0; i < keeper->config_tree.n_ownerships; i++)
+        if (!strncmp(keeper->config_tree.ownerships[i].name, "home/", 5))
+            assign_if_needed(keeper, &op, keeper->config_tree.ownerships[i].name, now_ms, root.settle_ms, &moves);
+    if (op.n_ownerships) {
         keeper->assign_in_progress = 1;
-        for (int64_t i = 0; i < op.n_duties; i++)
-            world_note(keeper->world, EV_DUTY_GIVEN, "duty=%s to=%s epoch=%lld", op.duties[i].name,
-                       addr_text((uint64_t)op.duties[i].owner), (long long)op.duties[i].epoch);
+        for (int64_t i = 0; i < op.n_ownerships; i++)
+            world_note(keeper->world, EV_DUTY_GIVEN, "duty=%s to=%s epoch=%lld", op.ownerships[i].name,
+                       addr_text((uint64_t)op.ownerships[i].owner), (long long)op.ownerships[i].epoch);
         propose_op(keeper, &op, assign_done);
     }
     schema_free(&config_tree_op_schema, &op);
--- a/src/keeper/replace.c
+++ b/src/keeper/replace.c
@@ -53,12 +53,12 @@
 {
     const struct log_member *lost_voter = NULL, *learner = NULL, *lost_learner = NULL;
     int64_t voters = 0;
-    if (log_settle(log) != ERROR_NO_SUCH)
+    if (log_finish_exchange(log) != ERROR_NOT_FOUND)
         return;
     for (int64_t i = 0; i < log->members.n; i++) {
         const struct log_member *member = &log->members.members[i];
-        voters += log_votes(member);
-        if (log_votes(member) && is_lost(keeper, log, member))
+        voters += log_votes_after_change(member);
+        if (log_votes_after_change(member) && is_lost(keeper, log, member))
             lost_voter = member;
         else if (!member->voter && is_lost(keeper, log, member))
             lost_learner = member;
@@ -66,7 +66,7 @@
             learner = member;
     }
     if (lost_learner) {
-        log_change(log, lost_learner->id, lost_learner->addr, NULL, 0, 1);
+        log_change_member(log, lost_learner->id, lost_learner->addr, NULL, 0, 1);
         return;
     }
     for (int64_t i = 0; lost_voter && i < log->members.n; i++) {
@@ -82,17 +82,17 @@
         return;
     }
     if (learner && voters < VOTERS) {
-        log_change(log, learner->id, learner->addr, learner->zone, 1, 0);
+        log_change_member(log, learner->id, learner->addr, learner->zone, 1, 0);
         return;
     }
     if (lost_voter && voters > VOTERS) {
-        log_change(log, lost_voter->id, lost_voter->addr, NULL, 0, 1);
+        log_change_member(log, lost_voter->id, lost_voter->addr, NULL, 0, 1);
         return;
     }
     for (int64_t i = 0; i < keeper->n_joiners; i++) {
         const struct join *join = &keeper->joiners[i];
         if (!log_member(log, join->id) && peers_live(&keeper->peers, join->addr, 0)) {
-            log_change(log, join->id, join->addr, join->zone, 0, 0);
+            log_change_member(log, join->id, join->addr, join->zone, 0, 0);
             return;
         }
     }
--- a/src/node/api.c
+++ b/src/node/api.c
@@ -20,7 +20,7 @@
             .req = request->from_req, .status = status, .retry_ms = retry_ms, .body = (char *)(uintptr_t)body};
         int64_t to = request->from;
         slab_free(&node->requests, number);
-        node_send(node, to, FRAME_SENT_ON, &sent_on_schema, &message);
+        node_send(node, to, FRAME_FORWARD_RESPONSE, &forward_response_schema, &message);
     } else {
         int64_t slot = request->slot;
         slab_free(&node->requests, number);
@@ -67,7 +67,7 @@
     respond_with_error(node, request, validation_error->error, validation_error->path, why);
 }
 
-char *api_setting(const char *path, const char *name)
+char *api_query_param(const char *path, const char *name)
 {
     const char *at = strchr(path, '?');
     size_t len = strlen(name);
@@ -118,7 +118,7 @@
               message->body ? (int64_t)strlen(message->body) : 0);
 }
 
-void api_send_on(struct node *node, int64_t number, int64_t to, const struct api_call *call)
+void api_forward(struct node *node, int64_t number, int64_t to, const struct api_call *call)
 {
     struct request *request = slab_at(&node->requests, number);
     if (!to || request->hops >= HOPS_MAX) {
@@ -133,7 +133,7 @@
                                       .method = (char *)(uintptr_t)call->method,
                                       .path = (char *)(uintptr_t)call->path,
                                       .body = (char *)(uintptr_t)call->body};
-    node_send(node, to, FRAME_SEND_ON, &send_on_schema, &message);
+    node_send(node, to, FRAME_FORWARD_REQUEST, &forward_request_schema, &message);
 }
 
 void node_on_forward_response(struct node *node, const struct forward_response *message)
@@ -152,7 +152,7 @@
         /* If the owner has died, the client learns at once that it may retry, and when. */
         int dead = request->sent_to && !peers_live(&node->peers, request->sent_to, 0) &&
                    peers_find(&node->peers, request->sent_to) &&
-                   peers_find(&node->peers, request->sent_to)->news.state == SIB_DEAD;
+                   peers_find(&node->peers, request->sent_to)->info.state == PEER_DEAD;
         if (dead)
             api_error(node, number, ERROR_NO_OWNER, "the node that owns this died");
         else if (!admission_open(node) && !request->sent_to) /* the logs may not answer its proposal in time */
@@ -160,7 +160,8 @@
                 node, number, ERROR_UNAVAILABLE,
                 "this node can no longer confirm its state with the keepers; resend to another with the same key");
         else if (now_ms >= request->until_ms + (request->from ? 0 : WAIT_MARGIN_MS))
-            api_error(node, number, ERROR_GAVE_UP, "no confirmation in time; the request may still have been accepted");
+            api_error(node, number, ERROR_OUTCOME_UNKNOWN,
+                      "no confirmation in time; the request may still have been accepted");
     }
 }
 
@@ -188,7 +189,7 @@
     int64_t owner = shard_owner(node, shard);
     if (owner == (int64_t)node->w->self)
         return 0;
-    api_send_on(node, request, owner, &(struct api_call){.shard = shard, .method = method, .path = path, .body = body});
+    api_forward(node, request, owner, &(struct api_call){.shard = shard, .method = method, .path = path, .body = body});
     return 1;
 }
 
@@ -197,7 +198,7 @@
     int64_t job = path_job(path);
     int cancel = !strcmp(method, "DELETE") || strstr(path, "/cancel");
     if (!job) {
-        api_error(node, request, ERROR_NO_SUCH, "a job is named SHARD.NUMBER");
+        api_error(node, request, ERROR_NOT_FOUND, "a job is named SHARD.NUMBER");
         return;
     }
     if (strcmp(method, "GET") && strcmp(method, "DELETE") && strcmp(method, "POST")) {
@@ -219,12 +220,12 @@
         enqueue_job(node, request, body, len);
         return;
     }
-    char *key = api_setting(path, "key"), *from = api_setting(path, "from");
+    char *key = api_query_param(path, "key"), *from = api_query_param(path, "from");
     int64_t shard = key ? key_shard(key) : from ? text_to_int64(from) : 0;
     if (strcmp(method, "GET"))
         api_error(node, request, ERROR_BAD_METHOD, "GET or POST");
     else if (shard < 0 || shard >= SHARD_COUNT)
-        api_error(node, request, ERROR_NO_SUCH, "no such shard");
+        api_error(node, request, ERROR_NOT_FOUND, "no such shard");
     else if (!forward_to_owner(node, request, shard, method, path, body))
         enqueue_list(node, request, shard, path);
     free(key);
@@ -234,9 +235,9 @@
 void api_route(struct node *node, int64_t request, const char *method, const char *path, const char *body, int64_t len)
 {
     if (!starts_with(path, "/v1/"))
-        api_error(node, request, ERROR_NO_SUCH, "all paths begin with /v1/");
+        api_error(node, request, ERROR_NOT_FOUND, "all paths begin with /v1/");
     else if (starts_with(path, "/v1/executors/report"))
-        home_report(node, request, body, len);
+        executor_owner_on_report(node, request, body, len);
     else if (api_views(node, request, method, path))
         return;
     else if (!admission_open(node))
@@ -246,5 +247,5 @@
     else if (starts_with(path, "/v1/jobs"))
         route_jobs(node, request, method, path, body, len);
     else if (!api_operators(node, request, method, path, body, len))
-        api_error(node, request, ERROR_NO_SUCH, "no such path");
+        api_error(node, request, ERROR_NOT_FOUND, "no such path");
 }
--- a/src/node/api_operators.c
+++ b/src/node/api_operators.c
@@ -60,8 +60,8 @@
 
 static void put_settings(struct node *node, int64_t request, const struct settings_request *change)
 {
-    char *expect = api_setting(change->path, "expect"), *name = api_setting(change->path, "path");
-    struct config_tree_op op = {.kind = change->branch ? CH_BRANCH : CH_WHOLE};
+    char *expect = api_query_param(change->path, "expect"), *name = api_query_param(change->path, "path");
+    struct config_tree_op op = {.kind = change->branch ? CONFIG_OP_BRANCH : CONFIG_OP_REPLACE};
     json_error_t error;
     json_t *json =
         change->is_delete ? NULL : json_loadb(change->body, (size_t)change->len, JSON_REJECT_DUPLICATES, &error);
@@ -120,11 +120,11 @@
 
 static void put_plan(struct node *node, int64_t request, const char *path, const char *body, int64_t len, int is_delete)
 {
-    char *expect = api_setting(path, "expect");
+    char *expect = api_query_param(path, "expect");
     char *id = must_dup(path + strlen("/v1/calendar/"));
     struct planned planned = {0};
     struct validation_error validation_error = {0};
-    struct config_tree_op op = {.kind = is_delete ? CH_UNPLAN : CH_PLAN};
+    struct config_tree_op op = {.kind = is_delete ? CONFIG_OP_UNPLAN : CONFIG_OP_PLAN};
     id[strcspn(id, "?")] = 0;
     if (!*id || strlen(id) > 100)
         api_error(node, request, ERROR_BAD_FIELD, "a calendar entry needs a name of up to 100 characters");
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -6,7 +6,7 @@
 #include "base/journal.h"
 #include "base/slab.h"
 #include "config_tree/config_tree.h"
-#include "home/home.h"
+#include "executor_owner/executor_owner.h"
 #include "log/log.h"
 #include "shard/rows.h"
 #include "peer/peer.h"
@@ -58,7 +58,8 @@
     int64_t req, status, retry_ms;
     char *body;
 };
-extern const struct schema confirm_schema, feed_schema, propose_schema, proposed_schema, send_on_schema, sent_on_schema;
+extern const struct schema control_updates_request_schema, control_updates_schema, propose_schema, proposed_schema,
+    forward_request_schema, forward_response_schema;
 
 /* --- requests and proposals in progress --------------------------------------------------- */
 
@@ -81,14 +82,14 @@
 enum shard_state { SHARD_NONE, SHARD_OPENING, SHARD_OPEN };
 
 /* An op that is not committed yet, and the request or staging that waits for it (0: none). */
-struct buffered {
+struct buffered_op {
     struct op op;
     int64_t request, staging, since_ms;
 };
 
-/* Circuit breaker of a shard's proposals to the jobs log: outcomes since window_from_ms. */
+/* Circuit breaker of a shard's proposals to the jobs log: outcomes since window_start_ms. */
 struct breaker {
-    int64_t window_from_ms, good, bad, slow, open_until_ms, trips;
+    int64_t window_start_ms, good, bad, slow, open_until_ms, trips;
 };
 
 struct ready_item {
@@ -107,7 +108,7 @@
 struct shard {
     int64_t no, epoch, state, seq, in_flight, proposal, checkpoint_ms, open_since_ms, retry_ms, started_ms;
     struct rows rows;
-    struct buffered *buffer;
+    struct buffered_op *buffer;
     int64_t n_buffer;
     struct breaker breaker;
     struct ready *readies;
@@ -128,14 +129,14 @@
 
 /* A reservation for row no of a job on one executor. */
 struct staging_place {
-    int64_t no, room, answered, good;
+    int64_t no, executor_summary, answered, good;
     char *executor;
-    int64_t home_epoch, incarnation, home;
+    int64_t executor_epoch, incarnation, executor_owner;
 };
 /* The placement of one row, or of all rows of a gang: reserved on executors, then committed. */
 struct staging {
     int64_t shard, shard_epoch, job, queue, until_ms, committing, n_places, failed, step, urgency;
-    int64_t bold; /* reserves even where the executor view shows no free capacity */
+    int64_t ignores_view; /* reserves even where the executor view shows no free capacity */
     struct staging_place *places;
 };
 
@@ -160,11 +161,12 @@
     struct shard shards[SHARD_COUNT];
     struct queue *queues;
     int64_t n_queues;
-    struct room *rooms;
-    int64_t n_rooms;
-    struct home **homes;
-    int64_t n_homes;
-    int64_t rooms_due_ms, rooms_told_ms, rooms_all_ms, rooms_hash, rate_due_ms, last_req, started_ms, runs_due_ms;
+    struct executor_summary *executor_summaries;
+    int64_t n_executor_summaries;
+    struct executor_owner **executor_owners;
+    int64_t n_executor_owners;
+    int64_t summaries_due_ms, summaries_sent_ms, summaries_sent_to_all_ms, summaries_hash, rate_due_ms, last_req,
+        started_ms, runs_due_ms;
     int64_t picks, pick_steps; /* counters of /v1/counters */
     int64_t frames_dropped;
 };
@@ -173,14 +175,15 @@
 void node_start(struct node *node, struct world *w, const struct peer_setup *setup);
 void node_end(struct node *node);
 void node_on_timer(struct node *node);
-void node_take(struct node *node, const uint8_t *at, int64_t len); /* a frame received */
-void node_leave(struct node *node);     /* asks for the ownerships to be moved to other nodes */
-int node_left(const struct node *node); /* 1: this node owns nothing any more */
-/* Sends msg to a process; to this node itself by calling node_take(). to 0: does nothing. */
+void node_on_frame(struct node *node, const uint8_t *at, int64_t len); /* a frame received */
+void node_leave(struct node *node);         /* asks for the ownerships to be moved to other nodes */
+int node_has_left(const struct node *node); /* 1: this node owns nothing any more */
+/* Sends msg to a process; to this node itself by calling node_on_frame(). to 0: does nothing. */
 void node_send(struct node *node, int64_t to, enum frame_kind kind, const struct schema *schema, const void *msg);
 int64_t node_fleet_ms(const struct node *node); /* the cluster's median clock */
 /* Adds an event of a task to this node's journal. */
-void node_tell(struct node *node, int64_t job, int64_t task, int64_t attempt, const char *what, const char *detail);
+void node_journal_add(struct node *node, int64_t job, int64_t task, int64_t attempt, const char *what,
+                      const char *detail);
 /* The index of the queue in node->queues; a new queue is added. */
 int64_t node_queue(struct node *node, const char *service, const char *queue);
 const struct settings *node_settings(struct node *node, int64_t queue); /* valid until the next node_queue() */
@@ -217,10 +220,10 @@
 };
 /* Forwards a waiting request to another node, whose response is passed back. Responds with an error if to is 0 or the
  * request was forwarded too often. */
-void api_send_on(struct node *node, int64_t request, int64_t to, const struct api_call *call);
+void api_forward(struct node *node, int64_t request, int64_t to, const struct api_call *call);
 void api_on_timer(struct node *node);
 /* The value of a parameter of the query string (to be freed), or NULL. */
-char *api_setting(const char *path, const char *name);
+char *api_query_param(const char *path, const char *name);
 
 /* api_operators.c, api_views.c: return 0 if the request is none of theirs, 1 if they responded or will. */
 int api_operators(struct node *node, int64_t request, const char *method, const char *path, const char *body,
@@ -230,7 +233,7 @@
 
 /* shard/owner.c */
 /* Follows the ownership of a shard: under a higher epoch, gives the shard up and, if it is mine, opens it again. */
-void shard_follow(struct node *node, struct shard *shard, int64_t epoch, int mine);
+void shard_on_owner_change(struct node *node, struct shard *shard, int64_t epoch, int mine);
 void shards_on_timer(struct node *node);
 /* Drops a shard with all that waits for it; requests get an error. */
 void shard_lose(struct node *node, struct shard *shard, const char *why);
@@ -243,21 +246,21 @@
                          int64_t staging);
 void worker_on_timer(struct node *node, struct shard *shard);
 /* 1 if the circuit breaker is closed, so ops may be proposed. */
-int breaker_shut(struct node *node, struct shard *shard);
+int breaker_closed(struct node *node, struct shard *shard);
 /* Counts a proposal, and opens the circuit breaker if too many failed or were slow. */
-void breaker_count(struct node *node, struct shard *shard, int good, int64_t took_ms);
+void breaker_record(struct node *node, struct shard *shard, int good, int64_t took_ms);
 
 /* shard/ready.c */
 /* Builds the heaps and the times of a shard from its rows, when it is opened. */
 void ready_rebuild(struct node *node, struct shard *shard);
 void ready_clear(struct shard *shard);
-/* Adds a row that is READY to the heap of its queue, or to the times if it is due later; ready_job(): all rows of a
- * job; ready_new(): those of a new job, with the times at which they expire. */
-void ready_row(struct node *node, struct shard *shard, struct job *job, int64_t no);
-void ready_job(struct node *node, struct shard *shard, struct job *job);
-void ready_new(struct node *node, struct shard *shard, struct job *job);
+/* Adds a row that is READY to the heap of its queue, or to the times if it is due later; ready_add_rows(): all rows of
+ * a job; ready_add_job(): those of a new job, with the times at which they expire. */
+void ready_add_row(struct node *node, struct shard *shard, struct job *job, int64_t no);
+void ready_add_rows(struct node *node, struct shard *shard, struct job *job);
+void ready_add_job(struct node *node, struct shard *shard, struct job *job);
 /* Has ready_scan() look at a row at ms. */
-void ready_time(struct shard *shard, int64_t ms, int64_t job, int64_t no);
+void ready_schedule_check(struct shard *shard, int64_t ms, int64_t job, int64_t no);
 void ready_scan(struct node *node, struct shard *shard);
 /* Takes the most urgent row of all shards and queues. Returns 0 if there is none that may be placed. */
 int ready_pick(struct node *node, int64_t now_ms, struct shard **shard, struct ready_item *item);
@@ -267,31 +270,32 @@
 
 /* shard/place.c, shard/assign.c */
 void place_on_timer(struct node *node);
-void place_on_reserved(struct node *node, const struct reserved *message);
+void place_on_reserved(struct node *node, const struct reserve_reply *message);
 /* The placement op was committed; folded: the error with which the rows rejected it, or 0. */
-void place_committed(struct node *node, struct shard *shard, int64_t staging, const struct op *op, int folded);
-void place_forget(struct node *node, int64_t staging);
+void place_committed(struct node *node, struct shard *shard, int64_t staging, const struct op *op, int apply_error);
+void staging_free(struct node *node, int64_t staging);
 /* Chooses an executor for each reservation of a staging, or returns an error. */
 int assign_places(struct node *node, struct shard *shard, struct job *job, struct staging *staging);
 /* Why the task may not be placed on the executor; NULL: it may. */
-const char *assign_denies(struct node *node, const struct job *job, int64_t no, const struct room *room);
+const char *assign_rejection(struct node *node, const struct job *job, int64_t no,
+                             const struct executor_summary *executor_summary);
 /* Records how long a finished task took, to tell slow executors. */
-void assign_learn(struct node *node, const struct job *job, int64_t no);
+void assign_record_duration(struct node *node, const struct job *job, int64_t no);
 /* 0 if no known executor could ever hold task *bad_no. */
 int assign_could_fit(struct node *node, const struct job_spec *spec, int64_t *bad_no);
-struct room *room_find(struct node *node, const char *executor);
-void rooms_take(struct node *node, int64_t from, struct rooms_msg *message);
+struct executor_summary *executor_summary_find(struct node *node, const char *executor);
+void executor_summaries_merge(struct node *node, int64_t from, struct executor_summaries_msg *message);
 
 /* shard/gang.c */
 /* 1 if the task is one of a gang, whose tasks start together. */
-int gang_is(const struct job *job, int64_t no);
+int is_gang_member(const struct job *job, int64_t no);
 /* 0 while some tasks of the gang are still placed. */
 int gang_may_stage(const struct job *job, int64_t no);
 void gang_placed(struct node *node, struct job *job, int64_t no);
 /* A home reported the state of a task; once all tasks of the gang are held, they are told to begin. */
-void gang_seen(struct node *node, struct shard *shard, struct job *job, int64_t no, int64_t state);
+void gang_on_member_state(struct node *node, struct shard *shard, struct job *job, int64_t no, int64_t state);
 /* Stops the gang if not all of its tasks run in time after the placement. */
-void gang_watch(struct node *node, struct shard *shard, struct job *job, int64_t no);
+void gang_check_timeout(struct node *node, struct shard *shard, struct job *job, int64_t no);
 void gang_stop(struct node *node, struct shard *shard, struct job *job, int64_t no);
 
 /* shard/track.c */
@@ -302,12 +306,12 @@
 void track_start(struct node *node, struct shard *shard, struct job *job, int64_t no);
 /* Reports of homes: a task has ended; the states of tasks that were asked for. */
 void track_on_ended(struct node *node, const struct ended *message);
-void track_on_checked(struct node *node, const struct checked *message);
+void track_on_checked(struct node *node, const struct check_reply *message);
 void track_committed(struct node *node, struct shard *shard, const struct op *op);
 
 /* shard/preempt.c */
 /* Preempts the shard's tasks on an executor that is about to leave or to be drained. */
-void preempt_watch(struct node *node, struct shard *shard, const char *executor);
+void preempt_check(struct node *node, struct shard *shard, const char *executor);
 void preempt_committed(struct node *node, struct shard *shard, struct job *job, const struct op *op);
 /* 1 if the current attempt of the task was preempted. */
 static inline int row_preempted(const struct row *row) { return row->preempted && row->preempted == row->attempt; }
@@ -318,7 +322,7 @@
 void enqueue_cancel(struct node *node, int64_t request, int64_t job);
 void enqueue_show(struct node *node, int64_t request, int64_t job, const char *path);
 void enqueue_list(struct node *node, int64_t request, int64_t shard, const char *path);
-void enqueue_committed(struct node *node, struct shard *shard, const struct buffered *b, int folded);
+void enqueue_committed(struct node *node, struct shard *shard, const struct buffered_op *b, int apply_error);
 /* Accepts the jobs of planned runs that are due. */
 void enqueue_runs(struct node *node);
 #endif
--- a/src/peer/peer.c
+++ b/src/peer/peer.c
@@ -10,14 +10,14 @@
 /* A probe carries up to INFO_MAX infos; a changed peer goes out on INFO_SENDS probes. */
 enum { INFO_MAX = 10, INFO_SENDS = 14, INDIRECT_PROBES = 3, OFFSET_FRESH_MS = 5000 };
 
-static const struct field news_fields[] = {INT(peer_news, addr),    INT(peer_news, boot),  INT(peer_news, role),
-                                           INT(peer_news, http),    INT(peer_news, state), INT(peer_news, incarnation),
-                                           INT(peer_news, leaving), STR(peer_news, zone),  INT(peer_news, level)};
-SCHEMA(peer_news_schema, peer_news, news_fields);
+static const struct field news_fields[] = {INT(peer_info, addr),    INT(peer_info, boot),  INT(peer_info, role),
+                                           INT(peer_info, http),    INT(peer_info, state), INT(peer_info, incarnation),
+                                           INT(peer_info, leaving), STR(peer_info, zone),  INT(peer_info, level)};
+SCHEMA(peer_info_schema, peer_info, news_fields);
 
 static const struct field probe_fields[] = {INT(peer_probe, seq), INT_NAMED(peer_probe, wall_ms, "wallMs"),
                                             INT_NAMED(peer_probe, target, "about"),
-                                            LIST_NAMED(peer_probe, infos, "news", n, peer_news_schema)};
+                                            LIST_NAMED(peer_probe, infos, "news", n, peer_info_schema)};
 SCHEMA(peer_probe_schema, peer_probe, probe_fields);
 
 static const struct peer_settings defaults = {.probe_interval_ms = 150,
@@ -29,17 +29,17 @@
 void peers_start(struct peers *peers, struct world *world, int64_t role, const struct peer_setup *setup)
 {
     *peers = (struct peers){.world = world, .cluster = (uint32_t)hash_text(setup->cluster), .settings = defaults};
-    peers->self = (struct peer_news){.addr = (int64_t)world->self,
+    peers->self = (struct peer_info){.addr = (int64_t)world->self,
                                      .boot = setup->boot,
                                      .role = role,
                                      .http = (int64_t)world->http_addr,
                                      .zone = must_dup(setup->zone),
                                      .level = LEVEL_NOW};
-    peers_seeds(peers, setup->seeds, setup->n_seeds);
+    peers_set_seeds(peers, setup->seeds, setup->n_seeds);
     peers->median_offset_ms = world->calls->wall_ms(world) - world_ms(world);
 }
 
-void peers_seeds(struct peers *peers, const int64_t *seeds, int64_t n_seeds)
+void peers_set_seeds(struct peers *peers, const int64_t *seeds, int64_t n_seeds)
 {
     peers->n_seeds = 0;
     for (int64_t i = 0; i < n_seeds && i < COUNT_OF(peers->seeds); i++)
@@ -49,29 +49,29 @@
 const struct peer *peers_find(const struct peers *peers, int64_t addr)
 {
     for (int64_t i = 0; i < peers->n; i++)
-        if (peers->all[i].news.addr == addr)
+        if (peers->all[i].info.addr == addr)
             return &peers->all[i];
     return NULL;
 }
 
 int peers_live(const struct peers *peers, int64_t addr, int64_t boot)
 {
-    const struct peer_news *news = &peers->self;
+    const struct peer_info *info = &peers->self;
     if (addr != peers->self.addr) {
         const struct peer *peer = peers_find(peers, addr);
         if (!peer)
             return 0;
-        news = &peer->news;
+        info = &peer->info;
     }
-    return (!boot || news->boot == boot) && news->state != SIB_DEAD && !news->leaving;
+    return (!boot || info->boot == boot) && info->state != PEER_DEAD && !info->leaving;
 }
 
-int64_t peers_level(const struct peers *peers)
+int64_t peers_min_level(const struct peers *peers)
 {
     int64_t level = peers->self.level;
     for (int64_t i = 0; i < peers->n; i++)
-        if (peers->all[i].news.state != SIB_DEAD && peers->all[i].news.level < level)
-            level = peers->all[i].news.level;
+        if (peers->all[i].info.state != PEER_DEAD && peers->all[i].info.level < level)
+            level = peers->all[i].info.level;
     return level;
 }
 
@@ -105,13 +105,13 @@
     peer->sends_left = INFO_SENDS;
     peers->changes++;
     peers->changed_ms = peer->since_ms;
-    int event = peer->news.state == SIB_ALIVE && peer->news.leaving ? EV_SIBLING_LEAVING : events[peer->news.state];
-    world_note(peers->world, event, "addr=%s boot=%lld inc=%lld", addr_text((uint64_t)peer->news.addr),
-               (long long)peer->news.boot, (long long)peer->news.incarnation);
+    int event = peer->info.state == PEER_ALIVE && peer->info.leaving ? EV_SIBLING_LEAVING : events[peer->info.state];
+    world_note(peers->world, event, "addr=%s boot=%lld inc=%lld", addr_text((uint64_t)peer->info.addr),
+               (long long)peer->info.boot, (long long)peer->info.incarnation);
 }
 
 /* 1 if a is newer than b, both of the same address. */
-static int supersedes(const struct peer_news *a, const struct peer_news *b)
+static int supersedes(const struct peer_info *a, const struct peer_info *b)
 {
     if (a->boot != b->boot)
         return a->boot > b->boot;
@@ -123,40 +123,40 @@
 static void probe_suspect(struct peers *peers, const struct peer *peer);
 
 /* Merges what another process knows of a peer. */
-static void merge_info(struct peers *peers, const struct peer_news *news)
+static void merge_info(struct peers *peers, const struct peer_info *info)
 {
-    if (news->state < SIB_ALIVE || news->state > SIB_DEAD || !news->addr)
+    if (info->state < PEER_ALIVE || info->state > PEER_DEAD || !info->addr)
         return;
-    if (news->addr == peers->self.addr) {
+    if (info->addr == peers->self.addr) {
         /* Another process suspects this process or takes it for dead: a higher incarnation refutes that. */
-        if (news->boot == peers->self.boot && news->state >= SIB_SUSPECT &&
-            news->incarnation >= peers->self.incarnation)
-            peers->self.incarnation = news->incarnation + 1;
-        else if (news->boot > peers->self.boot)
-            peers->self.boot = news->boot + 1;
+        if (info->boot == peers->self.boot && info->state >= PEER_SUSPECT &&
+            info->incarnation >= peers->self.incarnation)
+            peers->self.incarnation = info->incarnation + 1;
+        else if (info->boot > peers->self.boot)
+            peers->self.boot = info->boot + 1;
         return;
     }
-    struct peer *peer = (struct peer *)(uintptr_t)peers_find(peers, news->addr);
+    struct peer *peer = (struct peer *)(uintptr_t)peers_find(peers, info->addr);
     if (!peer) {
-        if (news->state == SIB_DEAD)
+        if (info->state == PEER_DEAD)
             return;
-        peer = list_more(peers->all, peers->n);
-        schema_copy(&peer_news_schema, &peer->news, news);
+        peer = array_add(peers->all, peers->n);
+        schema_copy(&peer_info_schema, &peer->info, info);
         peer->heard_ms = world_ms(peers->world);
         state_changed(peers, peer);
         return;
     }
     /* A process of an older version passes infos on without the level, so it may arrive later. */
-    if (news->boot == peer->news.boot && news->level > peer->news.level)
-        peer->news.level = news->level;
-    if (!supersedes(news, &peer->news))
+    if (info->boot == peer->info.boot && info->level > peer->info.level)
+        peer->info.level = info->level;
+    if (!supersedes(info, &peer->info))
         return;
     int changed =
-        news->state != peer->news.state || news->leaving != peer->news.leaving || news->boot != peer->news.boot;
-    if (news->boot != peer->news.boot)
+        info->state != peer->info.state || info->leaving != peer->info.leaving || info->boot != peer->info.boot;
+    if (info->boot != peer->info.boot)
         peer->has_offset = 0;
-    schema_free(&peer_news_schema, &peer->news);
-    schema_copy(&peer_news_schema, &peer->news, news);
+    schema_free(&peer_info_schema, &peer->info);
+    schema_copy(&peer_info_schema, &peer->info, info);
     if (changed) {
         state_changed(peers, peer);
         probe_suspect(peers, peer);
@@ -167,24 +167,24 @@
 /* Adds this process, the peers whose infos were sent least often, and two random ones. */
 static void add_infos(struct peers *peers, struct peer_probe *probe)
 {
-    *list_more(probe->infos, probe->n) = peers->self;
+    *array_add(probe->infos, probe->n) = peers->self;
     while (probe->n < INFO_MAX - 2) {
         struct peer *best = NULL;
         for (int64_t i = 0; i < peers->n; i++) {
             struct peer *peer = &peers->all[i];
             int listed = 0;
             for (int64_t k = 1; k < probe->n; k++)
-                listed |= probe->infos[k].addr == peer->news.addr;
+                listed |= probe->infos[k].addr == peer->info.addr;
             if (!listed && peer->sends_left > 0 && (!best || peer->sends_left > best->sends_left))
                 best = peer;
         }
         if (!best)
             break;
         best->sends_left--;
-        *list_more(probe->infos, probe->n) = best->news;
+        *array_add(probe->infos, probe->n) = best->info;
     }
     for (int i = 0; i < 2 && peers->n; i++)
-        *list_more(probe->infos, probe->n) = peers->all[world_random(peers->world) % (uint64_t)peers->n].news;
+        *array_add(probe->infos, probe->n) = peers->all[world_random(peers->world) % (uint64_t)peers->n].info;
 }
 
 static void send_probe(struct peers *peers, int64_t to, enum frame_kind kind, int64_t seq, int64_t target)
@@ -202,13 +202,13 @@
  * and over many paths, so the time until it counts as dead can be short. */
 static void probe_suspect(struct peers *peers, const struct peer *peer)
 {
-    if (peer->news.state == SIB_SUSPECT)
-        send_probe(peers, peer->news.addr, FRAME_PING, ++peers->seq, 0);
+    if (peer->info.state == PEER_SUSPECT)
+        send_probe(peers, peer->info.addr, FRAME_PING, ++peers->seq, 0);
 }
 
 static void set_state(struct peers *peers, struct peer *peer, enum peer_state state)
 {
-    peer->news.state = state;
+    peer->info.state = state;
     state_changed(peers, peer);
     probe_suspect(peers, peer);
 }
@@ -230,13 +230,13 @@
                 peers->all[k] = t;
             }
         }
-        if (peers->all[peers->probe_turn].news.state != SIB_DEAD)
+        if (peers->all[peers->probe_turn].info.state != PEER_DEAD)
             peer = &peers->all[peers->probe_turn];
     }
     peers->probed = 0;
     if (!peer)
         return;
-    peers->probed = peer->news.addr;
+    peers->probed = peer->info.addr;
     peers->probe_seq = ++peers->seq;
     peers->probe_since_ms = now_ms;
     peers->indirect_sent = 0;
@@ -249,9 +249,9 @@
     peers->indirect_sent = 1;
     for (int i = 0, sent = 0; i < 12 && sent < INDIRECT_PROBES && peers->n; i++) {
         struct peer *peer = &peers->all[world_random(peers->world) % (uint64_t)peers->n];
-        if (peer->news.addr == peers->probed || peer->news.state != SIB_ALIVE)
+        if (peer->info.addr == peers->probed || peer->info.state != PEER_ALIVE)
             continue;
-        send_probe(peers, peer->news.addr, FRAME_PING_REQUEST, peers->probe_seq, peers->probed);
+        send_probe(peers, peer->info.addr, FRAME_PING_REQUEST, peers->probe_seq, peers->probed);
         sent++;
     }
 }
@@ -263,8 +263,8 @@
     if (peers->probed && now_ms - peers->probe_since_ms >= peers->settings.suspect_after_ms) {
         struct peer *peer = (struct peer *)(uintptr_t)peers_find(peers, peers->probed);
         peers->probed = 0;
-        if (peer && peer->news.state < SIB_SUSPECT)
-            set_state(peers, peer, SIB_SUSPECT);
+        if (peer && peer->info.state < PEER_SUSPECT)
+            set_state(peers, peer, PEER_SUSPECT);
     }
     if (!peers->probed && now_ms >= peers->probe_due_ms) {
         peers->probe_due_ms = now_ms + peers->settings.probe_interval_ms;
@@ -278,10 +278,10 @@
     probe_step(peers, now_ms);
     for (int64_t i = 0; i < peers->n; i++) {
         struct peer *peer = &peers->all[i];
-        if (peer->news.state == SIB_SUSPECT && now_ms - peer->since_ms >= peers->settings.dead_after_ms)
-            set_state(peers, peer, SIB_DEAD);
-        if (peer->news.state == SIB_DEAD && now_ms - peer->since_ms >= peers->settings.forget_after_ms) {
-            schema_free(&peer_news_schema, &peer->news);
+        if (peer->info.state == PEER_SUSPECT && now_ms - peer->since_ms >= peers->settings.dead_after_ms)
+            set_state(peers, peer, PEER_DEAD);
+        if (peer->info.state == PEER_DEAD && now_ms - peer->since_ms >= peers->settings.forget_after_ms) {
+            schema_free(&peer_info_schema, &peer->info);
             peers->all[i--] = peers->all[--peers->n];
         }
     }
@@ -291,12 +291,12 @@
         peers->seed_due_ms = now_ms + 500;
         for (int64_t i = 0; i < peers->n_seeds; i++) {
             const struct peer *peer = peers_find(peers, peers->seeds[i]);
-            if (peers->seeds[i] != peers->self.addr && (!peer || peer->news.state == SIB_DEAD))
+            if (peers->seeds[i] != peers->self.addr && (!peer || peer->info.state == PEER_DEAD))
                 send_probe(peers, peers->seeds[i], FRAME_PING, ++peers->seq, 0);
         }
         const struct peer *any = peers->n ? &peers->all[world_random(peers->world) % (uint64_t)peers->n] : NULL;
-        if (any && any->news.state == SIB_DEAD)
-            send_probe(peers, any->news.addr, FRAME_PING, ++peers->seq, 0);
+        if (any && any->info.state == PEER_DEAD)
+            send_probe(peers, any->info.addr, FRAME_PING, ++peers->seq, 0);
         median_update(peers);
     }
 }
@@ -340,7 +340,7 @@
     send_probe(peers, probe->target, FRAME_PING, oldest->seq, 0);
 }
 
-int peers_take(struct peers *peers, const struct frame *frame)
+int peers_on_frame(struct peers *peers, const struct frame *frame)
 {
     struct peer_probe probe = {0};
     if (schema_unpack(&peer_probe_schema, &probe, frame->body, frame->len))
@@ -363,14 +363,14 @@
     peers->self.leaving = 1;
     peers->self.incarnation++;
     for (int64_t i = 0; i < peers->n; i++)
-        if (peers->all[i].news.state < SIB_SUSPECT)
-            send_probe(peers, peers->all[i].news.addr, FRAME_PING, ++peers->seq, 0);
+        if (peers->all[i].info.state < PEER_SUSPECT)
+            send_probe(peers, peers->all[i].info.addr, FRAME_PING, ++peers->seq, 0);
 }
 
 void peers_end(struct peers *peers)
 {
     for (int64_t i = 0; i < peers->n; i++)
-        schema_free(&peer_news_schema, &peers->all[i].news);
+        schema_free(&peer_info_schema, &peers->all[i].info);
     free(peers->all);
     free(peers->self.zone);
 }
--- a/tests/unit/agent_beat_test.cc
+++ b/tests/unit/agent_beat_test.cc
@@ -20,7 +20,7 @@
     {
         out = slot = ++seq;
         out_ms = now;
-        beat(ex.incarnation, seq, draining, BEAT_ALIVE, "beat", ex.lists(0));
+        beat(ex.incarnation, seq, draining, HEARTBEAT_ALIVE, "beat", ex.lists(0));
     }
     void carry_orders(const std::string &body)
     {
@@ -137,7 +137,7 @@
     EXPECT_TRUE(rig.is_pending(1));
     EXPECT_EQ(rig.how_ended(1), 0);
     rig.run(1200);
-    EXPECT_EQ(rig.how_ended(1), END_ABSENT);
+    EXPECT_EQ(rig.how_ended(1), END_NEVER_RAN);
     EXPECT_EQ(rig.tells_start, 2);
     rig.ex.room = 5;
     rig.ends_seen(1, 1);
@@ -169,7 +169,7 @@
     EXPECT_TRUE(rig.is_pending(1));
     reaches = rig.beats = true;
     rig.run(500);
-    EXPECT_EQ(rig.how_ended(1), END_ABSENT);
+    EXPECT_EQ(rig.how_ended(1), END_NEVER_RAN);
     EXPECT_EQ(rig.ex.barred[Key(1, 1)], 1);
 }
 
@@ -184,7 +184,7 @@
     rig.run(1000);
     EXPECT_TRUE(rig.ex.starts.empty());
     EXPECT_EQ(rig.tells_start, 0);
-    EXPECT_EQ(rig.refusal(1), REFUSED_ROOM);
+    EXPECT_EQ(rig.refusal(1), REFUSED_NO_CAPACITY);
 }
 
 TEST(AgentByBeat, a_new_incarnation_ends_the_old_and_late_beats_do_not_count)
@@ -201,7 +201,7 @@
     EXPECT_STREQ(rig.r().executor.incarnation, "B");
     EXPECT_TRUE(rig.r().ready);
     rig.slot = 100000;
-    rig.beat("A", 100000, 0, BEAT_ALIVE, "beat", old);
+    rig.beat("A", 100000, 0, HEARTBEAT_ALIVE, "beat", old);
     EXPECT_EQ(rig.answers[100000], "");
     rig.run(300);
     EXPECT_STREQ(rig.r().executor.incarnation, "B");
@@ -216,7 +216,7 @@
     rig.start(1, 1);
     rig.run(300);
     rig.slot = 100000;
-    rig.beat("A", 1, 0, BEAT_ALIVE, "beat", before);
+    rig.beat("A", 1, 0, HEARTBEAT_ALIVE, "beat", before);
     rig.run(20);
     EXPECT_TRUE(rig.is_active(1, 1));
     EXPECT_EQ(rig.answers[100000], "");
@@ -264,9 +264,9 @@
                 answered_at = 0;
             }
         };
-        int64_t over_at = rig.now + rig.r().executor.over_ms;
+        int64_t over_at = rig.now + rig.r().executor.lease_left_ms;
         for (int i = 0; i < 9000 && !rig.ex.lapsed_at; i++) {
-            over_at = std::max(over_at, rig.r().stamp_ms + rig.r().executor.over_ms);
+            over_at = std::max(over_at, rig.r().stamp_ms + rig.r().executor.lease_left_ms);
             rig.run(1);
         }
         EXPECT_GT(rig.ex.lapsed_at, 0);
@@ -284,7 +284,7 @@
     rig.start(1, 1);
     rig.run(1000);
     EXPECT_TRUE(rig.ex.starts.empty());
-    EXPECT_EQ(rig.how_ended(1), END_ABSENT);
+    EXPECT_EQ(rig.how_ended(1), END_NEVER_RAN);
 }
 
 TEST(AgentByBeat, silence_is_told_and_one_that_left_is_over)
@@ -302,7 +302,7 @@
     rig.beats = false;
     rig.run(200);
     rig.slot = 100000;
-    rig.beat("A", 100000, 0, BEAT_LEFT);
+    rig.beat("A", 100000, 0, HEARTBEAT_LEAVING);
     EXPECT_EQ(rig.answers.count(100000), 1u);
     rig.run(400);
     EXPECT_FALSE(rig.lost("A"));
--- a/tests/unit/config_tree_test.cc
+++ b/tests/unit/config_tree_test.cc
@@ -43,14 +43,14 @@
 TEST(ConfigTree, OnlyDescendantsInheritFromABranch)
 {
     Tree tree;
-    EXPECT_EQ(tree.change(CH_WHOLE, 0, nullptr,
+    EXPECT_EQ(tree.change(CONFIG_OP_REPLACE, 0, nullptr,
                           R"({"root":{"attemptsMax":5},"root/a":{"licenceMs":7000},"root/a/q":{"attemptsMax":2}})"),
               ERROR_NONE);
     EXPECT_EQ(tree.at("root/a/q").attempts_max, 2);
     EXPECT_EQ(tree.at("root/a/q").lease_ms, 7000);
     EXPECT_EQ(tree.at("root/a/other").attempts_max, 5);
     EXPECT_EQ(tree.at("root/b").lease_ms, 4000);
-    EXPECT_EQ(tree.change(CH_BRANCH, 1, "root/a", R"({"licenceMs":9000})"), ERROR_NONE);
+    EXPECT_EQ(tree.change(CONFIG_OP_BRANCH, 1, "root/a", R"({"licenceMs":9000})"), ERROR_NONE);
     EXPECT_EQ(tree.at("root/a/q").lease_ms, 9000);
     EXPECT_EQ(tree.at("root/b/q").lease_ms, 4000);
     json_t *explained = config_tree_explain(&tree.config, "root/a/q");
@@ -58,7 +58,7 @@
     EXPECT_STREQ(json_string_value(json_object_get(json_object_get(explained, "attemptsMax"), "from")), "root/a/q");
     EXPECT_STREQ(json_string_value(json_object_get(json_object_get(explained, "backoffMs"), "from")), "default");
     json_decref(explained);
-    EXPECT_EQ(tree.change(CH_BRANCH, 2, "root/a", nullptr), ERROR_NONE);
+    EXPECT_EQ(tree.change(CONFIG_OP_BRANCH, 2, "root/a", nullptr), ERROR_NONE);
     EXPECT_EQ(tree.at("root/a/q").lease_ms, 4000);
 }
 
@@ -66,11 +66,11 @@
 {
     Tree tree;
     int64_t version;
-    EXPECT_EQ(tree.change(CH_BRANCH, 0, "root", R"({"attemptsMax":5})"), ERROR_NONE);
+    EXPECT_EQ(tree.change(CONFIG_OP_BRANCH, 0, "root", R"({"attemptsMax":5})"), ERROR_NONE);
     tree.req--;
-    EXPECT_EQ(tree.change(CH_BRANCH, 0, "root", R"({"attemptsMax":5})", &version), ERROR_NONE);
+    EXPECT_EQ(tree.change(CONFIG_OP_BRANCH, 0, "root", R"({"attemptsMax":5})", &version), ERROR_NONE);
     EXPECT_EQ(version, 1);
-    EXPECT_EQ(tree.change(CH_BRANCH, 0, "root", R"({"attemptsMax":6})", &version), ERROR_STALE);
+    EXPECT_EQ(tree.change(CONFIG_OP_BRANCH, 0, "root", R"({"attemptsMax":6})", &version), ERROR_STALE);
     EXPECT_EQ(tree.config.version, 1);
 }
 
@@ -79,17 +79,17 @@
     Tree tree;
     config_tree_op op = {};
     config_tree_result result = {};
-    duty assigned = {};
+    ownership assigned = {};
     char name[] = "shard/1";
-    op.kind = CH_DUTIES, op.duties = &assigned, op.n_duties = 1;
+    op.kind = CONFIG_OP_OWNERSHIPS, op.ownerships = &assigned, op.n_ownerships = 1;
     assigned.name = name, assigned.owner = 7, assigned.epoch = 3;
     config_tree_fold(&tree.config, &op, &result);
     assigned.owner = 8, assigned.epoch = 3;
     config_tree_fold(&tree.config, &op, &result);
-    EXPECT_EQ(config_tree_duty(&tree.config, name)->owner, 7);
+    EXPECT_EQ(config_tree_ownership(&tree.config, name)->owner, 7);
     assigned.epoch = 4;
     config_tree_fold(&tree.config, &op, &result);
-    EXPECT_EQ(config_tree_duty(&tree.config, name)->owner, 8);
+    EXPECT_EQ(config_tree_ownership(&tree.config, name)->owner, 8);
 }
 
 TEST(ConfigTree, RandomChangesKeepAllBounds)
@@ -129,8 +129,8 @@
                 model[path] = value;
             int expected = stale ? ERROR_STALE : bounds_kept() ? ERROR_NONE : ERROR_BOUND;
             std::string json = "{\"attemptsMax\":" + std::to_string(value) + "}";
-            int got =
-                tree.change(CH_BRANCH, stale ? version + 1 : version, path.c_str(), removal ? nullptr : json.c_str());
+            int got = tree.change(CONFIG_OP_BRANCH, stale ? version + 1 : version, path.c_str(),
+                                  removal ? nullptr : json.c_str());
             ASSERT_EQ(got, expected) << "seed " << seed << " step " << step << " " << path << " " << json;
             if (expected == ERROR_NONE)
                 version++;
