--- a/src/config_tree/config_tree.c
+++ b/src/config_tree/config_tree.c
@@ -23,9 +23,9 @@
     INT(planned, state)};
 SCHEMA(planned_schema, planned, planned_fields);
 
-static const struct field duty_fields[] = {STR(ownership, name), INT(ownership, owner), INT(ownership, boot),
-                                           INT(ownership, epoch)};
-SCHEMA(ownership_schema, ownership, duty_fields);
+static const struct field ownership_fields[] = {STR(ownership, name), INT(ownership, owner), INT(ownership, boot),
+                                                INT(ownership, epoch)};
+SCHEMA(ownership_schema, ownership, ownership_fields);
 
 static const struct field seen_fields[] = {INT_NAMED(config_tree_seen, requester, "who"), INT(config_tree_seen, req),
                                            INT_NAMED(config_tree_seen, error, "problem"),
--- a/src/config_tree/config_tree.h
+++ b/src/config_tree/config_tree.h
@@ -1,5 +1,6 @@
-/* The configuration tree: the settings by branch, the calendar of planned changes, and who owns shards and homes. It is
- * the state machine of the control log: keepers apply the log, and nodes the entries that the keepers send them. */
+/* The configuration tree: the settings by branch, the calendar of planned changes, and who owns shards and executors.
+ * It is the state machine of the control log: keepers apply the log, and nodes the entries that the keepers send them.
+ */
 #ifndef SAGEHITCH_CONFIG_TREE_H
 #define SAGEHITCH_CONFIG_TREE_H
 #include "base/bytes.h"
@@ -20,7 +21,7 @@
     int64_t at_ms, until_ms, every_ms, state;
 };
 
-/* The node that owns a shard or the home of an executor. name: "shard/N" or "home/EXECUTOR". boot: the start of the
+/* The node that owns a shard or an executor. name: "shard/N" or "home/EXECUTOR". boot: the start of the
  * owner's process. Invariant: epoch only rises. */
 struct ownership {
     char *name;
@@ -32,7 +33,7 @@
     int64_t requester, req, error, version;
 };
 
-/* Invariants: branches are sorted by path and always pass config_tree_check;
+/* Invariants: branches are sorted by path and always pass config_tree_check();
  * version rises by one with each accepted change of settings or calendar. */
 struct config_tree {
     int64_t version;
@@ -87,6 +88,7 @@
 void config_tree_end(struct config_tree *config_tree);
 
 /* settings_tree.c */
+/* 1 if path is a valid name of a branch, like root/service/queue. */
 int config_tree_path_ok(const char *path);
 /* The settings in force at path: its own, else inherited ones, else defaults. */
 void config_tree_effective(const struct config_tree *config_tree, const char *path, struct settings *to);
@@ -100,8 +102,10 @@
 int config_tree_set_branch(struct config_tree *config_tree, const char *path, const char *json,
                            struct validation_error *validation_error);
 int config_tree_replace(struct config_tree *config_tree, const char *json, struct validation_error *validation_error);
+/* All branches, as config_tree_replace() reads them. */
 json_t *config_tree_to_json(const struct config_tree *config_tree);
 
+/* The entry of this name, or NULL; likewise below. */
 const struct ownership *config_tree_ownership(const struct config_tree *config_tree, const char *name);
 const struct planned *config_tree_planned(const struct config_tree *config_tree, const char *id);
 /* The calendar entry that drains the executor at at_ms or within ahead_ms after it, or NULL. */
--- a/src/config_tree/settings.h
+++ b/src/config_tree/settings.h
@@ -1,10 +1,10 @@
 /* The settings that operators may change. Those of queues are inherited from branch to branch of the configuration
- * tree; those of the whole cluster (FF_ROOT) may be set at the root only. */
+ * tree; those of the whole cluster (FF_ROOT_ONLY) may be set at the root only. */
 #ifndef SAGEHITCH_CONFIG_TREE_SETTINGS_H
 #define SAGEHITCH_CONFIG_TREE_SETTINGS_H
 #include "base/schema.h"
 
-/* Invariant: a FF_BOUND value is never higher in a branch than in its parent. */
+/* Invariant: an FF_UPPER_BOUND value is never higher in a branch than in its parent. */
 struct settings {
     /* queues */
     int64_t at_least_once, attempts_max, lease_ms, backoff_ms, backoff_max_ms, run_max_ms, ttl_ms, keep_ms;
--- a/src/keeper/control_updates.c
+++ b/src/keeper/control_updates.c
@@ -139,7 +139,7 @@
     keeper_send(keeper, request.from, FRAME_PROPOSED, &proposed_schema, &message);
 }
 
-void updates_on_propose(struct keeper *keeper, int64_t from, const struct propose *message)
+void keeper_on_propose(struct keeper *keeper, int64_t from, const struct propose *message)
 {
     if (message->group < 0 || message->group >= GROUP_COUNT)
         return;
--- a/src/keeper/keeper.c
+++ b/src/keeper/keeper.c
@@ -155,7 +155,7 @@
                frame ? (int)frame->kind : 0);
 }
 
-static int take_of_node(struct keeper *keeper, const struct frame *frame)
+static int on_node_frame(struct keeper *keeper, const struct frame *frame)
 {
     struct control_updates_request request = {0};
     struct propose propose = {0};
@@ -166,7 +166,7 @@
     } else {
         if (schema_unpack(&propose_schema, &propose, frame->body, frame->len))
             return ERROR_BAD_FRAME;
-        updates_on_propose(keeper, (int64_t)frame->from, &propose);
+        keeper_on_propose(keeper, (int64_t)frame->from, &propose);
         schema_free(&propose_schema, &propose);
     }
     return ERROR_NONE;
@@ -190,9 +190,9 @@
         for (int64_t g = 0; g < GROUP_COUNT && !rc; g++)
             rc = log_on_frame(&keeper->logs[g], &frame);
     else if (frame.kind >= FRAME_BOOTSTRAP_STATUS_REQUEST && frame.kind <= FRAME_JOIN)
-        keeper_bootstrap_take(keeper, &frame);
+        keeper_bootstrap_on_frame(keeper, &frame);
     else if (frame.kind == FRAME_CONTROL_UPDATES_REQUEST || frame.kind == FRAME_PROPOSE)
-        rc = take_of_node(keeper, &frame);
+        rc = on_node_frame(keeper, &frame);
     else
         rc = ERROR_BAD_FRAME;
     if (rc)
--- a/src/keeper/keeper.h
+++ b/src/keeper/keeper.h
@@ -1,5 +1,5 @@
 /* A keeper: a process with a disk that stores both replicated logs and applies them. It sends the nodes the entries of
- * the control log; as the leader of that log it assigns shards and homes to nodes. */
+ * the control log; as the leader of that log it assigns shards and executors to nodes. */
 #ifndef SAGEHITCH_KEEPER_H
 #define SAGEHITCH_KEEPER_H
 #include "base/slab.h"
@@ -71,12 +71,12 @@
                     int64_t len);
 void keeper_send(struct keeper *keeper, int64_t to, enum frame_kind kind, const struct schema *schema, const void *msg);
 
-/* bootstrap.c */
+/* keeper_bootstrap.c */
 int keeper_bootstrap_identity(struct keeper *keeper);
 void keeper_bootstrap_finish(struct keeper *keeper);
 int keeper_bootstrap_empty(const struct keeper *keeper);
 void keeper_bootstrap_on_timer(struct keeper *keeper);
-void keeper_bootstrap_take(struct keeper *keeper, const struct frame *frame);
+void keeper_bootstrap_on_frame(struct keeper *keeper, const struct frame *frame);
 
 /* replace.c */
 void replace_on_timer(struct keeper *keeper);
@@ -85,7 +85,7 @@
 /* control_updates.c */
 void updates_on_request(struct keeper *keeper, int64_t from, const struct control_updates_request *request);
 void updates_notify(struct keeper *keeper);
-void updates_on_propose(struct keeper *keeper, int64_t from, const struct propose *message);
+void keeper_on_propose(struct keeper *keeper, int64_t from, const struct propose *message);
 
 /* ownership.c */
 void ownership_on_timer(struct keeper *keeper);
--- a/src/keeper/keeper_bootstrap.c
+++ b/src/keeper/keeper_bootstrap.c
@@ -115,7 +115,7 @@
         bootstrap_if_complete(keeper);
 }
 
-void keeper_bootstrap_take(struct keeper *keeper, const struct frame *frame)
+void keeper_bootstrap_on_frame(struct keeper *keeper, const struct frame *frame)
 {
     struct bootstrap_status status = {0};
     struct join join = {0};
--- a/src/keeper/ownership.c
+++ b/src/keeper/ownership.c
@@ -1,6 +1,6 @@
-/* Assigns shards and homes of executors to nodes: each to the first live node in an order that all keepers agree on,
- * under an epoch that only rises. Also proposes planned settings when they are due. Only the leader of the control log
- * does this. */
+/* Assigns shards and executors to nodes that own them: each to the first live node in an order that all keepers agree
+ * on, under an epoch that only rises. Also proposes planned settings when they are due. Only the leader of the control
+ * log does this. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -17,8 +17,8 @@
     return info->role == ROLE_NODE && info->state != PEER_DEAD && !info->leaving;
 }
 
-/* The live node that ranks first for a shard or home, by rendezvous hashing: keepers that know the same peers compute
- * the same node. */
+/* The live node that ranks first for a shard or executor, by rendezvous hashing: keepers that know the same peers
+ * compute the same node. */
 static const struct peer *first_in_order(const struct keeper *keeper, const char *name)
 {
     const struct peer *best = NULL;
@@ -48,9 +48,9 @@
         (struct ownership){.name = must_dup(name), .owner = to->info.addr, .boot = to->info.boot, .epoch = epoch};
 }
 
-/* Adds to op the assignment of a shard or home if it has to move. From a dead owner it moves at once. From a live owner
- * it moves only after no peer has changed state for settle_ms, one move at a time, to a node that has been alive for as
- * long. */
+/* Adds to op the assignment of a shard or executor if it has to move. From a dead owner it moves at once. From a live
+ * owner it moves only after no peer has changed state for settle_ms, one move at a time, to a node that has been alive
+ * for as long. */
 static void assign_if_needed(struct keeper *keeper, struct config_tree_op *op, const char *name, int64_t now_ms,
                              int64_t settle_ms, int *moves)
 {
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -98,7 +98,7 @@
     return &item->settings;
 }
 
-static void take_unpacked(struct node *node, const struct frame *frame)
+static void on_unpacked_frame(struct node *node, const struct frame *frame)
 {
     union {
         struct control_updates updates;
@@ -172,7 +172,7 @@
     if (frame_lossy(frame.kind))
         peers_on_frame(&node->peers, &frame);
     else
-        take_unpacked(node, &frame);
+        on_unpacked_frame(node, &frame);
 }
 
 void node_on_timer(struct node *node)
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,5 +1,5 @@
-/* A node: a process that replicates the configuration tree from the keepers, runs what it owns by the ownerships
- * there (shards, and the homes of executors), and serves the HTTP API. */
+/* A node: a process that replicates the configuration tree from the keepers, runs the shards and executors
+ * that it owns by that tree, and serves the HTTP API. */
 #ifndef SAGEHITCH_NODE_H
 #define SAGEHITCH_NODE_H
 #include "base/frame.h"
@@ -16,8 +16,8 @@
 
 /* --- frames between nodes and keepers --------------------------------------------------- */
 
-/* Asks the leader of the control log for the entries after index. As FRAME_NEWS, from the leader: the log is committed
- * up to index. */
+/* Asks the leader of the control log for the entries after index. The leader sends the same struct as
+ * FRAME_CONTROL_UPDATES_NOTICE, to say that the log is committed up to index. */
 struct control_updates_request {
     int64_t index, sent_ms, boot;
 };
@@ -136,7 +136,7 @@
 /* The placement of one row, or of all rows of a gang: reserved on executors, then committed. */
 struct staging {
     int64_t shard, shard_epoch, job, queue, until_ms, committing, n_places, failed, step, urgency;
-    int64_t ignores_view; /* reserves even where the executor view shows no free capacity */
+    int64_t ignores_view; /* reserves even where the executor summary shows no free capacity */
     struct staging_place *places;
 };
 
@@ -175,7 +175,7 @@
 void node_start(struct node *node, struct world *w, const struct peer_setup *setup);
 void node_end(struct node *node);
 void node_on_timer(struct node *node);
-void node_on_frame(struct node *node, const uint8_t *at, int64_t len); /* a frame received */
+void node_on_frame(struct node *node, const uint8_t *at, int64_t len); /* handles a received frame */
 void node_leave(struct node *node);         /* asks for the ownerships to be moved to other nodes */
 int node_has_left(const struct node *node); /* 1: this node owns nothing any more */
 /* Sends msg to a process; to this node itself by calling node_on_frame(). to 0: does nothing. */
@@ -195,7 +195,7 @@
 /* 1 while a leader has confirmed this node's configuration tree recently enough to act by it. */
 int admission_open(const struct node *node);
 /* Proposes op, which it takes over, and resends it until a leader answers; done is called once with tag, with
- * ERROR_GAVE_UP after wait_ms. Returns the number of the proposal. */
+ * ERROR_OUTCOME_UNKNOWN after wait_ms. Returns the number of the proposal. */
 int64_t node_propose(struct node *node, int64_t group, struct bytes *op, int64_t wait_ms, proposal_done *done,
                      int64_t tag);
 void proposals_on_timer(struct node *node);
@@ -271,7 +271,7 @@
 /* shard/place.c, shard/assign.c */
 void place_on_timer(struct node *node);
 void place_on_reserved(struct node *node, const struct reserve_reply *message);
-/* The placement op was committed; folded: the error with which the rows rejected it, or 0. */
+/* The placement op was committed; apply_error: the error with which the rows rejected it, or 0. */
 void place_committed(struct node *node, struct shard *shard, int64_t staging, const struct op *op, int apply_error);
 void staging_free(struct node *node, int64_t staging);
 /* Chooses an executor for each reservation of a staging, or returns an error. */
@@ -292,19 +292,19 @@
 /* 0 while some tasks of the gang are still placed. */
 int gang_may_stage(const struct job *job, int64_t no);
 void gang_placed(struct node *node, struct job *job, int64_t no);
-/* A home reported the state of a task; once all tasks of the gang are held, they are told to begin. */
+/* An executor owner reported the state of a task. Once all tasks of the gang are held, it orders them to begin. */
 void gang_on_member_state(struct node *node, struct shard *shard, struct job *job, int64_t no, int64_t state);
 /* Stops the gang if not all of its tasks run in time after the placement. */
 void gang_check_timeout(struct node *node, struct shard *shard, struct job *job, int64_t no);
 void gang_stop(struct node *node, struct shard *shard, struct job *job, int64_t no);
 
 /* shard/track.c */
-/* Orders to the home of the executor: to begin a held task, to stop a task, to start a task. */
+/* track_go(), track_stop() and track_start() order the executor owner to begin a held task, to stop, to start one. */
 void track_go(struct node *node, struct shard *shard, struct job *job, int64_t no);
 void track_on_timer(struct node *node, struct shard *shard);
 void track_stop(struct node *node, struct shard *shard, struct job *job, int64_t no);
 void track_start(struct node *node, struct shard *shard, struct job *job, int64_t no);
-/* Reports of homes: a task has ended; the states of tasks that were asked for. */
+/* Reports of executor owners: a task has ended; the states of tasks that a check asked for. */
 void track_on_ended(struct node *node, const struct ended *message);
 void track_on_checked(struct node *node, const struct check_reply *message);
 void track_committed(struct node *node, struct shard *shard, const struct op *op);
@@ -322,7 +322,7 @@
 void enqueue_cancel(struct node *node, int64_t request, int64_t job);
 void enqueue_show(struct node *node, int64_t request, int64_t job, const char *path);
 void enqueue_list(struct node *node, int64_t request, int64_t shard, const char *path);
-void enqueue_committed(struct node *node, struct shard *shard, const struct buffered_op *b, int apply_error);
+void enqueue_committed(struct node *node, struct shard *shard, const struct buffered_op *buffered, int apply_error);
 /* Accepts the jobs of planned runs that are due. */
 void enqueue_runs(struct node *node);
 #endif
--- a/src/peer/peer.c
+++ b/src/peer/peer.c
@@ -10,10 +10,10 @@
 /* A probe carries up to INFO_MAX infos; a changed peer goes out on INFO_SENDS probes. */
 enum { INFO_MAX = 10, INFO_SENDS = 14, INDIRECT_PROBES = 3, OFFSET_FRESH_MS = 5000 };
 
-static const struct field news_fields[] = {INT(peer_info, addr),    INT(peer_info, boot),  INT(peer_info, role),
+static const struct field info_fields[] = {INT(peer_info, addr),    INT(peer_info, boot),  INT(peer_info, role),
                                            INT(peer_info, http),    INT(peer_info, state), INT(peer_info, incarnation),
                                            INT(peer_info, leaving), STR(peer_info, zone),  INT(peer_info, level)};
-SCHEMA(peer_info_schema, peer_info, news_fields);
+SCHEMA(peer_info_schema, peer_info, info_fields);
 
 static const struct field probe_fields[] = {INT(peer_probe, seq), INT_NAMED(peer_probe, wall_ms, "wallMs"),
                                             INT_NAMED(peer_probe, target, "about"),
--- a/src/peer/peer.h
+++ b/src/peer/peer.h
@@ -20,7 +20,7 @@
 };
 
 /* since_ms: time of the last change of state. sends_left: probes that will carry the info first.
- * Invariants: news.addr is unique in the list; offset_ms is the peer's wall clock less this process's monotonic clock
+ * Invariants: info.addr is unique in the list; offset_ms is the peer's wall clock less this process's monotonic clock
  * and counts only while heard_ms is recent. */
 struct peer {
     struct peer_info info;
