--- a/src/base/bytes.c
+++ b/src/base/bytes.c
@@ -1,4 +1,4 @@
-/* Byte strings, memory that ends the process when it runs out, numbers and hashes. */
+/* Byte strings, memory allocation, numbers, hashes and addresses. */
 #include "base/bytes.h"
 
 #include <arpa/inet.h>
@@ -53,7 +53,7 @@
     return memcpy(must_alloc(len), text, len);
 }
 
-/* Prints into heap memory, the caller's; ends the process without memory. */
+/* Formats into heap memory, which the caller must free(); aborts the process if memory runs out. */
 static char *must_vprintf(const char *format, va_list args)
 {
     char *text = NULL;
@@ -166,8 +166,8 @@
 const char *addr_text(uint64_t addr)
 {
     static char texts[8][32];
-    static int turn;
-    char *text = texts[turn++ & 7];
+    static int next;
+    char *text = texts[next++ & 7];
     uint32_t ip = (uint32_t)(addr >> 16);
     snprintf(text, 32, "%u.%u.%u.%u:%u", ip >> 24, (ip >> 16) & 255, (ip >> 8) & 255, ip & 255,
              (unsigned)(addr & 0xffff));
--- a/src/base/bytes.h
+++ b/src/base/bytes.h
@@ -1,21 +1,21 @@
-/* Growing byte strings, memory that never fails, checksums, hashes and addresses. All modules use them.
- * Functions that allocate end the process when there is no memory, so none of them returns an error. */
+/* Growing byte strings, memory allocation, checksums, hashes and addresses, used by all modules. Functions that
+ * allocate abort the process if memory runs out, so none of them returns an error. */
 #ifndef SAGEHITCH_BYTES_H
 #define SAGEHITCH_BYTES_H
 #include <stddef.h>
 #include <stdint.h>
 
-/* A growing byte string; all zero is the empty one. Owned by the holder of the struct; at is NULL or heap memory of cap
- * bytes, len <= cap, and at[len] is 0 once anything was added. */
+/* A growing byte string; zero-initialized it is empty. The struct owns at, which is NULL or heap memory of cap bytes.
+ * Invariant: len <= cap, and at[len] is 0 once anything was added. */
 struct bytes {
     uint8_t *at;
     int64_t len;
     int64_t cap;
 };
 
-/* Bytes with several owners (a frame sent to many is built once), by reference count.
- * Invariant: refs counts the owners. blob_new() makes the caller one; a function that keeps a
- * blob beyond its call takes a reference by blob_hold(); each owner ends by blob_drop(). */
+/* Reference-counted bytes, so that a frame to several receivers is built once. Invariant: refs is the number of owners.
+ * The caller of blob_new() is one; a function that keeps a blob beyond its call takes a reference by blob_hold(); each
+ * owner releases its reference by blob_drop(). */
 struct blob {
     int64_t refs;
     struct bytes bytes;
@@ -28,47 +28,47 @@
 /* Drops a reference; the last one frees the bytes and the blob. */
 void blob_drop(struct blob *blob);
 
-/* Zeroed memory of size bytes, the caller's to free(). */
+/* Returns size bytes of zeroed memory, which the caller must free(). */
 void *must_alloc(size_t size);
-/* realloc(): moves at (may be NULL) to size bytes; what is new is not zeroed. */
+/* As realloc(): resizes at (may be NULL) to size bytes. Added bytes are not zeroed. */
 void *must_grow(void *at, size_t size);
-/* A copy of text, the caller's to free(); NULL for NULL. */
+/* Returns a copy of text, which the caller must free(); NULL for NULL. */
 char *must_dup(const char *text);
-/* The printed text, the caller's to free(). */
+/* Returns the formatted text, which the caller must free(). */
 char *must_printf(const char *format, ...) __attribute__((format(printf, 1, 2)));
 
-/* Appends len bytes; from may not lie within to. */
+/* Appends len bytes; from must not point into to. */
 void bytes_add(struct bytes *to, const void *from, int64_t len);
-/* Appends the printed text. */
+/* Appends the formatted text. */
 void bytes_printf(struct bytes *to, const char *format, ...) __attribute__((format(printf, 2, 3)));
-/* Frees the memory and makes the string empty. */
+/* Frees the memory and empties the string. */
 void bytes_free(struct bytes *bytes);
-/* Makes to a copy of from; to must be empty. */
+/* Copies from to to, which must be empty. */
 void bytes_copy(struct bytes *to, const struct bytes *from);
 
-/* Writes and reads the lowest n bytes (at most 8) of a number in little-endian order. */
+/* Write and read the lowest n bytes (at most 8) of a number in little-endian order. */
 void le_put(uint8_t *at, uint64_t v, int n);
 uint64_t le_get(const uint8_t *at, int n);
 
 /* CRC-32 (zlib) of len bytes. */
 uint32_t crc_of(const void *at, int64_t len);
-/* 64-bit hashes of bytes, of a text (NULL counts as empty) and of two numbers. Not cryptographic; the
- * same in every process, so they may be stored and sent. */
+/* 64-bit hashes of bytes, of a text (NULL counts as empty) and of two numbers. Not cryptographic. They are equal in
+ * every process, so they may be stored and sent. */
 uint64_t hash_of(const void *at, int64_t len);
 uint64_t hash_text(const char *text);
 uint64_t hash_mix(uint64_t a, uint64_t b);
 
-/* The decimal number that text starts with, saturated; 0 where there is none. Those who
- * must tell a wrong number from 0 call strtoll() and look where it ended. */
+/* Returns the decimal number at the start of text, saturated, or 0 if there is none. To detect invalid input, call
+ * strtoll() and check its end pointer instead. */
 int64_t text_to_int64(const char *text);
 
-/* An address is IPv4 and port in one number. addr_parse() returns 0 where text is not IP:PORT. */
+/* An address is an IPv4 address and a port in one number. addr_parse() returns 0 if text is not IP:PORT. */
 uint64_t addr_parse(const char *text);
-/* IP:PORT in one of a few static buffers, overwritten by later calls. */
+/* Returns IP:PORT in one of 8 static buffers, which later calls overwrite. */
 const char *addr_text(uint64_t addr);
 
-/* Grows the array items of n by one zeroed item and returns a pointer to it; older pointers into the
- * array are no longer valid. */
+/* Appends a zeroed item to the array items of n items and returns a pointer to it. Earlier pointers into the array
+ * become invalid. */
 #define list_more(items, n)                                                                                        \
     ((items) = must_grow((items), sizeof *(items) * (size_t)((n) + 1)), memset(&(items)[(n)], 0, sizeof *(items)), \
      &(items)[(n)++])
--- a/src/base/change_history.c
+++ b/src/base/change_history.c
@@ -1,4 +1,4 @@
-/* History of applied changes, by which repetitions are recognised. */
+/* History of applied changes, to recognise repeated ones. */
 #include "base/change_history.h"
 
 #include <string.h>
@@ -30,12 +30,12 @@
 {
     const struct taken_change *oldest = NULL;
     for (int64_t i = 0; i < history->n; i++) {
-        const struct taken_change *taken = &history->changes[i];
-        if (taken->key != change->key)
+        const struct taken_change *known = &history->changes[i];
+        if (known->key != change->key)
             continue;
-        oldest = oldest ? oldest : taken;
-        if (taken->version == change->version)
-            return taken->hash == change->hash && (taken->base == change->base || taken->base == BASE_UNKNOWN)
+        oldest = oldest ? oldest : known;
+        if (known->version == change->version)
+            return known->hash == change->hash && (known->base == change->base || known->base == BASE_UNKNOWN)
                        ? ERROR_NONE
                        : ERROR_STALE;
     }
--- a/src/base/change_history.h
+++ b/src/base/change_history.h
@@ -1,41 +1,39 @@
-/* The changes of something versioned that were taken, the newest of them: what is needed to
- * acknowledge a change again that is sent again after its answer was lost, also when others
- * have been made on top of it since. Folded from committed ops alone, so that all voters hold the
- * same. Bodies are known by a hash of 64 bits and are not kept. */
+/* The newest changes that were applied to a versioned object. They serve to acknowledge a change that a client repeats
+ * because the response was lost, even if later changes were applied since. The history is derived only from committed
+ * operations, so that it is equal on all voters. Of a change's body it keeps only a 64-bit hash. */
 #ifndef SAGEHITCH_CHANGE_HISTORY_H
 #define SAGEHITCH_CHANGE_HISTORY_H
 #include "base/error.h"
 #include "base/schema.h"
 
-/* How many are remembered: more than the hundreds of changes of a long day. 32 bytes each in
- * memory, so 16 KiB for a full history, and at most 37 bytes each in a snapshot. */
+/* Number of changes kept: more than the hundreds of changes of a long day. Each takes 32 bytes in memory, so a full
+ * history takes 16 KiB, and at most 37 bytes in a snapshot. */
 enum { CHANGES_REMEMBERED = 512 };
 
-/* base of a change that was restored without it: any base is taken for its own. */
+/* base of a change that was restored from data without a base; it matches any base. */
 enum { BASE_UNKNOWN = -1 };
 
-/* One change that was taken. key: 0, or a hash of what was changed where a history is of several
- * things; version: the number it was taken under; base: the version it was built on;
- * hash: of its body, the bits of it as a signed number. */
+/* One applied change. key: hash of the changed object if a history covers several objects, otherwise 0; version: number
+ * that the change was applied under; base: version that it was based on; hash: change_hash() of its body. */
 struct taken_change {
     int64_t key, version, base, hash;
 };
 
-/* Invariants: in the order taken, so versions of a key rise; complete is 0 once any was dropped, or
- * where what came before the first is not known. All zero is a history of which nothing is known. */
+/* Invariants: changes are in the order of application, so the versions of a key increase; complete is 0 if changes
+ * before the first one were dropped or are unknown. Zero-initialized it is a history of which nothing is known. */
 struct change_history {
     struct taken_change *changes;
     int64_t n, complete;
 };
 extern const struct schema change_history_schema;
 
-/* The hash by which a body of len bytes is known. */
+/* The hash that identifies a body of len bytes. */
 int64_t change_hash(const void *body, int64_t len);
-/* Adds a change, and drops the oldest if there are too many. */
+/* Adds a change, and drops the oldest if the history is full. */
 void change_history_add(struct change_history *history, const struct taken_change *change);
-/* Of a change whose version is not above the current one of its key: ERROR_NONE: it was taken, as it
- * is; ERROR_STALE: it surely was not; ERROR_GAVE_UP: it is older than all that is remembered. */
+/* Checks a change whose version is not above the current one of its key. ERROR_NONE: exactly this change was applied;
+ * ERROR_STALE: it was not; ERROR_GAVE_UP: unknown, it is older than the history. */
 enum sagehitch_error change_history_check(const struct change_history *history, const struct taken_change *change);
-/* What was read keeps the invariants; where not, it must not be used. */
+/* Whether a history that was read keeps the invariants; otherwise it must not be used. */
 int change_history_good(const struct change_history *history);
 #endif
--- a/src/base/error.c
+++ b/src/base/error.c
@@ -1,7 +1,7 @@
 /* The table of errors and their HTTP responses. */
 #include "base/error.h"
 
-static const struct error_response answers[] = {
+static const struct error_response responses[] = {
     [-ERROR_NONE] = {.name = "ok", .status = 200},
     [-ERROR_BAD_JSON] = {.name = "bad_json", .status = 400},
     [-ERROR_BAD_FIELD] = {.name = "bad_field", .status = 400},
@@ -27,11 +27,11 @@
     [-ERROR_GONE] = {.name = "gone", .status = 410},
 };
 
-static const struct error_response unknown_answer = {.name = "unknown", .status = 500};
+static const struct error_response unknown_response = {.name = "unknown", .status = 500};
 
 const struct error_response *error_response(int error)
 {
     if (error > 0 || error <= ERROR_LAST)
-        return &unknown_answer;
-    return &answers[-error];
+        return &unknown_response;
+    return &responses[-error];
 }
--- a/src/base/journal.c
+++ b/src/base/journal.c
@@ -27,7 +27,7 @@
         json_t *one =
             json_pack("{s:I,s:I,s:I,s:I,s:s,s:s}", "no", (json_int_t)e->no, "atMs", (json_int_t)e->at_ms, "task",
                       (json_int_t)e->task, "attempt", (json_int_t)e->attempt, "what", e->what, "detail", e->detail);
-        /* a detail cut in the middle of a character is left out rather than the event */
+        /* json_pack() fails if detail was truncated inside a UTF-8 character: skip the event */
         if (one)
             json_array_append_new(list, one);
     }
--- a/src/base/schema.c
+++ b/src/base/schema.c
@@ -7,13 +7,14 @@
 
 #include "base/error.h"
 
-/* Invariant: decoding stops at this depth of nesting; no schema is nested as deep */
+/* DEPTH_MAX: decoding fails at this depth of nesting; no schema is nested as deep. ADDED_MAX: fields that a newer
+ * version may have added to a schema. */
 enum { DEPTH_MAX = 12, ADDED_MAX = 64, KINDS_MAX = 63 };
 
 static void *at_off(const void *base, size_t off) { return (char *)(uintptr_t)base + off; }
 static int64_t *count_at(const struct field *field, const void *base) { return at_off(base, field->count_off); }
 
-/* Whether the member of a tagged union is there under its kind. */
+/* Whether the struct's kind has this member of a tagged union. */
 static int is_present(const struct field *field, const void *base)
 {
     int64_t kind = *(const int64_t *)base;
@@ -144,24 +145,24 @@
     int64_t left;
 };
 
-static void got_u64(struct item *it, uint64_t v)
+static void set_uint(struct item *item, uint64_t v)
 {
     if (v <= INT64_MAX)
-        *it = (struct item){.kind = I_INT, .value = (int64_t)v};
+        *item = (struct item){.kind = I_INT, .value = (int64_t)v};
 }
-static void got_n64(struct item *it, uint64_t v)
+static void set_negint(struct item *item, uint64_t v)
 {
     if (v <= INT64_MAX)
-        *it = (struct item){.kind = I_INT, .value = -1 - (int64_t)v};
+        *item = (struct item){.kind = I_INT, .value = -1 - (int64_t)v};
 }
-static void on_u8(void *c, uint8_t v) { got_u64(c, v); }
-static void on_u16(void *c, uint16_t v) { got_u64(c, v); }
-static void on_u32(void *c, uint32_t v) { got_u64(c, v); }
-static void on_u64(void *c, uint64_t v) { got_u64(c, v); }
-static void on_n8(void *c, uint8_t v) { got_n64(c, v); }
-static void on_n16(void *c, uint16_t v) { got_n64(c, v); }
-static void on_n32(void *c, uint32_t v) { got_n64(c, v); }
-static void on_n64(void *c, uint64_t v) { got_n64(c, v); }
+static void on_u8(void *c, uint8_t v) { set_uint(c, v); }
+static void on_u16(void *c, uint16_t v) { set_uint(c, v); }
+static void on_u32(void *c, uint32_t v) { set_uint(c, v); }
+static void on_u64(void *c, uint64_t v) { set_uint(c, v); }
+static void on_n8(void *c, uint8_t v) { set_negint(c, v); }
+static void on_n16(void *c, uint16_t v) { set_negint(c, v); }
+static void on_n32(void *c, uint32_t v) { set_negint(c, v); }
+static void on_n64(void *c, uint64_t v) { set_negint(c, v); }
 static void on_text(void *c, cbor_data at, size_t len)
 {
     *(struct item *)c = (struct item){.kind = I_TEXT, .at = at, .len = (int64_t)len};
@@ -177,7 +178,7 @@
 }
 static void on_null(void *c) { *(struct item *)c = (struct item){.kind = I_NULL}; }
 
-static enum sagehitch_error next_item(struct cursor *cur, struct item *item)
+static enum sagehitch_error next_item(struct cursor *cursor, struct item *item)
 {
     static struct cbor_callbacks calls;
     if (!calls.uint8) {
@@ -188,128 +189,131 @@
         calls.null = on_null;
     }
     *item = (struct item){0};
-    struct cbor_decoder_result r = cbor_stream_decode(cur->at, (size_t)cur->left, &calls, item);
+    struct cbor_decoder_result r = cbor_stream_decode(cursor->at, (size_t)cursor->left, &calls, item);
     if (r.status != CBOR_DECODER_FINISHED || item->kind == I_NONE)
         return ERROR_BAD_FRAME;
-    cur->at += r.read;
-    cur->left -= (int64_t)r.read;
+    cursor->at += r.read;
+    cursor->left -= (int64_t)r.read;
     return ERROR_NONE;
 }
 
-static enum sagehitch_error take_str(struct cursor *cur, char **to)
+static enum sagehitch_error get_str(struct cursor *cursor, char **to)
 {
-    struct item it;
-    if (next_item(cur, &it))
+    struct item item;
+    if (next_item(cursor, &item))
         return ERROR_BAD_FRAME;
-    if (it.kind == I_NULL)
+    if (item.kind == I_NULL)
         return ERROR_NONE;
-    if (it.kind != I_TEXT || memchr(it.at, 0, (size_t)it.len))
+    if (item.kind != I_TEXT || memchr(item.at, 0, (size_t)item.len))
         return ERROR_BAD_FRAME;
-    *to = must_alloc((size_t)it.len + 1);
-    memcpy(*to, it.at, (size_t)it.len);
+    *to = must_alloc((size_t)item.len + 1);
+    memcpy(*to, item.at, (size_t)item.len);
     return ERROR_NONE;
 }
 
-static enum sagehitch_error take_int(struct cursor *cur, int64_t *to)
+static enum sagehitch_error get_int(struct cursor *cursor, int64_t *to)
 {
-    struct item it;
-    if (next_item(cur, &it) || it.kind != I_INT)
+    struct item item;
+    if (next_item(cursor, &item) || item.kind != I_INT)
         return ERROR_BAD_FRAME;
-    *to = it.value;
+    *to = item.value;
     return ERROR_NONE;
 }
 
-static enum sagehitch_error take_schema(const struct schema *schema, void *to, struct cursor *cur, int depth);
+static enum sagehitch_error get_schema(const struct schema *schema, void *to, struct cursor *cursor, int depth);
 
-static enum sagehitch_error take_list(const struct field *field, void *to, struct cursor *cur, int depth)
+static enum sagehitch_error get_list(const struct field *field, void *to, struct cursor *cursor, int depth)
 {
-    struct item it;
+    struct item item;
     void *at = at_off(to, field->off);
     int64_t *count = count_at(field, to);
     /* every element takes at least one byte, so a larger count is invalid */
-    if (next_item(cur, &it) || it.kind != I_ARRAY || it.value > cur->left)
+    if (next_item(cursor, &item) || item.kind != I_ARRAY || item.value > cursor->left)
         return ERROR_BAD_FRAME;
-    size_t each = field->kind == F_LIST ? field->sub->size : field->kind == F_INTS ? sizeof(int64_t) : sizeof(char *);
-    if (!it.value)
+    size_t item_size = field->kind == F_LIST   ? field->sub->size
+                       : field->kind == F_INTS ? sizeof(int64_t)
+                                               : sizeof(char *);
+    if (!item.value)
         return ERROR_NONE;
-    char *items = must_alloc(each * (size_t)it.value);
+    char *items = must_alloc(item_size * (size_t)item.value);
     *(char **)at = items;
-    for (int64_t k = 0; k < it.value; k++) {
+    for (int64_t k = 0; k < item.value; k++) {
         *count = k + 1;
-        void *one = items + (size_t)k * each;
-        int rc = field->kind == F_LIST   ? take_schema(field->sub, one, cur, depth + 1)
-                 : field->kind == F_INTS ? take_int(cur, one)
-                                         : take_str(cur, one);
+        void *one = items + (size_t)k * item_size;
+        int rc = field->kind == F_LIST   ? get_schema(field->sub, one, cursor, depth + 1)
+                 : field->kind == F_INTS ? get_int(cursor, one)
+                                         : get_str(cursor, one);
         if (rc)
             return rc;
     }
     return ERROR_NONE;
 }
 
-static enum sagehitch_error take_field(const struct field *field, void *to, struct cursor *cur, int depth)
+static enum sagehitch_error get_field(const struct field *field, void *to, struct cursor *cursor, int depth)
 {
     void *at = at_off(to, field->off);
-    struct item it;
+    struct item item;
     switch (field->kind) {
     case F_INT:
-    case F_BOOL: return take_int(cur, at);
-    case F_STR: return take_str(cur, at);
+    case F_BOOL: return get_int(cursor, at);
+    case F_STR: return get_str(cursor, at);
     case F_BYTES:
-        if (next_item(cur, &it) || it.kind != I_BYTES)
+        if (next_item(cursor, &item) || item.kind != I_BYTES)
             return ERROR_BAD_FRAME;
-        if (it.len)
-            bytes_add(at, it.at, it.len);
+        if (item.len)
+            bytes_add(at, item.at, item.len);
         return ERROR_NONE;
     case F_STRS:
     case F_INTS:
-    case F_LIST: return take_list(field, to, cur, depth);
-    case F_SUB: return take_schema(field->sub, at, cur, depth + 1);
+    case F_LIST: return get_list(field, to, cursor, depth);
+    case F_SUB: return get_schema(field->sub, at, cursor, depth + 1);
     case F_PTR:
-        if (cur->left > 0 && *cur->at == 0xf6)
-            return next_item(cur, &it);
+        if (cursor->left > 0 && *cursor->at == 0xf6)
+            return next_item(cursor, &item);
         *(void **)at = must_alloc(field->sub->size);
-        return take_schema(field->sub, *(void **)at, cur, depth + 1);
+        return get_schema(field->sub, *(void **)at, cursor, depth + 1);
     }
     return ERROR_BAD_FRAME;
 }
 
 /* Skips a field that a newer version added, or that is absent under the struct's kind. */
-static enum sagehitch_error skip(struct cursor *cur, int depth)
+static enum sagehitch_error skip_item(struct cursor *cursor, int depth)
 {
-    struct item it;
-    if (depth > DEPTH_MAX || next_item(cur, &it))
+    struct item item;
+    if (depth > DEPTH_MAX || next_item(cursor, &item))
         return ERROR_BAD_FRAME;
-    for (int64_t i = 0; it.kind == I_ARRAY && i < it.value; i++)
-        if (skip(cur, depth + 1))
+    for (int64_t i = 0; item.kind == I_ARRAY && i < item.value; i++)
+        if (skip_item(cursor, depth + 1))
             return ERROR_BAD_FRAME;
     return ERROR_NONE;
 }
 
-/* Fields are only ever added, at the end: those an older version did not send keep
- * their zero, those a newer one added are skipped. See docs/versions.md. */
-static enum sagehitch_error take_schema(const struct schema *schema, void *to, struct cursor *cur, int depth)
+/* Fields are only added, at the end: those that an older version did not send stay zero, and those that a newer version
+ * added are skipped. See docs/versions.md. */
+static enum sagehitch_error get_schema(const struct schema *schema, void *to, struct cursor *cursor, int depth)
 {
-    struct item it;
-    if (depth > DEPTH_MAX || next_item(cur, &it) || it.kind != I_ARRAY || !it.value || it.value > schema->n + ADDED_MAX)
+    struct item item;
+    if (depth > DEPTH_MAX || next_item(cursor, &item) || item.kind != I_ARRAY || !item.value ||
+        item.value > schema->n + ADDED_MAX)
         return ERROR_BAD_FRAME;
-    for (int i = 0; i < schema->n && i < it.value; i++)
+    for (int i = 0; i < schema->n && i < item.value; i++)
         if (schema->tagged && !is_present(&schema->fields[i], to)) {
-            if (skip(cur, depth + 1))
+            if (skip_item(cursor, depth + 1))
                 return ERROR_BAD_FRAME;
-        } else if (take_field(&schema->fields[i], to, cur, depth)) {
+        } else if (get_field(&schema->fields[i], to, cursor, depth)) {
             return ERROR_BAD_FRAME;
         }
-    for (int64_t i = schema->n; i < it.value; i++)
-        if (skip(cur, depth + 1))
+    for (int64_t i = schema->n; i < item.value; i++)
+        if (skip_item(cursor, depth + 1))
             return ERROR_BAD_FRAME;
     return ERROR_NONE;
 }
 
 enum sagehitch_error schema_unpack(const struct schema *schema, void *to, const uint8_t *at, int64_t len)
 {
-    struct cursor cur = {.at = at, .left = len};
-    enum sagehitch_error rc = take_schema(schema, to, &cur, 0);
-    if (!rc && cur.left)
+    struct cursor cursor = {.at = at, .left = len};
+    enum sagehitch_error rc = get_schema(schema, to, &cursor, 0);
+    if (!rc && cursor.left)
         rc = ERROR_BAD_FRAME;
     if (rc) {
         schema_free(schema, to);
@@ -318,7 +322,7 @@
     return rc;
 }
 
-/* --- owning ------------------------------------------------------------- */
+/* --- memory ------------------------------------------------------------- */
 
 void schema_free(const struct schema *schema, void *what)
 {
--- a/src/base/schema.h
+++ b/src/base/schema.h
@@ -1,7 +1,6 @@
-/* Schemas: a table for each struct with the name, offset, type, default and bounds of its members. The
- * table drives the CBOR codec of frames and records, the JSON form, defaults, copying and freeing.
- * CBOR is a positional array: added fields go at the end, older readers ignore them, missing ones
- * are 0. */
+/* Schemas: a table for each struct with the name, offset, type, default and bounds of its members. The table drives the
+ * CBOR codec of frames and records, the JSON form, defaults, copying and freeing. The CBOR form is a positional array:
+ * new fields are added at the end, older readers ignore them, and missing ones are read as 0. */
 #ifndef SAGEHITCH_SCHEMA_H
 #define SAGEHITCH_SCHEMA_H
 #include <jansson.h>
@@ -13,30 +12,30 @@
 
 enum field_kind {
     F_INT,   /* int64_t */
-    F_BOOL,  /* int64_t, true or false outwards */
+    F_BOOL,  /* int64_t, true or false in JSON */
     F_STR,   /* char *, owned, may be NULL */
-    F_BYTES, /* struct bytes, never outwards */
+    F_BYTES, /* struct bytes, never in JSON */
     F_STRS,  /* char **, owned, with a count */
     F_INTS,  /* int64_t *, owned, with a count */
-    F_LIST,  /* items of a sub schema, owned, with a count */
-    F_SUB,   /* a sub schema inline */
-    F_PTR    /* a sub schema owned through a pointer, may be NULL */
+    F_LIST,  /* array of structs of schema sub, owned, with a count */
+    F_SUB,   /* an embedded struct of schema sub */
+    F_PTR    /* a pointer to a struct of schema sub, owned, may be NULL */
 };
 
 enum field_flag {
-    FF_MUST = 1,  /* must be there in JSON */
-    FF_INNER = 2, /* neither taken from nor shown as JSON */
-    FF_BOUND = 4, /* a child in the tree may lower it, never raise it */
-    FF_ROOT = 8   /* only the root of the tree may set it */
+    FF_MUST = 1,  /* required in JSON */
+    FF_INNER = 2, /* neither read from nor written to JSON */
+    FF_BOUND = 4, /* a branch of the configuration tree may lower the inherited value, never raise it */
+    FF_ROOT = 8   /* only the root of the configuration tree may set it */
 };
 
-/* A member. count_off is the offset of the count of a list. Invariant: offsets lie inside the struct the schema
- * describes; counts are int64_t. min == max == 0 means no bound (for F_STR: on the length).
+/* A member of a struct. off: its offset; count_off: offset of the count of a list. Invariant: offsets lie inside the
+ * struct that the schema describes; counts are int64_t. min == max == 0 means no bounds (for F_STR: of the length).
  *
- * kinds is for members of a tagged union: one bit for each value of the struct's kind under which the member is there;
- * 0: always. The schema is then defined by SCHEMA_TAGGED, and the kind is the struct's first member, an int64_t, and
- * the first field. In the CBOR array an absent member has its place, with the empty value of its type (0, null, an
- * empty list); on reading it is skipped, and nothing touches its bytes in the struct. Such schemas have no JSON form.
+ * kinds is for members of a tagged union: one bit for each value of the struct's kind that has the member; 0: all
+ * kinds. The schema is then defined by SCHEMA_TAGGED, and the kind is the struct's first member, an int64_t, and the
+ * first field. In the CBOR array an absent member keeps its position with the empty value of its type (0, null, an
+ * empty list); on reading it is skipped, and its bytes in the struct are not accessed. Such schemas have no JSON form.
  */
 struct field {
     const char *name;
@@ -58,17 +57,19 @@
     int tagged; /* a tagged union: its fields may have kinds */
 };
 
-/* The bit of one kind in field.kinds; and for a member that no kind has, whose place in the array is kept. */
+/* The bit of one kind in field.kinds. KINDS_NONE: no kind has the member any more, but its position in the array is
+ * kept. */
 #define KIND_BIT(KIND) (UINT64_C(1) << (KIND))
 #define KINDS_NONE KIND_BIT(63)
 
-/* Defines the schema NAME of struct TYPE from an array of fields; SCHEMA_TAGGED for fields with kinds. */
+/* Defines the schema NAME of struct TYPE from an array of fields; SCHEMA_TAGGED if the fields have kinds. */
 #define SCHEMA(NAME, TYPE, FIELDS) \
     const struct schema NAME = {.name = #TYPE, .size = sizeof(struct TYPE), .fields = (FIELDS), .n = COUNT_OF(FIELDS)}
 #define SCHEMA_TAGGED(NAME, TYPE, FIELDS) \
     const struct schema NAME = {          \
         .name = #TYPE, .size = sizeof(struct TYPE), .fields = (FIELDS), .n = COUNT_OF(FIELDS), .tagged = 1}
-/* NAME is the outer name, in JSON and settings; where it is left out it is the member's own. */
+/* Fields of struct T for its member M. NAME is the external name in JSON and settings; the macros without it use the
+ * name of the member. N: the member with the count; S: the schema of the items. */
 #define INT_NAMED(T, M, NAME, ...)                                             \
     {                                                                          \
         .name = NAME, .kind = F_INT, .off = offsetof(struct T, M), __VA_ARGS__ \
@@ -116,39 +117,38 @@
     }
 #define PTR(T, M, S, ...) PTR_NAMED(T, M, #M, S, __VA_ARGS__)
 
-/* What was wrong with a JSON body and where. */
+/* What is wrong with a JSON body, and where. */
 struct validation_error {
     int error;
     char path[160];
     char expected[120];
 };
 
-/* Appends the CBOR form of from to to. */
+/* Appends the CBOR form of from. */
 void schema_pack(const struct schema *schema, const void *from, struct bytes *to);
-/* Reads the CBOR form; to must be zeroed and then owns what it points to. Returns 0 or
- * ERROR_BAD_FRAME, with to freed. */
+/* Reads the CBOR form; to must be zeroed and then owns what it points to. On ERROR_BAD_FRAME its contents are freed. */
 enum sagehitch_error schema_unpack(const struct schema *schema, void *to, const uint8_t *at, int64_t len);
-/* Frees what the struct owns, not the struct. */
+/* Frees what the struct owns, not the struct itself. */
 void schema_free(const struct schema *schema, void *what);
-/* A deep copy. */
+/* Makes a deep copy; what to owned before is not freed. */
 void schema_copy(const struct schema *schema, void *to, const void *from);
-/* Sets all members to their defaults, or 0; frees nothing that to may own. */
+/* Sets all members to their defaults, or 0; what to owned before is not freed. */
 void schema_defaults(const struct schema *schema, void *to);
 
-/* The JSON form, as an object (the caller's to json_decref()) and as text (the caller's to free()). */
+/* Return the JSON form as an object (the caller must json_decref() it) and as text (the caller must free() it). */
 json_t *schema_to_json(const struct schema *schema, const void *from);
 char *schema_to_text(const struct schema *schema, const void *from);
-/* Read and check a JSON object. partial: members the body does not name stay as they are; else defaults are
+/* Read and check a JSON object. partial: members that the body does not contain stay unchanged; otherwise defaults are
  * set first. Return 0 or an error, with validation_error filled in. */
 int schema_from_json(const struct schema *schema, void *to, const json_t *body, int partial,
                      struct validation_error *validation_error);
 enum sagehitch_error schema_from_text(const struct schema *schema, void *to, const char *text, int64_t len,
                                       struct validation_error *validation_error);
-/* The member with this outer name, or NULL. */
+/* The member with this external name, or NULL. */
 const struct field *schema_field(const struct schema *schema, const char *name);
 
-/* Fill in a validation error (may be NULL) and return error; texts are cut to fit. path: printf() format of the path of
- * the member at fault; at and name: the two parts of its path. */
+/* Fill in a validation error (may be NULL) and return error; texts are truncated to fit. path: printf() format of the
+ * path of the invalid member; at and name: the two parts of its path. */
 enum sagehitch_error validation_error_set(struct validation_error *validation_error, enum sagehitch_error error,
                                           const char *expected, const char *path, ...)
     __attribute__((format(printf, 4, 5)));
--- a/src/base/schema_json.c
+++ b/src/base/schema_json.c
@@ -1,4 +1,4 @@
-/* Schemas: JSON. */
+/* Schemas: reading and writing JSON. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -59,11 +59,11 @@
     return text;
 }
 
-static enum sagehitch_error in_schema(const struct schema *schema, void *to, const json_t *body, int partial,
-                                      const char *path, struct validation_error *validation_error);
+static enum sagehitch_error parse_object(const struct schema *schema, void *to, const json_t *body, int partial,
+                                         const char *path, struct validation_error *validation_error);
 
-static enum sagehitch_error in_int(const struct field *field, int64_t *to, const json_t *value, const char *path,
-                                   struct validation_error *validation_error)
+static enum sagehitch_error parse_int(const struct field *field, int64_t *to, const json_t *value, const char *path,
+                                      struct validation_error *validation_error)
 {
     char expected[100];
     int bounded = field->min || field->max;
@@ -78,8 +78,8 @@
     return ERROR_NONE;
 }
 
-static enum sagehitch_error in_str(const struct field *field, char **to, const json_t *value, const char *path,
-                                   struct validation_error *validation_error)
+static enum sagehitch_error parse_str(const struct field *field, char **to, const json_t *value, const char *path,
+                                      struct validation_error *validation_error)
 {
     if (!json_is_string(value))
         return validation_error_named(validation_error, ERROR_BAD_FIELD, "", path, "a string");
@@ -93,66 +93,68 @@
     return ERROR_NONE;
 }
 
-static enum sagehitch_error in_list(const struct field *field, void *to, const json_t *value, const char *path,
-                                    struct validation_error *validation_error)
+static enum sagehitch_error parse_list(const struct field *field, void *to, const json_t *value, const char *path,
+                                       struct validation_error *validation_error)
 {
-    char deeper[160];
+    char child_path[160];
     if (!json_is_array(value))
         return validation_error_named(validation_error, ERROR_BAD_FIELD, "", path, "a list");
     int64_t n = (int64_t)json_array_size(value);
     if (n < field->min || (field->max && n > field->max))
         return validation_error_named(validation_error, n < field->min ? ERROR_BAD_FIELD : ERROR_TOO_LARGE, "", path,
                                       "another number of items");
-    size_t each = field->kind == F_LIST ? field->sub->size : field->kind == F_INTS ? sizeof(int64_t) : sizeof(char *);
+    size_t item_size = field->kind == F_LIST   ? field->sub->size
+                       : field->kind == F_INTS ? sizeof(int64_t)
+                                               : sizeof(char *);
     const struct field plain = {.kind = field->kind};
-    char *items = n ? must_alloc(each * (size_t)n) : NULL;
+    char *items = n ? must_alloc(item_size * (size_t)n) : NULL;
     *(char **)at_off(to, field->off) = items;
     for (int64_t k = 0; k < n; k++) {
         *(int64_t *)at_off(to, field->count_off) = k + 1;
-        snprintf(deeper, sizeof deeper, "%.120s[%lld]", path, (long long)k);
+        snprintf(child_path, sizeof child_path, "%.120s[%lld]", path, (long long)k);
         const json_t *one = json_array_get(value, (size_t)k);
         int rc = field->kind == F_LIST
-                     ? in_schema(field->sub, items + (size_t)k * each, one, 0, deeper, validation_error)
-                 : field->kind == F_INTS ? in_int(&plain, (int64_t *)items + k, one, deeper, validation_error)
-                                         : in_str(&plain, (char **)items + k, one, deeper, validation_error);
+                     ? parse_object(field->sub, items + (size_t)k * item_size, one, 0, child_path, validation_error)
+                 : field->kind == F_INTS ? parse_int(&plain, (int64_t *)items + k, one, child_path, validation_error)
+                                         : parse_str(&plain, (char **)items + k, one, child_path, validation_error);
         if (rc)
             return rc;
     }
     return ERROR_NONE;
 }
 
-static enum sagehitch_error in_field(const struct field *field, void *to, const json_t *value, const char *path,
-                                     struct validation_error *validation_error)
+static enum sagehitch_error parse_field(const struct field *field, void *to, const json_t *value, const char *path,
+                                        struct validation_error *validation_error)
 {
     void *at = at_off(to, field->off);
     switch (field->kind) {
-    case F_INT: return in_int(field, at, value, path, validation_error);
+    case F_INT: return parse_int(field, at, value, path, validation_error);
     case F_BOOL:
         if (!json_is_boolean(value))
             return validation_error_named(validation_error, ERROR_BAD_FIELD, "", path, "true or false");
         *(int64_t *)at = json_is_true(value);
         return ERROR_NONE;
-    case F_STR: return in_str(field, at, value, path, validation_error);
+    case F_STR: return parse_str(field, at, value, path, validation_error);
     case F_STRS:
     case F_INTS:
-    case F_LIST: return in_list(field, to, value, path, validation_error);
-    case F_SUB: return in_schema(field->sub, at, value, 0, path, validation_error);
+    case F_LIST: return parse_list(field, to, value, path, validation_error);
+    case F_SUB: return parse_object(field->sub, at, value, 0, path, validation_error);
     case F_PTR:
         if (json_is_null(value))
             return ERROR_NONE;
         *(void **)at = must_alloc(field->sub->size);
-        return in_schema(field->sub, *(void **)at, value, 0, path, validation_error);
+        return parse_object(field->sub, *(void **)at, value, 0, path, validation_error);
     case F_BYTES: break;
     }
     return validation_error_named(validation_error, ERROR_BAD_FIELD, "", path, "no such field");
 }
 
-static enum sagehitch_error in_schema(const struct schema *schema, void *to, const json_t *body, int partial,
-                                      const char *path, struct validation_error *validation_error)
+static enum sagehitch_error parse_object(const struct schema *schema, void *to, const json_t *body, int partial,
+                                         const char *path, struct validation_error *validation_error)
 {
     const char *key;
     json_t *value;
-    char deeper[160];
+    char child_path[160];
     const char *dot = *path ? "." : "";
     if (!json_is_object(body))
         return validation_error_named(validation_error, ERROR_BAD_FIELD, "", path, "an object");
@@ -161,20 +163,20 @@
     json_object_foreach((json_t *)(uintptr_t)body, key, value)
     {
         const struct field *field = schema_field(schema, key);
-        snprintf(deeper, sizeof deeper, "%.100s%s%.50s", path, dot, key);
+        snprintf(child_path, sizeof child_path, "%.100s%s%.50s", path, dot, key);
         if (!field || (field->flags & FF_INNER))
-            return validation_error_named(validation_error, ERROR_BAD_FIELD, "", deeper, "no such field");
+            return validation_error_named(validation_error, ERROR_BAD_FIELD, "", child_path, "no such field");
         if (json_is_null(value) && field->kind == F_STR)
             continue;
-        enum sagehitch_error rc = in_field(field, to, value, deeper, validation_error);
+        enum sagehitch_error rc = parse_field(field, to, value, child_path, validation_error);
         if (rc)
             return rc;
     }
     for (int i = 0; i < schema->n && !partial; i++) {
         const struct field *field = &schema->fields[i];
         if ((field->flags & FF_MUST) && !json_object_get(body, field->name)) {
-            snprintf(deeper, sizeof deeper, "%.100s%s%.50s", path, dot, field->name);
-            return validation_error_named(validation_error, ERROR_BAD_FIELD, "", deeper, "to be there");
+            snprintf(child_path, sizeof child_path, "%.100s%s%.50s", path, dot, field->name);
+            return validation_error_named(validation_error, ERROR_BAD_FIELD, "", child_path, "to be there");
         }
     }
     return ERROR_NONE;
@@ -183,7 +185,7 @@
 int schema_from_json(const struct schema *schema, void *to, const json_t *body, int partial,
                      struct validation_error *validation_error)
 {
-    enum sagehitch_error rc = in_schema(schema, to, body, partial, "", validation_error);
+    enum sagehitch_error rc = parse_object(schema, to, body, partial, "", validation_error);
     if (rc && !partial) {
         schema_free(schema, to);
         memset(to, 0, schema->size);
@@ -197,9 +199,9 @@
     json_error_t error;
     json_t *body = json_loadb(text ? text : "", (size_t)len, JSON_REJECT_DUPLICATES, &error);
     if (!body) {
-        char where[100];
-        snprintf(where, sizeof where, "line %d column %d", error.line, error.column);
-        return validation_error_named(validation_error, ERROR_BAD_JSON, "", where, "JSON");
+        char position[100];
+        snprintf(position, sizeof position, "line %d column %d", error.line, error.column);
+        return validation_error_named(validation_error, ERROR_BAD_JSON, "", position, "JSON");
     }
     int rc = schema_from_json(schema, to, body, 0, validation_error);
     json_decref(body);
--- a/src/base/slab.c
+++ b/src/base/slab.c
@@ -1,4 +1,4 @@
-/* Slabs: numbered cells; the number of a freed cell is not valid again. */
+/* Slab allocator of numbered cells. */
 #include "base/slab.h"
 
 #include <stdlib.h>
@@ -9,24 +9,24 @@
 int64_t slab_take(struct slab *slab, int64_t cell_size)
 {
     int64_t i = 0;
-    while (i < slab->cap && (slab->turns[i] & 1))
+    while (i < slab->cap && (slab->generations[i] & 1))
         i++;
     if (i == slab->cap) {
         slab->cell_size = cell_size;
         slab->cap = slab->cap ? slab->cap * 2 : 16;
         slab->cells = must_grow(slab->cells, (size_t)(slab->cap * cell_size));
-        slab->turns = must_grow(slab->turns, (size_t)slab->cap * sizeof *slab->turns);
-        memset(slab->turns + i, 0, (size_t)(slab->cap - i) * sizeof *slab->turns);
+        slab->generations = must_grow(slab->generations, (size_t)slab->cap * sizeof *slab->generations);
+        memset(slab->generations + i, 0, (size_t)(slab->cap - i) * sizeof *slab->generations);
     }
     memset(slab->cells + i * slab->cell_size, 0, (size_t)slab->cell_size);
-    slab->turns[i]++;
+    slab->generations[i]++;
     slab->used++;
     return slab_number(slab, i);
 }
 
 int64_t slab_number(struct slab *slab, int64_t i)
 {
-    return slab->turns[i] & 1 ? ((int64_t)slab->turns[i] << 24) | (i + 1) : 0;
+    return slab->generations[i] & 1 ? ((int64_t)slab->generations[i] << 24) | (i + 1) : 0;
 }
 
 void *slab_at(struct slab *slab, int64_t number)
@@ -41,13 +41,13 @@
 {
     if (!slab_at(slab, number))
         return;
-    slab->turns[(number & 0xffffff) - 1]++;
+    slab->generations[(number & 0xffffff) - 1]++;
     slab->used--;
 }
 
 void slab_end(struct slab *slab)
 {
     free(slab->cells);
-    free(slab->turns);
+    free(slab->generations);
     *slab = (struct slab){0};
 }
--- a/src/base/validation_error.c
+++ b/src/base/validation_error.c
@@ -1,4 +1,4 @@
-/* Validation errors. */
+/* Filling in of validation errors. */
 #include <stdarg.h>
 #include <stdio.h>
 
--- a/src/base/world.c
+++ b/src/base/world.c
@@ -1,4 +1,4 @@
-/* Numbered events, and helpers on the world. */
+/* The table of events, and helper functions of the environment. */
 #include "base/world.h"
 
 #include <stdarg.h>
@@ -14,10 +14,10 @@
 int event_count(void) { return COUNT_OF(kinds); }
 const struct event_kind *event_at(int i) { return &kinds[i]; }
 
-const struct event_kind *event_kind(int no)
+const struct event_kind *event_kind(int number)
 {
     for (int i = 0; i < COUNT_OF(kinds); i++)
-        if (kinds[i].no == no)
+        if (kinds[i].no == number)
             return &kinds[i];
     return NULL;
 }
@@ -34,7 +34,7 @@
 
 void world_answer(struct world *w, int64_t slot, int error, const char *format, ...)
 {
-    const struct error_response *answer = error_response(error);
+    const struct error_response *response = error_response(error);
     char why[400];
     va_list args;
     va_start(args, format);
@@ -43,7 +43,7 @@
     for (char *c = why; *c; c++)
         if (*c == '"' || *c == '\\' || (unsigned char)*c < 32)
             *c = '\'';
-    char *body = must_printf("{\"problem\":\"%s\",\"why\":\"%s\"}", answer->name, why);
-    w->calls->answer(w, slot, answer->status, answer->retry_ms, body);
+    char *body = must_printf("{\"problem\":\"%s\",\"why\":\"%s\"}", response->name, why);
+    w->calls->answer(w, slot, response->status, response->retry_ms, body);
     free(body);
 }
--- a/tests/unit/bytes_test.cc
+++ b/tests/unit/bytes_test.cc
@@ -1,4 +1,4 @@
-// Growing byte strings and numbers in texts.
+// Growing byte strings, and parsing of numbers.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 #include "base/bytes.h"
 }
 
-TEST(Bytes, NumbersOfTextsAreSaturatedAndZeroWithoutOne)
+TEST(Bytes, ParsedNumbersAreSaturatedOrZero)
 {
     EXPECT_EQ(text_to_int64("42"), 42);
     EXPECT_EQ(text_to_int64("-7 and more"), -7);
@@ -20,7 +20,7 @@
     EXPECT_EQ(text_to_int64("none"), 0);
 }
 
-TEST(Bytes, PrintedTextsAreWholeAtAnyLength)
+TEST(Bytes, FormattedTextsHaveAnyLength)
 {
     std::string longest(5000, 'x');
     char *text = must_printf("%s-%d", longest.c_str(), 7);
--- a/tests/unit/outer_names_test.cc
+++ b/tests/unit/outer_names_test.cc
@@ -1,4 +1,4 @@
-/* Members of structs may be renamed; what operators, callers and files on disk see of them may not. */
+/* Struct members may be renamed, but not the external names that operators, clients and files on disk see. */
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -21,7 +21,7 @@
     return all.str();
 }
 
-/* What stands between the brackets of a call that begins at from, cut at its commas. */
+/* The arguments of a macro call, whose text starts at from, separated at commas. */
 std::vector<std::string> arguments_of(const std::string &source, size_t from)
 {
     std::vector<std::string> arguments(1);
@@ -39,11 +39,11 @@
     return argument.size() >= 2 && argument[0] == '"' && argument.back() == '"';
 }
 
-/* Every name that a schema table in this source gives outwards. */
+/* Adds the external names of all schema tables in this source. */
 void add_names(const std::string &source, std::vector<std::string> &names)
 {
     static const std::set<std::string> fields = {"INT", "BOOL", "STR", "BYTES", "STRS", "INTS", "LIST", "SUB", "PTR"};
-    static const std::set<std::string> rows = {"P", "L", "RULE"}; /* macros of tables whose members are alike */
+    static const std::set<std::string> rows = {"P", "L", "RULE"}; /* macros of tables with similar members */
     for (size_t at = 0; (at = source.find('(', at)) != std::string::npos; at++) {
         size_t from = at;
         while (from > 0 && (isalnum((unsigned char)source[from - 1]) || source[from - 1] == '_'))
@@ -74,9 +74,9 @@
 
 } // namespace
 
-/* outer_names.txt was written from the sources before their members took C's case; a line is added
- * with a new member, and changed or removed only together with whoever reads that name. */
-TEST(OuterNames, AreAsTheyWereBeforeMembersWereRenamed)
+/* outer_names.txt lists the external names from before the members were renamed to snake_case. A line is added with a
+ * new member, and changed or removed only together with all readers of that name. */
+TEST(OuterNames, AreUnchangedByRenamedMembers)
 {
     std::vector<std::string> expected;
     std::ifstream in(SAGEHITCH_SOURCE "/tests/unit/outer_names.txt");
--- a/tests/unit/packed_bytes_test.cc
+++ b/tests/unit/packed_bytes_test.cc
@@ -1,5 +1,5 @@
-// The packed bytes of messages that other versions read, on the wire and on disk: an op, a request and a response of
-// each kind.
+// The encoding of messages that other versions read on the wire and on disk must not change: an operation, a request
+// and a response of each kind.
 #include <gtest/gtest.h>
 
 extern "C" {
@@ -22,7 +22,7 @@
         snprintf(two, sizeof two, "%02x", packed.at[i]);
         text += two;
     }
-    // what is read again packs to the same bytes
+    // decoding and encoding again gives the same bytes
     std::vector<char> out(schema->size);
     EXPECT_EQ(schema_unpack(schema, out.data(), packed.at, packed.len), ERROR_NONE);
     bytes again = {};
@@ -88,7 +88,7 @@
               "88202020202020202088202020202020202084f60088202020202020202080");
 }
 
-// A request as it is sent on to the leader; freed with this.
+// A request as it is forwarded to the leader.
 struct Request {
     api_request request = {};
     explicit Request(bool addressed)
@@ -185,7 +185,7 @@
     EXPECT_EQ(get.hex(), "8a0b1909c4f6652f612f303000008700f680000000f68400808040850000f68df6f6f6f6800000000000000000"
                          "85000000808084656e6f72746803840088202020202020202088202020202020202088202020202020202084f6"
                          "0088202020202020202080");
-    all.request.kind = REQUEST_RULES_GET; // as another version may send it
+    all.request.kind = REQUEST_RULES_GET; // another version may send it without an outlet
     EXPECT_EQ(api_request_outlet(&all.request), nullptr);
     EXPECT_EQ(all.hex(), "8a0b1909c4f6652f612f303000008700f680000000f68400808040850000f68df6f6f6f6800000000000000000"
                          "850000008080f6");
--- a/tests/unit/product_test.cc
+++ b/tests/unit/product_test.cc
@@ -1,5 +1,4 @@
-// The parts of a product: local settings, the closed list of errors, and the
-// documents that must say what the code does.
+// Local settings, the list of errors, and documents that must match the code.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -73,7 +72,7 @@
     int set(const char *name, const char *value) { return local_set(&l, name, value, "here:1", why, sizeof why); }
 };
 
-TEST(Product, WrongLocalSettingsAreNamed)
+TEST(Product, InvalidLocalSettingsAreNamed)
 {
     Local t;
     EXPECT_EQ(t.set("nonsense", "1"), ERROR_BAD_SETTING);
--- a/tests/unit/schema_kinds_test.cc
+++ b/tests/unit/schema_kinds_test.cc
@@ -1,4 +1,4 @@
-// Schemas of tagged unions: members that the kind does not have keep their place, and are neither read nor written.
+// Schemas of tagged unions: members that the kind does not have keep their position, and are neither read nor written.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -27,7 +27,7 @@
     } body;
     int64_t after;
 };
-// The same places with no union, as any sender may fill them.
+// The same positions without a union, as a faulty sender might fill them.
 struct Plain {
     int64_t kind, retired;
     char *text;
@@ -54,7 +54,7 @@
                               field_of("after", F_INT, offsetof(Plain, after))};
 const schema plain_schema = {"plain", sizeof(Plain), plain_fields, 6, 0};
 
-// Every place filled, whatever the kind.
+// Has a value at every position, whatever the kind.
 struct Packed {
     bytes at = {};
     explicit Packed(int64_t kind)
@@ -92,7 +92,7 @@
     }
 }
 
-TEST(SchemaKinds, OtherMembersArePackedEmpty)
+TEST(SchemaKinds, MembersOfOtherKindsArePackedEmpty)
 {
     char text[] = "text";
     Union from = {};
@@ -111,7 +111,7 @@
     bytes_free(&packed);
 }
 
-TEST(SchemaKinds, ACopyHasTheMembersOfItsKind)
+TEST(SchemaKinds, CopyHasTheMembersOfItsKind)
 {
     int64_t items[] = {7, 8};
     Union from = {}, copy;
@@ -145,7 +145,7 @@
     EXPECT_EQ(tagged, 4);
 }
 
-// Freeing by a kind without members must not take their bytes for pointers.
+// Freeing must not interpret the bytes of another kind as pointers.
 TEST(SchemaKinds, MembersOfOtherKindsAreNotFreed)
 {
     Union what = {};
--- a/tests/unit/schema_test.cc
+++ b/tests/unit/schema_test.cc
@@ -1,5 +1,4 @@
-// The codec of frames, records and JSON against what it must give back, and
-// against bytes that nobody sane would send.
+// The codec of frames, records and JSON: round trips, invalid input and damaged bytes.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -35,7 +34,7 @@
     return text;
 }
 
-TEST(Shape, JobSurvivesJsonAndCbor)
+TEST(Schema, JobSurvivesJsonAndCbor)
 {
     job_spec spec, again = {};
     validation_error f;
@@ -56,15 +55,15 @@
     schema_free(&job_spec_schema, &third);
 }
 
-struct Bad {
+struct InvalidJob {
     const char *body;
     int error;
     const char *path;
 };
 
-TEST(Shape, BadJobsNameTheirField)
+TEST(Schema, ErrorsNameTheInvalidField)
 {
-    const Bad cases[] = {
+    const InvalidJob cases[] = {
         {"{", ERROR_BAD_JSON, "line 1 column 1"},
         {"[]", ERROR_BAD_FIELD, ""},
         {R"({"key":"k","service":"s","queue":"q"})", ERROR_BAD_FIELD, "steps"},
@@ -81,7 +80,7 @@
          R"({"name":"a","tasks":[{"kind":"c"}]}]})",
          ERROR_BAD_STEPS, "steps[1].name"},
     };
-    for (const Bad &bad : cases) {
+    for (const InvalidJob &bad : cases) {
         job_spec spec;
         validation_error f;
         EXPECT_EQ(parse(bad.body, &spec, &f), bad.error) << bad.body;
@@ -96,9 +95,8 @@
     schema_free(&job_spec_schema, &spec);
 }
 
-// Whatever is cut off or flipped, unpacking ends, frees what it took and
-// either refuses or gives something that packs again to the same bytes.
-TEST(Shape, FuzzedBytesNeverCrash)
+// Truncated or damaged bytes are refused without a leak, or decode to something that encodes to the same bytes again.
+TEST(Schema, DamagedBytesNeverCrash)
 {
     job_spec spec;
     validation_error f;
@@ -128,7 +126,7 @@
     EXPECT_GT(taken, 0);
 }
 
-TEST(Frame, OnlyWholeFramesOfOurClusterAreTaken)
+TEST(Frame, OnlyCompleteFramesOfTheClusterAreAccepted)
 {
     log_lead_now now = {1, 2, 3, 4};
     bytes out = {};
@@ -141,7 +139,7 @@
     EXPECT_EQ(frame_parse(&f, out.at, out.len - 1, 77), ERROR_BAD_FRAME);
     for (int64_t i = 0; i < out.len; i++) {
         if (i >= 8 && i < 16)
-            continue; // the sender's address is not under the checksum
+            continue; // the checksum does not cover the sender's address
         uint8_t was = out.at[i];
         out.at[i] ^= 0x41;
         int rc = frame_parse(&f, out.at, out.len, 77);
