--- a/src/base/frame.c
+++ b/src/base/frame.c
@@ -1,4 +1,4 @@
-/* Frames: building, and parsing of their headers. */
+/* Building and parsing of frames. */
 #include "base/frame.h"
 
 #include <string.h>
@@ -9,7 +9,7 @@
 int frame_of_log(enum frame_kind kind)
 {
     return (kind >= FRAME_VOTE_REQUEST && kind <= FRAME_LEAD_NOW) || kind == FRAME_SNAPSHOT_CHUNK ||
-           kind == FRAME_SNAPSHOT_GOT;
+           kind == FRAME_SNAPSHOT_CHUNK_ACK;
 }
 
 void frame_build(struct bytes *to, enum frame_kind kind, uint32_t cluster, uint64_t from, const struct schema *schema,
--- a/src/log/log.c
+++ b/src/log/log.c
@@ -1,4 +1,4 @@
-/* The log as a whole: entries in memory, proposals and reads that wait, commit and apply, ticks and frames. */
+/* Entries in memory, pending proposals and reads, commit and apply, and the dispatch of timers and frames. */
 #include "log/log.h"
 
 #include <stdlib.h>
@@ -15,7 +15,7 @@
                                              .segment_bytes = 4 << 20,
                                              .snapshot_bytes = 4 << 20,
                                              .keep_bytes = 4 << 20,
-                                             .held_bytes = 16 << 20};
+                                             .lagging_keep_bytes = 16 << 20};
 
 void log_start(struct log *log, struct world *w, uint32_t cluster, int64_t group, int64_t id,
                const struct log_machine *machine)
@@ -76,21 +76,21 @@
 
 int64_t log_entry_bytes(const struct log_entry *entry) { return entry->body.len + (int64_t)sizeof *entry; }
 
-int64_t log_entries_beyond(const struct log *log, int64_t bytes)
+int64_t log_drop_index_for_bytes(const struct log *log, int64_t bytes)
 {
-    int64_t upto = log->applied;
-    while (upto >= log->first_index) {
-        bytes -= log_entry_bytes(&log->entries[upto - log->first_index]);
+    int64_t index = log->applied;
+    while (index >= log->first_index) {
+        bytes -= log_entry_bytes(&log->entries[index - log->first_index]);
         if (bytes < 0)
             break;
-        upto--;
+        index--;
     }
-    return upto;
+    return index;
 }
 
-void log_entries_drop(struct log *log, int64_t upto)
+void log_entries_drop(struct log *log, int64_t last_index)
 {
-    int64_t n = upto - log->first_index + 1;
+    int64_t n = last_index - log->first_index + 1;
     if (n <= 0)
         return;
     if (n > log->n_entries)
@@ -108,7 +108,7 @@
 void log_send(struct log *log, int64_t to_id, enum frame_kind kind, const struct schema *schema, const void *msg)
 {
     const struct log_member *member = log_member(log, to_id);
-    int64_t to = member ? member->addr : to_id == log->from_id ? log->from_addr : 0;
+    int64_t to = member ? member->addr : to_id == log->last_sender_id ? log->last_sender_addr : 0;
     if (!to || log->broken)
         return;
     struct blob *out = blob_new();
@@ -146,8 +146,9 @@
         log->heartbeat_due_ms = world_ms(log->w) + 10;
 }
 
-/* Callbacks may come back into the log, so each list is taken away first. */
-static void drop_waiting(struct log *log, int error)
+/* Completes all pending proposals and reads with error. The callbacks may call into the log again, so both lists are
+ * detached first. */
+static void fail_waiting(struct log *log, int error)
 {
     struct log_pending *pending = log->pending;
     struct log_read *reads = log->reads;
@@ -162,7 +163,8 @@
     free(reads);
 }
 
-static void done_at(struct log *log, int64_t index, int64_t term, const struct bytes *result)
+/* Completes the proposal pending at index. If the entry there has another term, the proposal was overwritten. */
+static void complete_proposal(struct log *log, int64_t index, int64_t term, const struct bytes *result)
 {
     for (int64_t i = 0; i < log->n_pending; i++) {
         struct log_pending p = log->pending[i];
@@ -181,14 +183,14 @@
         struct log_entry *entry = &log->entries[index - log->first_index];
         struct bytes result = {0};
         int64_t term = entry->term;
-        int asked = 0;
-        for (int64_t i = 0; i < log->n_pending && !asked; i++)
-            asked = log->pending[i].index == index;
+        int has_caller = 0;
+        for (int64_t i = 0; i < log->n_pending && !has_caller; i++)
+            has_caller = log->pending[i].index == index;
         log->applied_bytes += log_entry_bytes(entry);
         if (entry->kind == ENTRY_OP)
-            log->machine.apply(log->machine.arg, index, &entry->body, asked ? &result : NULL);
-        if (asked)
-            done_at(log, index, term, &result);
+            log->machine.apply(log->machine.arg, index, &entry->body, has_caller ? &result : NULL);
+        if (has_caller)
+            complete_proposal(log, index, term, &result);
         bytes_free(&result);
     }
     if (log->applied - log->snapshot_index >= log->settings.snapshot_every ||
@@ -200,7 +202,7 @@
 {
     if (id == log->id)
         return log->synced >= index;
-    if (id == log->discounted_id)
+    if (id == log->excluded_voter_id)
         return 0;
     for (int64_t i = 0; i < log->n_peers; i++)
         if (log->peers[i].id == id)
@@ -208,7 +210,7 @@
     return 0;
 }
 
-/* Only entries of the own term are committed by counting. */
+/* Only entries of the leader's own term are committed by counting acknowledgements; earlier ones follow with them. */
 void log_advance(struct log *log)
 {
     int64_t index = log_last(log);
@@ -221,18 +223,18 @@
     int changed = log->members_index > log->commit && log->members_index <= index;
     log->commit = index;
     log_apply(log);
-    if (changed) /* who votes from now on learns it at once */
-        log_copy_all(log, 1);
-    /* a leader that has left the voters by a committed change steps down */
+    if (changed) /* send the commit index at once, so that all members know the new voters */
+        log_replicate(log, 1);
+    /* a leader that a committed change removed from the voters steps down */
     if (log->members_index <= log->commit && !log_voter(log, log->id))
         log_follow(log, log->term, 0);
     else
-        log_copy_all(log, 0);
+        log_replicate(log, 0);
 }
 
 void log_discount(struct log *log, int64_t id)
 {
-    log->discounted_id = id;
+    log->excluded_voter_id = id;
     log_advance(log);
 }
 
@@ -241,7 +243,7 @@
     if (log->broken)
         return;
     if (log->role == LOG_LEADER && log->synced < log_last(log))
-        log_copy_all(log, 0);
+        log_replicate(log, 0);
     if (log->synced < log_last(log) && !log_store_sync(log))
         log_advance(log);
     if (log->role == LOG_LEADER && log->slow_syncs >= 3 && !log_hand_over(log))
@@ -258,8 +260,8 @@
     return 0;
 }
 
-/* Steps down for want of a majority heard since since_ms; says once whom it did not hear. */
-static void majority_lost(struct log *log, int64_t since_ms)
+/* Steps down because no majority has replied since since_ms, and logs the voters that have not. */
+static void step_down_without_majority(struct log *log, int64_t since_ms)
 {
     struct bytes unheard = {0};
     for (int64_t i = 0; i < log->members.n; i++) {
@@ -281,25 +283,25 @@
 void log_on_timer(struct log *log)
 {
     int64_t now_ms = world_ms(log->w);
-    log_transfer_tidy(log);
+    log_transfer_free_unused(log);
     if (log->broken) {
         if (log->n_pending || log->n_reads)
-            drop_waiting(log, ERROR_NOT_LEADER);
+            fail_waiting(log, ERROR_NOT_LEADER);
         return;
     }
     if (log->role == LOG_LEADER) {
         if (now_ms - log->leader_since_ms > log->settings.election_ms * 3 / 2 &&
             !log_quorum(log, heard_since, now_ms - log->settings.election_ms * 3 / 2))
-            majority_lost(log, now_ms - log->settings.election_ms * 3 / 2);
+            step_down_without_majority(log, now_ms - log->settings.election_ms * 3 / 2);
         else if (now_ms >= log->heartbeat_due_ms)
-            log_copy_all(log, 1);
+            log_replicate(log, 1);
     } else if (now_ms >= log->election_due_ms) {
         log_election_reset(log);
         if (log_voter(log, log->id))
             log_request_votes(log, 1, 0);
     }
     if (log->role != LOG_LEADER && (log->n_pending || log->n_reads))
-        drop_waiting(log, ERROR_NOT_LEADER);
+        fail_waiting(log, ERROR_NOT_LEADER);
 }
 
 int log_take(struct log *log, const struct frame *frame)
@@ -311,7 +313,7 @@
         struct log_appended appended;
         struct log_snapshot snapshot;
         struct log_chunk chunk;
-        struct log_got got;
+        struct log_chunk_ack ack;
         struct log_lead_now now;
     } m;
     static const struct schema *const schemas[FRAME_LAST] = {[FRAME_VOTE_REQUEST] = &log_vote_request_schema,
@@ -320,7 +322,7 @@
                                                              [FRAME_APPENDED] = &log_appended_schema,
                                                              [FRAME_SNAPSHOT] = &log_snapshot_schema,
                                                              [FRAME_SNAPSHOT_CHUNK] = &log_chunk_schema,
-                                                             [FRAME_SNAPSHOT_GOT] = &log_got_schema,
+                                                             [FRAME_SNAPSHOT_CHUNK_ACK] = &log_chunk_ack_schema,
                                                              [FRAME_LEAD_NOW] = &log_lead_now_schema};
     const struct schema *schema = schemas[frame->kind];
     if (log->broken)
@@ -328,10 +330,10 @@
     memset(&m, 0, sizeof m);
     if (!schema || schema_unpack(schema, &m, frame->body, frame->len))
         return ERROR_BAD_FRAME;
-    /* all start with group, term, from, to */
+    /* all messages start with group, term, from, to */
     if (m.now.group == log->group && m.now.to == log->id) {
-        log->from_id = m.now.from;
-        log->from_addr = (int64_t)frame->from;
+        log->last_sender_id = m.now.from;
+        log->last_sender_addr = (int64_t)frame->from;
         switch (frame->kind) {
         case FRAME_VOTE_REQUEST: log_on_vote_request(log, &m.request); break;
         case FRAME_VOTE: log_on_vote(log, &m.vote); break;
@@ -339,7 +341,7 @@
         case FRAME_APPENDED: log_on_appended(log, &m.appended); break;
         case FRAME_SNAPSHOT: log_on_snapshot(log, &m.snapshot); break;
         case FRAME_SNAPSHOT_CHUNK: log_on_chunk(log, &m.chunk); break;
-        case FRAME_SNAPSHOT_GOT: log_on_got(log, &m.got); break;
+        case FRAME_SNAPSHOT_CHUNK_ACK: log_on_chunk_ack(log, &m.ack); break;
         default:
             if (m.now.term == log->term && log->role != LOG_LEADER && log_voter(log, log->id))
                 log_request_votes(log, 0, 1);
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,47 +1,47 @@
-/* Replicated log after Raft: the voters elect one leader per term, the leader appends entries, and an entry is
- * committed once a majority of the voters has it synced to disk. Committed entries are applied to a state machine in
- * order, on every member alike. Extensions: pre-vote, leader lease, snapshots in chunks, and an exchange of two voters
- * in one entry.
+/* A log replicated by the Raft algorithm: the voters elect one leader per term, the leader appends entries, and an
+ * entry is committed once a majority of the voters has synced it to disk. Every member applies the committed entries to
+ * its state machine in the same order. Extensions: pre-vote, leader lease, snapshots sent in chunks, and the exchange
+ * of two voters by one entry.
  *
- * The module is a step function: the caller feeds frames (log_take()) and ticks (log_on_timer()), and calls log_flush()
- * once per iteration of its event loop, which syncs what was appended. All times are steady time in ms, all indexes
- * count entries from 1. Functions that return int give 0 or an enum sagehitch_error, unless stated otherwise. Not
- * thread-safe. */
+ * The module has no threads or timers of its own: the caller passes in frames (log_take()) and timer ticks
+ * (log_on_timer()), and calls log_flush() once per iteration of its event loop to sync the appended entries. All times
+ * are monotonic time in ms, and indexes count entries from 1. Functions that return int return 0 or an enum
+ * sagehitch_error, unless stated otherwise. Not thread-safe. */
 #ifndef SAGEHITCH_LOG_H
 #define SAGEHITCH_LOG_H
 #include "base/frame.h"
 #include "base/schema.h"
 #include "base/world.h"
 
-/* Candidates ask for pre-votes first, which change nothing at the voters; only a majority of these starts an election.
- */
+/* A candidate first asks for pre-votes, which change no state at the voters, and starts an election only once a
+ * majority has granted them. */
 enum log_role { LOG_FOLLOWER, LOG_PRE_CANDIDATE, LOG_CANDIDATE, LOG_LEADER };
-/* BLANK: appended by each new leader, so that it has an entry of its own term to commit. OP: for the state machine.
- * MEMBERS: the whole list of members from this entry on. */
+/* ENTRY_BLANK: appended by each new leader, so that it has an entry of its own term to commit. ENTRY_OP: an operation
+ * for the state machine. ENTRY_MEMBERS: the complete list of members that is in effect from this entry on. */
 enum log_entry_kind { ENTRY_BLANK, ENTRY_OP, ENTRY_MEMBERS };
-/* Heartbeat rounds whose sending time is remembered, for the lease. */
+/* Number of heartbeat rounds whose sending time is kept, to compute the lease. */
 enum { ROUNDS_KEPT = 64 };
-/* Names one of several independent logs of the same processes; frames carry it. */
+/* Identifies one of several independent logs that the same processes replicate; part of each frame. */
 enum log_group { GROUP_CONTROL = 0, GROUP_JOBS = 1, GROUP_COUNT = 2 };
 
-/* One entry. body is owned by the entry: the op, or a packed struct log_members. */
+/* One log entry. body is owned by the entry: the operation, or a packed struct log_members. */
 struct log_entry {
     int64_t term, kind;
     struct bytes body;
 };
 
-/* A change of voters in one entry names both: who votes from its commit on, and
- * who did until then. Invariant: while that entry is not known to be committed,
- * majorities of both are needed for everything. */
-enum log_vote_right { VOTES_NOT, VOTES, VOTED, VOTES_NEWLY };
+/* What a member is. A MEMBERS entry that exchanges voters contains both sets: the voters after its commit (VOTES and
+ * VOTES_NEWLY) and the voters before it (VOTES and VOTED); VOTES_NOT is a learner.
+ * Invariant: until that entry is known to be committed, elections, commits and reads need a majority of both sets. */
+enum log_membership { VOTES_NOT, VOTES, VOTED, VOTES_NEWLY };
 
-/* id: identity of the member's disk. addr: where it takes frames. zone is owned. A member with VOTES_NOT is a learner:
- * it receives entries but has no vote. */
+/* id: identity of the member's disk. addr: its address for frames. zone is owned. A learner receives entries but has
+ * no vote. */
 struct log_member {
-    int64_t id, addr, voter; /* enum log_vote_right */
+    int64_t id, addr, voter; /* voter: enum log_membership */
     char *zone;
 };
-/* Whether the member has a vote once the newest change of members is committed. */
+/* Whether the member is a voter once the newest change of members is committed. */
 static inline int log_votes(const struct log_member *m) { return m->voter == VOTES || m->voter == VOTES_NEWLY; }
 
 /* All members, voters and learners. Owns the array and the zones; freed with schema_free(). */
@@ -50,67 +50,69 @@
     int64_t n;
 };
 
-/* Frames. Each begins with group, term, from, to; from and to are identities. The layout is that of log_schemas.c. */
+/* Frames. Each begins with group, term, from and to, where from and to are member identities. log_schemas.c defines the
+ * layout. */
 
-/* FRAME_VOTE_REQUEST. last_index, last_term: the candidate's newest entry. pre: a pre-vote, asked for with the term
- * that the candidate would take. transfer: the leader told it to lead, so voters don't refuse because they hear a
- * leader. */
+/* FRAME_VOTE_REQUEST. last_index, last_term: the candidate's newest entry. pre: a request for a pre-vote; term is the
+ * one that the candidate would start. transfer: the leader handed over to the candidate, so voters must not refuse
+ * because the leader is still alive. */
 struct log_vote_request {
     int64_t group, term, from, to, last_index, last_term, pre, transfer;
 };
-/* FRAME_VOTE. term: of a granted pre-vote the term asked for, else the voter's own. */
+/* FRAME_VOTE. term: the requested term if a pre-vote is granted, otherwise the voter's own. */
 struct log_vote {
     int64_t group, term, from, to, granted, pre;
 };
-/* FRAME_APPEND, also the heartbeat. entries follow the entry (prev_index, prev_term); commit: the leader's commit
- * index; round: number of the newest round of heartbeats. entries points into the log of the sender while it is packed.
- */
+/* FRAME_APPEND, also used as heartbeat. entries follow the entry (prev_index, prev_term); commit: the leader's commit
+ * index; round: number of the newest heartbeat round. While the sender packs the frame, entries points into its log. */
 struct log_append {
     int64_t group, term, from, to, prev_index, prev_term, commit, round;
     struct log_entry *entries;
     int64_t n;
 };
-/* FRAME_APPENDED. ok: all up to match is the same as the leader's, and synced. Not ok: match is a hint where to try
- * next. round: as in the append. sync_ms: how long the member's last sync took. */
+/* FRAME_APPENDED, the reply to an append. ok: all entries up to match equal the leader's and are synced. Otherwise
+ * match is a hint for the prev_index of the next attempt. round: copied from the append. sync_ms: duration of the
+ * member's last sync. */
 struct log_appended {
     int64_t group, term, from, to, ok, match, round, sync_ms;
-    int64_t chunks; /* takes snapshots in chunks; 0: of a former version */
+    int64_t chunks; /* 1 if the member accepts snapshots in chunks; older versions send 0 */
 };
-/* FRAME_SNAPSHOT: a whole snapshot, to a member of a former version only. snapshot_term: term of the entry index. */
+/* FRAME_SNAPSHOT: a whole snapshot, sent only to members that run an older version. snapshot_term: term of the entry
+ * at index. */
 struct log_snapshot {
     int64_t group, term, from, to, index, snapshot_term, round;
     struct log_members members;
     struct bytes data;
 };
-/* FRAME_SNAPSHOT_CHUNK: a part of a snapshot's file. Invariant: index, snapshot_term, total (bytes) and sum (crc_of()
- * the whole file) name the transfer; size is data's length as sent. */
+/* FRAME_SNAPSHOT_CHUNK: a part of a snapshot file. Invariant: index, snapshot_term, total (bytes of the file) and sum
+ * (crc_of() the whole file) identify the transfer; size is the length of data as sent. */
 struct log_chunk {
     int64_t group, term, from, to, index, snapshot_term, round, offset, total, sum, size;
     struct bytes data;
 };
-/* FRAME_SNAPSHOT_GOT acknowledges a chunk: the receiver holds offset bytes from the start of the file. */
-struct log_got {
+/* FRAME_SNAPSHOT_CHUNK_ACK: the receiver has the first offset bytes of the file. */
+struct log_chunk_ack {
     int64_t group, term, from, to, index, sum, round, offset;
 };
-/* FRAME_LEAD_NOW: the leader hands over; the receiver starts an election at once, without pre-votes. */
+/* FRAME_LEAD_NOW: the leader hands over leadership; the receiver starts an election at once, without pre-votes. */
 struct log_lead_now {
     int64_t group, term, from, to;
 };
 
-/* A snapshot's file: a checksum of 4 bytes, then this. data: the packed state machine after the entry (index, term);
- * members: as of that entry. Owns members and data. */
-struct log_saved {
+/* Contents of a snapshot file, after a checksum of 4 bytes. data: the packed state machine after the entry (index,
+ * term); members: as of that entry. Owns members and data. */
+struct log_snapshot_file {
     int64_t index, term;
     struct log_members members;
     struct bytes data;
 };
-extern const struct schema log_saved_schema, log_entry_schema, log_member_schema, log_members_schema,
+extern const struct schema log_snapshot_file_schema, log_entry_schema, log_member_schema, log_members_schema,
     log_vote_request_schema, log_vote_schema, log_append_schema, log_appended_schema, log_snapshot_schema,
-    log_chunk_schema, log_got_schema, log_lead_now_schema;
+    log_chunk_schema, log_chunk_ack_schema, log_lead_now_schema;
 
-/* The state machine. apply gets every committed op once, in order, and adds its outcome to result, which is NULL where
- * nobody waits for it. snapshot appends the packed state to its buffer; restore replaces the state by such bytes, and
- * on an error leaves it as it was. Arguments are borrowed for the call. */
+/* The state machine. apply is called once for each committed operation, in order, and appends the outcome to result,
+ * which is NULL if no caller waits for it. snapshot appends the packed state to its buffer; restore replaces the state
+ * by such bytes, and leaves it unchanged on an error. Arguments are borrowed for the call. */
 struct log_machine {
     void *arg;
     void (*apply)(void *arg, int64_t index, const struct bytes *op, struct bytes *result);
@@ -118,62 +120,63 @@
     int (*restore)(void *arg, const struct bytes *from);
 };
 
-/* Ends log_propose() or log_read(): tag as given; error 0 or an enum sagehitch_error (ERROR_NOT_LEADER: the outcome is
- * not known); result borrowed, NULL with an error. */
+/* Completes log_propose() or log_read(). tag: as passed in; error: 0 or an enum sagehitch_error (ERROR_NOT_LEADER: the
+ * outcome is unknown); result: borrowed, NULL on an error. */
 typedef void log_done(void *arg, int64_t tag, int error, const struct bytes *result);
 
-/* What the leader knows of a member, also of itself. next: index of the entry to send next; match: the member holds all
- * up to it; acked_round: newest round that it answered; heard_ms: when it last answered; sync_ms: its last sync took so
- * long; rewound_ms: when sending last began anew; chunks: as in struct log_appended. base: sent again from behind it,
- * so entries base+1 to next-1 are under way unless match is higher; match_round: of the append whose answer set match.
- * copying: index of the snapshot that is sent to it, 0: none; offset: bytes of it that it holds; chunk_ms: newest
- * chunk. */
+/* What the leader knows about a member, itself included.
+ *
+ * next: index of the entry to send next. match: the member has all entries up to this index. acked_round: newest
+ * heartbeat round that it acknowledged. heard_ms: time of its last reply. sync_ms: duration of its last sync.
+ * base: index after which sending last restarted; entries max(base, match) + 1 to next - 1 are in flight. match_round:
+ * round of the append whose reply set match. last_rewind_ms: when sending was last restarted for lack of replies.
+ * chunks: as in struct log_appended. copying: index of the snapshot that is being sent to the member, 0: none. offset:
+ * how many bytes of that snapshot it has. chunk_ms: when the last chunk was sent. */
 struct log_peer {
     int64_t id, next, match, acked_round, heard_ms, sync_ms;
-    int64_t base, match_round, rewound_ms, chunks, copying, offset, chunk_ms;
+    int64_t base, match_round, last_rewind_ms, chunks, copying, offset, chunk_ms;
 };
-/* A snapshot's file on its way: as the leader sends it, or as far as it has come. index 0: none. total, sum: as in
- * struct log_chunk; from, from_term: the leader that sends it, and its term. Owns data. */
+/* A snapshot file in transfer: on the leader the whole file, on the receiver the bytes received so far. index 0: none.
+ * total, sum: as in struct log_chunk; from, from_term: the sending leader and its term. Owns data. */
 struct log_transfer {
     int64_t index, term, total, sum, from, from_term;
     struct bytes data;
 };
-/* A caller of log_propose() that waits until the entry (index, term) is applied. */
+/* A call of log_propose() that waits until the entry (index, term) is applied. */
 struct log_pending {
     int64_t index, term, tag;
     log_done *done;
     void *arg;
 };
-/* A caller of log_read() that waits until a majority answered this round of heartbeats, or a later one. */
+/* A call of log_read() that waits until a majority has acknowledged this heartbeat round or a later one. */
 struct log_read {
     int64_t round, tag, since_ms;
     log_done *done;
     void *arg;
 };
-/* A file with entries, votes and cuts. no: its number, rising; first_index: no entry in it is below; bytes: its length;
- * synced: of these surely on disk. */
+/* A segment file, which holds records of entries, votes and truncations. number: increases with each new file;
+ * first_index: all its entries have at least this index; bytes: its length; synced: how many of these are on disk. */
 struct log_segment {
-    int64_t no, first_index, bytes, synced;
+    int64_t number, first_index, bytes, synced;
 };
 
-/* A leader sends heartbeats every heartbeat_ms. A follower that hears none for election_ms to twice that stands for
- * election. A sync of slow_sync_ms or more is slow: after three in a row a leader hands over. A segment is closed
- * beyond segment_bytes. A snapshot is due after snapshot_every entries or snapshot_bytes of them, whichever comes
- * first. Behind it stay keep_entries, but at most keep_bytes of them; for a member that is behind more, but at most
- * held_bytes. */
+/* heartbeat_ms: interval of the leader's heartbeats. election_ms: a follower becomes a candidate if it receives no
+ * heartbeat for a random time of election_ms to twice that. slow_sync_ms: a leader hands over after three successive
+ * syncs that took this long or longer. segment_bytes: a segment file that is longer is closed. A snapshot is taken
+ * after snapshot_every entries or snapshot_bytes of entries, whichever comes first. After it the newest keep_entries
+ * entries stay in memory, limited to keep_bytes; for a lagging member more stay, limited to lagging_keep_bytes. */
 struct log_settings {
     int64_t heartbeat_ms, election_ms, slow_sync_ms, snapshot_every, keep_entries, segment_bytes;
-    int64_t snapshot_bytes, keep_bytes, held_bytes;
+    int64_t snapshot_bytes, keep_bytes, lagging_keep_bytes;
 };
 
-/* Invariants: entries[k] has index first_index + k; commit <= last index;
- * applied <= commit; term never falls and a vote is synced before it is told;
- * members is the newest MEMBERS entry, committed or not. broken: the disk
- * failed us and nothing more is said under this identity.
+/* Invariants: entries[k] has index first_index + k; applied <= commit <= last index; term never decreases, and a vote
+ * is synced before it is sent; members is the list of the newest MEMBERS entry, committed or not.
  *
- * w: borrowed, outlives the log. vote: whom this member voted for in term, 0: nobody. leader_id, leader_addr: 0: not
- * known. synced: index up to which entries are on disk. votes: identities that granted a (pre-)vote in this candidacy.
- * round: newest round of heartbeats. Everything else that points to memory is owned and freed by log_end(). */
+ * w: borrowed, outlives the log. vote: identity that this member voted for in term, 0: none. leader_id, leader_addr:
+ * 0 if unknown. synced: index up to which entries are on disk. votes: identities that granted a vote or pre-vote in the
+ * current candidacy. round: number of the newest heartbeat round. broken: the disk failed, and the member sends nothing
+ * more under this identity. All other pointers are owned and freed by log_end(). */
 struct log {
     struct world *w;
     uint32_t cluster;
@@ -186,12 +189,12 @@
     struct log_entry *entries;
     int64_t n_entries, first_index;
     int64_t snapshot_index, snapshot_term;
-    int64_t dropped_term; /* of the entry before first_index, which is not held */
+    int64_t dropped_term; /* term of the entry before first_index, which is no longer in memory */
     struct log_transfer outgoing, incoming;
     struct log_members members, snapshot_members;
     int64_t members_index;
     int64_t commit, applied, synced;
-    int64_t applied_bytes; /* of the entries applied since the newest snapshot */
+    int64_t applied_bytes; /* size of the entries applied since the newest snapshot */
     struct log_peer *peers;
     int64_t n_peers;
     int64_t votes[16], n_votes;
@@ -202,163 +205,168 @@
     int64_t n_reads;
     struct log_segment *segments;
     int64_t n_segments;
-    int64_t from_id, from_addr; /* who spoke last: an empty keeper knows nobody else */
+    int64_t last_sender_id, last_sender_addr; /* of the newest frame: an empty log knows no other address to reply to */
     int64_t last_sync_ms, slow_syncs, broken, syncs, leader_since_ms;
-    int64_t round_sent_ms[ROUNDS_KEPT]; /* of round r at r % ROUNDS_KEPT */
-    int64_t round_commit;               /* commit when the round before the newest began */
-    int64_t beat_commit;                /* and when the newest did */
-    int64_t handed_over_ms;             /* in this term we told another to lead; 0: not */
-    int64_t discounted_id;              /* nothing is committed by its acknowledgement; 0: all voters count */
-    int64_t votes_from_ms;              /* no vote before: what we promised a leader in our last life holds */
+    int64_t round_sent_ms[ROUNDS_KEPT]; /* round r was sent at round_sent_ms[r % ROUNDS_KEPT] */
+    int64_t previous_round_commit;      /* commit index when the round before the newest began */
+    int64_t newest_round_commit;        /* commit index when the newest round began */
+    int64_t handed_over_ms;             /* when this leader handed over in its term; 0: it has not */
+    int64_t excluded_voter_id;          /* its acknowledgement does not count for commits; 0: all voters count */
+    int64_t votes_from_ms; /* no vote before: a leader's lease may count on an acknowledgement before the restart */
 };
 
 /* log.c */
 
-/* Sets up an empty follower in memory, with default settings, which the caller may change before log_load(). */
+/* Initializes an empty follower in memory with default settings, which the caller may change before log_load(). */
 void log_start(struct log *log, struct world *w, uint32_t cluster, int64_t group, int64_t id,
                const struct log_machine *machine);
-/* Reads snapshot and segments, restores the state machine and opens a fresh segment. ERROR_DISK: the disk holds damage
- * or failed, and the process must not speak under this identity. */
+/* Reads snapshot and segments, restores the state machine and opens a new segment. ERROR_DISK: the disk failed or its
+ * data are damaged; the process must not send anything under this identity. */
 int log_load(struct log *log);
-/* Frees what the log owns, without calling back whoever waits. */
+/* Frees what the log owns. Callbacks of pending proposals and reads are not called. */
 void log_end(struct log *log);
-/* Heartbeats, elections, stepping down without a majority. To be called at least every few ms. */
+/* Sends heartbeats, starts elections, and steps down without a majority. To be called at least every few ms. */
 void log_on_timer(struct log *log);
-/* Sends new entries to the members, syncs them to the own disk, and commits what a majority has. */
+/* Sends new entries to the members, syncs them to the local disk, and commits what a majority has. */
 void log_flush(struct log *log);
-/* Takes one frame (frame_of_log()). ERROR_BAD_FRAME: not readable; ERROR_DISK: the log is broken. */
+/* Handles one frame (frame_of_log()). ERROR_BAD_FRAME: it cannot be decoded; ERROR_DISK: the log is broken. */
 int log_take(struct log *log, const struct frame *frame);
 /* As leader, appends an entry with a copy of op (NULL: empty). done, if not NULL, is called exactly once: with the
- * result once the entry is applied, else with an error, then also during the call. */
+ * result once the entry is applied, or with an error, possibly during this call. */
 void log_propose(struct log *log, int64_t kind, const struct bytes *op, log_done *done, void *arg, int64_t tag);
-/* Linearizable read: done is called exactly once, with 0 after a majority confirmed in a round begun after this call
- * that this member still leads; all that was acknowledged before the call is applied by then. Else with an error. */
+/* Linearizable read. done is called exactly once: with 0 once a majority has acknowledged this leader in a heartbeat
+ * round begun after this call, by when all that was acknowledged before the call is applied; or with an error. */
 void log_read(struct log *log, log_done *done, void *arg, int64_t tag);
-/* Founds an empty log: term 1, with members as entry 1, synced. All first voters must be given the same list. */
+/* Bootstraps an empty log: term 1, with members as entry 1, synced. All first voters must be given the same list. */
 int log_bootstrap(struct log *log, const struct log_members *members);
 /* Index of the newest entry, 0: none. */
 int64_t log_last(const struct log *log);
-/* Term of an entry; 0 for index 0, -1 where it is not known (dropped behind a snapshot, or beyond the last). */
+/* Term of an entry; 0 for index 0; -1 if unknown because the entry was dropped after a snapshot or does not exist. */
 int64_t log_term_at(const struct log *log, int64_t index);
-/* Packs msg into a frame for the member to_id, or for whoever spoke last if it has that identity. */
+/* Packs msg into a frame for the member to_id, or for the sender of the newest frame if that has this identity. */
 void log_send(struct log *log, int64_t to_id, enum frame_kind kind, const struct schema *schema, const void *msg);
-/* log_advance(): as leader, commits what a quorum holds; also steps down if it has left the voters. log_apply():
- * applies all that is committed, answers who waits for it, and saves a snapshot when one is due. */
+/* As leader, commits the entries that a quorum has; steps down if this member is no longer a voter. */
 void log_advance(struct log *log);
-/* As leader: from now on nothing is committed by the acknowledgement of the voter id. 0: all count again. */
+/* As leader: the acknowledgements of the voter id no longer count for commits. 0: all voters count again. */
 void log_discount(struct log *log, int64_t id);
+/* Applies the committed entries, completes pending proposals, and saves a snapshot if enough entries were applied since
+ * the last. */
 void log_apply(struct log *log);
 
 /* log_elect.c: elections */
 
-/* Becomes a follower in term, which is synced first if it is higher. leader_id 0: the leader is not known. */
+/* Becomes a follower in term; a higher term is synced first. leader_id 0: the leader is unknown. */
 void log_follow(struct log *log, int64_t term, int64_t leader_id);
-/* Asks all voters for pre-votes (pre), or for votes in the next term, after that term and the own vote are synced. */
+/* Asks all voters for pre-votes (pre); or for votes in the next term, once that term and this member's own vote are
+ * synced. transfer: see struct log_vote_request. */
 void log_request_votes(struct log *log, int pre, int transfer);
+/* Handlers of frames, called by log_take(). */
 void log_on_vote_request(struct log *log, const struct log_vote_request *request);
 void log_on_vote(struct log *log, const struct log_vote *vote);
-/* Draws the next time at which this member stands for election if it hears no leader. */
+/* Picks the random time at which this member becomes a candidate unless it receives a heartbeat before. */
 void log_election_reset(struct log *log);
-/* As leader, tells a voter that holds all that is committed to lead, the one with the fastest disk. 0: it was told;
- * from then on the lease is void. ERROR_NOT_LEADER; ERROR_NO_OWNER: there is no such voter. */
+/* As leader, asks the voter with the fastest disk that has all committed entries to take over leadership. Returns 0
+ * once it is asked; this leader has no lease any more. ERROR_NOT_LEADER; ERROR_NO_OWNER: there is no such voter. */
 int log_hand_over(struct log *log);
 
 /* log_copy.c: replication */
 
-/* Becomes leader of the current term, after a won election, and appends a blank entry. */
-void log_lead(struct log *log);
-/* Sends each member the entries that it lacks; beat: as a new round of heartbeats, which is sent to all. */
-void log_copy_all(struct log *log, int beat);
+/* Becomes leader of the current term after a won election, and appends a blank entry. */
+void log_become_leader(struct log *log);
+/* Sends each member the entries that it lacks. heartbeat: as a new heartbeat round, which is sent to all members. */
+void log_replicate(struct log *log, int heartbeat);
+/* Handlers of frames, called by log_take(). */
 void log_on_append(struct log *log, const struct log_append *append);
 void log_on_appended(struct log *log, const struct log_appended *appended);
-/* 1 if the member holds all that was committed as the round before the newest began. For learners: under steady writes
- * match is always a little behind commit, so a strict comparison would never hold. */
+/* 1 if the member has all entries that were committed when the heartbeat round before the newest began. Used for
+ * learners: under steady writes match always lags commit a little, so a comparison with commit would never hold. */
 int log_caught_up(struct log *log, int64_t id);
-/* How long, in ms, the entries that are under way to a member may take over the slowest link. */
+/* Time in ms that the entries in flight to a member may take over the slowest link. */
 int64_t log_transit_ms(const struct log *log, const struct log_peer *peer);
-void log_reads_done(struct log *log);
-/* log_leads(): 1 while this leader holds its lease: a quorum answered a round sent less than 90 % of an election
- * time-out ago, so nobody else can lead yet. log_reads_done(): calls back the reads whose round a quorum has answered.
- */
+/* Completes the reads whose heartbeat round a quorum has acknowledged. */
+void log_complete_reads(struct log *log);
+/* 1 while this leader holds its lease: a quorum has acknowledged a heartbeat round that was sent less than 90 % of an
+ * election time-out ago, so no other member can be leader yet. */
 int log_leads(const struct log *log);
 
 /* log_member.c: members and their changes. Pointers returned are valid until the next change of members. */
 
 /* NULL: no member has this identity. */
 const struct log_member *log_member(const struct log *log, int64_t id);
-/* 1 if the member votes now; during an exchange the former voter still does. */
+/* 1 if the member is a voter now; the outgoing voter of an exchange is one until the exchange is committed. */
 int log_voter(const struct log *log, int64_t id);
-/* How many of the voters that are to be are a majority. */
+/* Size of a majority of the voters after the newest change of members. */
 int64_t log_majority(const struct log *log);
-/* 1 if has(id, x) holds for a majority of the voters; while a change is uncommitted, for one of the former voters too.
- */
+/* 1 if has(id, x) holds for a majority of the voters, and, while a change of members is uncommitted, also for a
+ * majority of the former voters. */
 int log_quorum(const struct log *log, int (*has)(const struct log *log, int64_t id, int64_t x), int64_t x);
-/* Takes members and peers from the newest MEMBERS entry, or from the snapshot. To be called when entries changed. */
+/* Updates members and peers from the newest MEMBERS entry, or from the snapshot. Call after entries were changed. */
 void log_members_refresh(struct log *log);
 /* NULL: no such member. */
 struct log_peer *log_peer(struct log *log, int64_t id);
-/* The changes below append one MEMBERS entry as leader. ERROR_NOT_LEADER; ERROR_OVERLOAD: the change before it, or an
- * entry of this term, is not committed yet: try again. */
+/* The changes below append one MEMBERS entry as leader. ERROR_NOT_LEADER; ERROR_OVERLOAD: the previous change, or the
+ * first entry of this term, is not committed yet: try again later. */
 
-/* Drops the voter gone_id, whose disk is lost for good, and gives the learner fresh_id a vote. */
-int log_replace(struct log *log, int64_t gone_id, int64_t fresh_id);
-/* Passes the vote of gone_id, which may come back, to the learner fresh_id; log_settle() ends the exchange. */
-int log_exchange(struct log *log, int64_t gone_id, int64_t fresh_id);
-/* Drops the former voter of a committed exchange. ERROR_NO_SUCH: there is none. */
+/* Removes the voter former_id, whose disk is permanently lost, and makes the learner new_id a voter. */
+int log_replace(struct log *log, int64_t former_id, int64_t new_id);
+/* Passes the vote of former_id, which may return, to the learner new_id. log_settle() completes the exchange. */
+int log_exchange(struct log *log, int64_t former_id, int64_t new_id);
+/* Removes the outgoing voter of a committed exchange. ERROR_NO_SUCH: there is no exchange to complete. */
 int log_settle(struct log *log);
-/* Removes the member id (gone), sets its right (voter: enum log_vote_right), or adds it with a copy of zone. */
-int log_change(struct log *log, int64_t id, int64_t addr, const char *zone, int voter, int gone);
+/* Removes the member id (remove), or sets its kind (voter: enum log_membership), or adds it with a copy of zone. */
+int log_change(struct log *log, int64_t id, int64_t addr, const char *zone, int voter, int remove);
 
-/* log_transfer.c: a snapshot goes out in chunks, one under way to a peer */
+/* log_transfer.c: sends snapshots in chunks, one in flight to each peer */
 
-/* Sends the next chunk, unless one is under way; beat: an empty append as heartbeat with it. */
-void log_transfer_send(struct log *log, struct log_peer *peer, int beat);
-void log_transfer_tidy(struct log *log); /* frees what is no longer sent or received */
-/* Up to which index entries may be dropped from memory, at most upto: less while a member that was heard needs them. */
-int64_t log_entries_wanted(const struct log *log, int64_t upto);
+/* Sends the next chunk, unless one is in flight. heartbeat: also sends an empty append as heartbeat. */
+void log_transfer_send(struct log *log, struct log_peer *peer, int heartbeat);
+void log_transfer_free_unused(struct log *log); /* frees transfers that are no longer needed */
+/* The index up to which entries may be dropped from memory: last_index, or less if a responsive member needs them. */
+int64_t log_entries_droppable(const struct log *log, int64_t last_index);
+/* Handlers of frames, called by log_take(). */
 void log_on_chunk(struct log *log, const struct log_chunk *chunk);
-void log_on_got(struct log *log, const struct log_got *got);
-void log_on_snapshot(struct log *log, struct log_snapshot *snapshot); /* whole, of a former version */
+void log_on_chunk_ack(struct log *log, const struct log_chunk_ack *ack);
+void log_on_snapshot(struct log *log, struct log_snapshot *snapshot); /* a whole one, from an older version */
 
-/* log_store.c: segments. The store functions append records to the open segment; none lasts before log_store_sync(). A
- * disk error sets broken, after which they do nothing. */
+/* log_store.c: segments. The store functions append records to the open segment, which are durable only after
+ * log_store_sync(). A disk error sets broken, after which they do nothing. */
 
 void log_store_entry(struct log *log, int64_t index, const struct log_entry *entry);
-/* Entries from from_index on are void. */
+/* Records that the entries from from_index on are removed. */
 void log_store_cut(struct log *log, int64_t from_index);
-/* Current term and vote. */
+/* Records the current term and vote. */
 void log_store_vote(struct log *log);
-/* On return 0 all records last, and synced is the last index. Closes a segment that is over its size. ERROR_DISK. */
+/* Syncs all records and sets synced to the last index; then opens a new segment if this one is too long. ERROR_DISK. */
 int log_store_sync(struct log *log);
-/* Reads all segments behind the snapshot; cuts off an unfinished record at the end. ERROR_DISK: synced records are
+/* Reads all segments after the snapshot and truncates an incomplete record at the end. ERROR_DISK: synced records are
  * damaged, or the disk failed. */
 int log_store_load(struct log *log);
-/* Opens a fresh segment, synced with its name. ERROR_DISK. */
+/* Opens a new segment and syncs it and its file name. ERROR_DISK. */
 int log_store_open(struct log *log);
 
-/* log_snapshot.c: snapshots on disk. ERROR_DISK: the disk failed, or holds damage. */
+/* log_snapshot.c: snapshots on disk. ERROR_DISK: the disk failed, or its data are damaged. */
 
-/* Saves the state machine as applied, then drops entries and segments that are not needed any more. */
+/* Saves the applied state, then drops entries and segments that are no longer needed. */
 int log_snapshot_save(struct log *log);
 /* Restores the newest snapshot from disk, if there is one. */
 int log_snapshot_load(struct log *log);
-/* Appends the newest snapshot's file, as on disk and checked, to file. */
+/* Reads the newest snapshot file from disk, checks it, and appends it to file. */
 int log_snapshot_read(struct log *log, struct bytes *file);
-/* Appends saved to file as it stands on disk, with its checksum. */
-void log_snapshot_pack(const struct log_saved *saved, struct bytes *file);
-int log_snapshot_write(struct log *log, const struct bytes *file); /* lasts on return 0, under snapshot_index */
-/* The reverse of log_snapshot_pack(). members and data belong to the caller on success; ERROR_BAD_FRAME: not whole. */
-int log_snapshot_open(const struct bytes *file, struct log_saved *saved);
-/* Replaces the state machine, and entries that differ, by a snapshot that the leader sent; lasts on return 0. */
-int log_snapshot_take(struct log *log, const struct log_saved *saved, const struct bytes *file);
+/* Appends saved to file in the format on disk, with its checksum. */
+void log_snapshot_pack(const struct log_snapshot_file *saved, struct bytes *file);
+int log_snapshot_write(struct log *log, const struct bytes *file); /* durable on return 0, under snapshot_index */
+/* The reverse of log_snapshot_pack(). On success the caller owns members and data. ERROR_BAD_FRAME: damaged. */
+int log_snapshot_unpack(const struct bytes *file, struct log_snapshot_file *saved);
+/* Replaces the state machine and all entries by a snapshot that the leader sent; durable on return 0. */
+int log_snapshot_install(struct log *log, const struct log_snapshot_file *saved, const struct bytes *file);
 
-/* log.c: the entries in memory; none of these writes to disk */
+/* log.c: the entries in memory; none of these functions writes to disk */
 
-int64_t log_entry_bytes(const struct log_entry *entry); /* that it takes in memory */
-/* The last applied entry behind which those applied take at most so many bytes. */
-int64_t log_entries_beyond(const struct log *log, int64_t bytes);
-/* Frees the entries up to and with upto; the log begins behind it. */
-void log_entries_drop(struct log *log, int64_t upto);
+int64_t log_entry_bytes(const struct log_entry *entry); /* its size in memory */
+/* The index up to which entries must be dropped so that the applied entries after it take at most bytes of memory. */
+int64_t log_drop_index_for_bytes(const struct log *log, int64_t bytes);
+/* Frees the entries up to and including last_index; the log then begins after it. */
+void log_entries_drop(struct log *log, int64_t last_index);
 /* Appends an entry with a copy of body (NULL: empty). */
 void log_entry_add(struct log *log, int64_t term, int64_t kind, const struct bytes *body);
 /* Frees the entries from from_index on. */
--- a/src/log/log_elect.c
+++ b/src/log/log_elect.c
@@ -9,7 +9,7 @@
                            (int64_t)(world_random(log->w) % (uint64_t)log->settings.election_ms);
 }
 
-/* Invariant kept here: a higher term is synced, without a vote, before anything is said under it. */
+/* Invariant: a higher term is synced, without a vote, before any frame is sent in it. */
 void log_follow(struct log *log, int64_t term, int64_t leader_id)
 {
     const struct log_member *leader = log_member(log, leader_id);
@@ -29,7 +29,7 @@
     log->leader_addr = leader ? leader->addr : 0;
 }
 
-static int has_voted(const struct log *log, int64_t id, int64_t unused)
+static int has_granted_vote(const struct log *log, int64_t id, int64_t unused)
 {
     (void)unused;
     for (int64_t i = 0; i < log->n_votes; i++)
@@ -40,12 +40,12 @@
 
 static void count_votes(struct log *log, int transfer)
 {
-    if (!log_quorum(log, has_voted, 0))
+    if (!log_quorum(log, has_granted_vote, 0))
         return;
     if (log->role == LOG_PRE_CANDIDATE)
         log_request_votes(log, 0, transfer);
     else
-        log_lead(log);
+        log_become_leader(log);
 }
 
 void log_request_votes(struct log *log, int pre, int transfer)
@@ -80,17 +80,17 @@
 void log_on_vote_request(struct log *log, const struct log_vote_request *request)
 {
     int64_t now_ms = world_ms(log->w);
-    int heard =
+    int leader_heard =
         log->role == LOG_LEADER || (log->leader_id && now_ms - log->heard_leader_ms < log->settings.election_ms);
     int64_t last_term = log_term_at(log, log_last(log));
-    int newer =
+    int up_to_date =
         request->last_term > last_term || (request->last_term == last_term && request->last_index >= log_last(log));
     struct log_vote vote = {.group = log->group, .from = log->id, .to = request->from, .pre = request->pre};
-    /* a leader in sight is not unseated by somebody who merely lost sight of it */
-    if ((heard || now_ms < log->votes_from_ms) && !request->transfer)
+    /* a candidate that merely lost contact must not depose a leader that is still heard here */
+    if ((leader_heard || now_ms < log->votes_from_ms) && !request->transfer)
         return;
     if (request->pre) {
-        vote.granted = request->term > log->term && newer;
+        vote.granted = request->term > log->term && up_to_date;
         vote.term = vote.granted ? request->term : log->term;
         log_send(log, request->from, FRAME_VOTE, &log_vote_schema, &vote);
         return;
@@ -98,7 +98,7 @@
     if (request->term > log->term)
         log_follow(log, request->term, 0);
     vote.term = log->term;
-    if (request->term == log->term && newer && (!log->vote || log->vote == request->from)) {
+    if (request->term == log->term && up_to_date && (!log->vote || log->vote == request->from)) {
         log->vote = request->from;
         log_store_vote(log);
         if (log_store_sync(log))
@@ -118,7 +118,7 @@
     }
     if (vote->pre != (log->role == LOG_PRE_CANDIDATE) || (!vote->pre && log->role != LOG_CANDIDATE) ||
         vote->term != log->term + (vote->pre ? 1 : 0) || log->n_votes >= COUNT_OF(log->votes) ||
-        has_voted(log, vote->from, 0))
+        has_granted_vote(log, vote->from, 0))
         return;
     log->votes[log->n_votes++] = vote->from;
     count_votes(log, 0);
@@ -127,7 +127,7 @@
 int log_hand_over(struct log *log)
 {
     struct log_peer *best = NULL;
-    /* while our own disk held us up nobody could be heard: that is not their silence */
+    /* while this leader was blocked by slow syncs it could not handle replies: allow for that time */
     int64_t blocked_ms = log->slow_syncs ? 4 * log->last_sync_ms : 0;
     if (log->role != LOG_LEADER)
         return ERROR_NOT_LEADER;
--- a/src/log/log_identity.c
+++ b/src/log/log_identity.c
@@ -1,4 +1,4 @@
-/* Identity file, and small files that are replaced as a whole by way of a temporary file. */
+/* The identity file, and small files that are replaced atomically by renaming a temporary file. */
 #include "log/log_identity.h"
 
 #include <stdio.h>
@@ -51,7 +51,7 @@
     return rc ? rc : w->calls->disk_sync_names(w);
 }
 
-static void see_any(void *arg, const char *name)
+static void detect_log_files(void *arg, const char *name)
 {
     int *logs = arg;
     if (!strncmp(name, "control-", 8) || !strncmp(name, "jobs-", 5))
@@ -71,7 +71,7 @@
         }
         return ERROR_NONE;
     }
-    if (w->calls->disk_list(w, see_any, &logs))
+    if (w->calls->disk_list(w, detect_log_files, &logs))
         return ERROR_DISK;
     if (rc != ERROR_NO_SUCH || logs) {
         world_note(w, EV_LOG_BROKEN,
--- a/src/log/log_member.c
+++ b/src/log/log_member.c
@@ -1,4 +1,4 @@
-/* Members: who votes, what a quorum is, and the changes of one member or one exchange at a time. */
+/* Members: voters, quorums, and changes of one member or one exchange at a time. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -14,13 +14,13 @@
     return NULL;
 }
 
-/* Is the newest change of members still under way, as far as we know? */
-static int changing(const struct log *log) { return log->members_index > log->commit; }
+/* Whether the newest change of members is not yet known to be committed. */
+static int change_uncommitted(const struct log *log) { return log->members_index > log->commit; }
 
 int log_voter(const struct log *log, int64_t id)
 {
     const struct log_member *member = log_member(log, id);
-    return member && (log_votes(member) || (member->voter == VOTED && changing(log)));
+    return member && (log_votes(member) || (member->voter == VOTED && change_uncommitted(log)));
 }
 
 int64_t log_majority(const struct log *log)
@@ -33,16 +33,16 @@
 
 int log_quorum(const struct log *log, int (*has)(const struct log *log, int64_t id, int64_t x), int64_t x)
 {
-    int64_t n = 0, former = 0, n_former = 0;
+    int64_t n = 0, former_voters = 0, n_former = 0;
     for (int64_t i = 0; i < log->members.n; i++) {
         const struct log_member *m = &log->members.members[i];
-        int did = m->voter == VOTES || m->voter == VOTED, does = log_votes(m);
-        int yes = (did || does) && has(log, m->id, x);
-        n += does && yes;
-        former += did;
-        n_former += did && yes;
+        int was_voter = m->voter == VOTES || m->voter == VOTED, is_voter = log_votes(m);
+        int yes = (was_voter || is_voter) && has(log, m->id, x);
+        n += is_voter && yes;
+        former_voters += was_voter;
+        n_former += was_voter && yes;
     }
-    return log->members.n && n >= log_majority(log) && (!changing(log) || n_former >= former / 2 + 1);
+    return log->members.n && n >= log_majority(log) && (!change_uncommitted(log) || n_former >= former_voters / 2 + 1);
 }
 
 struct log_peer *log_peer(struct log *log, int64_t id)
@@ -53,7 +53,6 @@
     return NULL;
 }
 
-/* Folds the newest MEMBERS entry, or the snapshot's, into members and peers. */
 void log_members_refresh(struct log *log)
 {
     struct log_members members = {0};
@@ -79,8 +78,8 @@
             log->peers[i--] = log->peers[--log->n_peers];
 }
 
-/* One member at a time, and only once the change before it is committed and
- * an entry of our own term is: two majorities then always share a voter. */
+/* A change is allowed only once the previous change and an entry of this leader's own term are committed: then each
+ * majority before the change shares a voter with each majority after it. */
 static int may_change(const struct log *log)
 {
     if (log->role != LOG_LEADER)
@@ -97,19 +96,18 @@
     schema_free(&log_members_schema, next);
 }
 
-static void member_drop(struct log_members *members, int64_t i)
+static void remove_member(struct log_members *members, int64_t i)
 {
     free(members->members[i].zone);
     members->members[i] = members->members[--members->n];
 }
 
-/* One change in place of two, for a voter whose disk is gone for good: its
- * address answers under the fresh identity, so the old one never votes again.
- * Majorities of the former members are then majorities of those that are left,
- * and each shares a voter with every majority of the new. With two changes there
- * would be four voters for a moment, one of them dead, and one more loss just
- * then would stop the log for ever. */
-int log_replace(struct log *log, int64_t gone_id, int64_t fresh_id)
+/* Removes and adds a voter in one change. This is safe because the disk of the former voter is permanently lost: its
+ * address replies under the new identity, so the former one never votes again. Majorities of the former voters are
+ * therefore majorities of the remaining ones, and each shares a voter with every majority of the new voters. With two
+ * separate changes there would be four voters for a moment, one of them dead, and one more loss at that moment would
+ * stop the log permanently. */
+int log_replace(struct log *log, int64_t former_id, int64_t new_id)
 {
     struct log_members next = {0};
     int rc = may_change(log);
@@ -117,24 +115,23 @@
         return rc;
     schema_copy(&log_members_schema, &next, &log->members);
     for (int64_t i = 0; i < next.n; i++) {
-        if (next.members[i].id == fresh_id)
+        if (next.members[i].id == new_id)
             next.members[i].voter = VOTES;
-        if (next.members[i].id == gone_id)
-            member_drop(&next, i--);
+        if (next.members[i].id == former_id)
+            remove_member(&next, i--);
     }
-    world_note(log->w, EV_MEMBER_CHANGE, "log=%s gone=%llx fresh=%llx", log->name, (unsigned long long)gone_id,
-               (unsigned long long)fresh_id);
+    world_note(log->w, EV_MEMBER_CHANGE, "log=%s gone=%llx fresh=%llx", log->name, (unsigned long long)former_id,
+               (unsigned long long)new_id);
     propose_members(log, &next);
     return ERROR_NONE;
 }
 
-/* One entry passes the vote from one that may still come back to another. It is
- * committed by a majority of the former voters and one of the new; from then on
- * only the new count. A former voter that slept through it finds no majority: each
- * of the former shares a voter with those that committed it. Weighed: two changes
- * (four voters for a while, where one more loss stops the log although two of the
- * intended three live). */
-int log_exchange(struct log *log, int64_t gone_id, int64_t fresh_id)
+/* Passes the vote of a voter that may still return to another member, by one entry. The entry is committed by a
+ * majority of the former voters and a majority of the new ones; after that only the new ones count. A former voter that
+ * missed the exchange cannot win an election, because each majority of the former voters contains one that has the
+ * entry. The alternative, two separate changes, has four voters for a while, when one more loss stops the log although
+ * two of the three intended voters are alive. */
+int log_exchange(struct log *log, int64_t former_id, int64_t new_id)
 {
     struct log_members next = {0};
     int rc = may_change(log);
@@ -143,10 +140,10 @@
     schema_copy(&log_members_schema, &next, &log->members);
     for (int64_t i = 0; i < next.n; i++) {
         struct log_member *m = &next.members[i];
-        m->voter = m->id == gone_id ? VOTED : m->id == fresh_id ? VOTES_NEWLY : m->voter;
+        m->voter = m->id == former_id ? VOTED : m->id == new_id ? VOTES_NEWLY : m->voter;
     }
-    world_note(log->w, EV_MEMBER_CHANGE, "log=%s exchanged=%llx fresh=%llx", log->name, (unsigned long long)gone_id,
-               (unsigned long long)fresh_id);
+    world_note(log->w, EV_MEMBER_CHANGE, "log=%s exchanged=%llx fresh=%llx", log->name, (unsigned long long)former_id,
+               (unsigned long long)new_id);
     propose_members(log, &next);
     return ERROR_NONE;
 }
@@ -154,23 +151,23 @@
 int log_settle(struct log *log)
 {
     struct log_members next = {0};
-    int unsettled = 0, rc = may_change(log);
+    int exchanging = 0, rc = may_change(log);
     for (int64_t i = 0; i < log->members.n; i++)
-        unsettled |= log->members.members[i].voter > VOTES;
-    if (!unsettled || rc)
-        return unsettled ? rc : ERROR_NO_SUCH;
+        exchanging |= log->members.members[i].voter > VOTES;
+    if (!exchanging || rc)
+        return exchanging ? rc : ERROR_NO_SUCH;
     schema_copy(&log_members_schema, &next, &log->members);
     for (int64_t i = 0; i < next.n; i++) {
         if (next.members[i].voter == VOTES_NEWLY)
             next.members[i].voter = VOTES;
         if (next.members[i].voter == VOTED)
-            member_drop(&next, i--);
+            remove_member(&next, i--);
     }
     propose_members(log, &next);
     return ERROR_NONE;
 }
 
-int log_change(struct log *log, int64_t id, int64_t addr, const char *zone, int voter, int gone)
+int log_change(struct log *log, int64_t id, int64_t addr, const char *zone, int voter, int remove)
 {
     struct log_members next = {0};
     int rc = may_change(log);
@@ -180,16 +177,16 @@
     int64_t i = 0;
     while (i < next.n && next.members[i].id != id)
         i++;
-    if (gone && i < next.n) {
-        member_drop(&next, i);
-    } else if (!gone && i < next.n) {
+    if (remove && i < next.n) {
+        remove_member(&next, i);
+    } else if (!remove && i < next.n) {
         next.members[i].voter = voter;
-    } else if (!gone) {
+    } else if (!remove) {
         struct log_member *member = list_more(next.members, next.n);
         *member = (struct log_member){.id = id, .addr = addr, .voter = voter, .zone = must_dup(zone)};
     }
     world_note(log->w, EV_MEMBER_CHANGE, "log=%s id=%llx voter=%d gone=%d", log->name, (unsigned long long)id, voter,
-               gone);
+               remove);
     propose_members(log, &next);
     return ERROR_NONE;
 }
--- a/src/log/log_schemas.c
+++ b/src/log/log_schemas.c
@@ -1,4 +1,5 @@
-/* Schemas of entries, members and frames. The order of fields is the wire and disk format: new ones go to the end. */
+/* Schemas of entries, members and frames. The order of fields defines the wire and disk format, so new fields are
+ * added at the end. */
 #include "log/log.h"
 
 static const struct field entry_fields[] = {INT(log_entry, term), INT(log_entry, kind), BYTES(log_entry, body)};
@@ -58,10 +59,10 @@
     INT(log_chunk, sum),   INT(log_chunk, size),   BYTES(log_chunk, data)};
 SCHEMA(log_chunk_schema, log_chunk, chunk_fields);
 
-static const struct field got_fields[] = {INT(log_got, group), INT(log_got, term),  INT(log_got, from),
-                                          INT(log_got, to),    INT(log_got, index), INT(log_got, sum),
-                                          INT(log_got, round), INT(log_got, offset)};
-SCHEMA(log_got_schema, log_got, got_fields);
+static const struct field chunk_ack_fields[] = {
+    INT(log_chunk_ack, group), INT(log_chunk_ack, term), INT(log_chunk_ack, from),  INT(log_chunk_ack, to),
+    INT(log_chunk_ack, index), INT(log_chunk_ack, sum),  INT(log_chunk_ack, round), INT(log_chunk_ack, offset)};
+SCHEMA(log_chunk_ack_schema, log_chunk_ack, chunk_ack_fields);
 
 static const struct field lead_now_fields[] = {INT(log_lead_now, group), INT(log_lead_now, term),
                                                INT(log_lead_now, from), INT(log_lead_now, to)};
--- a/src/log/log_transfer.c
+++ b/src/log/log_transfer.c
@@ -1,6 +1,6 @@
-/* A snapshot on its way from the leader to a member that is too far behind for entries: its file goes out in
- * chunks, one under way to a peer, each acknowledged with what the receiver holds by then. Empty appends go on
- * between them. Nothing of the receiver's state changes until the whole file is there and its checksums hold. */
+/* Transfer of a snapshot from the leader to a member that lacks entries which the leader no longer has. The file is
+ * sent in chunks, one in flight to each peer; the acknowledgement contains how much the receiver has. Empty appends
+ * continue as heartbeats. The receiver changes its state only once it has the whole file and the checksums match. */
 #include <string.h>
 
 #include "base/error.h"
@@ -8,12 +8,12 @@
 #include "log/log.h"
 
 enum {
-    CHUNK_BYTES = 32 << 10, /* 131 ms over 2 Mbit/s: an election takes 500 ms */
-    CHUNK_MAX = 1 << 20,    /* none that is larger is taken */
-    TOTAL_MAX = 1 << 30,    /* nor a snapshot */
-    SILENT_BEATS = 20,      /* a chunk is sent again after so many heartbeats without an answer */
-    HELD_SNAPSHOTS = 4,     /* for a slow member entries of so many intervals are kept */
-    HELD_HEARD_BEATS = 50   /* if it was heard so many heartbeats ago at most */
+    CHUNK_BYTES = 32 << 10,       /* 131 ms over 2 Mbit/s, less than an election time-out of 500 ms */
+    CHUNK_MAX = 1 << 20,          /* larger chunks are refused */
+    SNAPSHOT_MAX = 1 << 30,       /* larger snapshots are refused */
+    CHUNK_RETRY_HEARTBEATS = 20,  /* a chunk is sent again after this many heartbeat intervals without a reply */
+    LAGGING_KEEP_SNAPSHOTS = 4,   /* snapshot intervals whose entries are kept for a lagging member */
+    LAGGING_HEARD_HEARTBEATS = 50 /* only if it replied within this many heartbeat intervals */
 };
 
 static void transfer_free(struct log_transfer *transfer)
@@ -22,11 +22,11 @@
     *transfer = (struct log_transfer){0};
 }
 
-/* --- the leader's side ------------------------------------------------------------- */
+/* --- leader ------------------------------------------------------------------------ */
 
-/* Are the entries behind what goes out still there, and the term of the one before them? Else the receiver
- * would need the next snapshot at once. */
-static int outgoing_good(const struct log *log)
+/* Whether the entries after the outgoing snapshot, and the term of the one before them, are still in memory. Otherwise
+ * the receiver would need the next snapshot at once. */
+static int outgoing_is_valid(const struct log *log)
 {
     return log->outgoing.index && log->first_index <= log->outgoing.index + 1 &&
            log_term_at(log, log->outgoing.index) >= 0;
@@ -35,13 +35,13 @@
 static int open_outgoing(struct log *log)
 {
     struct log_transfer *out = &log->outgoing;
-    if (outgoing_good(log))
+    if (outgoing_is_valid(log))
         return ERROR_NONE;
     transfer_free(out);
     for (int64_t i = 0; i < log->n_peers; i++)
         log->peers[i].copying = log->peers[i].offset = 0;
     int rc = log_snapshot_read(log, &out->data);
-    if (rc) { /* our own file is damaged: the state it was made of is not, so write a new one */
+    if (rc) { /* the file is damaged, but the state in memory is not: write a new file */
         transfer_free(out);
         return log_snapshot_save(log);
     }
@@ -52,10 +52,10 @@
     return ERROR_NONE;
 }
 
-static void send_whole(struct log *log, struct log_peer *peer)
+static void send_whole_snapshot(struct log *log, struct log_peer *peer)
 {
-    struct log_saved saved = {0};
-    if (log_snapshot_open(&log->outgoing.data, &saved))
+    struct log_snapshot_file saved = {0};
+    if (log_snapshot_unpack(&log->outgoing.data, &saved))
         return;
     struct log_snapshot snapshot = {.group = log->group,
                                     .term = log->term,
@@ -67,7 +67,7 @@
                                     .members = saved.members,
                                     .data = saved.data};
     log_send(log, peer->id, FRAME_SNAPSHOT, &log_snapshot_schema, &snapshot);
-    schema_free(&log_saved_schema, &saved);
+    schema_free(&log_snapshot_file_schema, &saved);
 }
 
 static void send_chunk(struct log *log, struct log_peer *peer)
@@ -90,20 +90,20 @@
     peer->chunk_ms = world_ms(log->w);
 }
 
-/* An append that nobody refuses and that says nothing new of entries: we still lead. */
-static void send_beat(struct log *log, const struct log_peer *peer)
+/* Sends an empty append at index 0, which every member accepts, to renew leadership without sending entries. */
+static void send_heartbeat(struct log *log, const struct log_peer *peer)
 {
-    struct log_append beat = {
+    struct log_append heartbeat = {
         .group = log->group, .term = log->term, .from = log->id, .to = peer->id, .round = log->round};
-    log_send(log, peer->id, FRAME_APPEND, &log_append_schema, &beat);
+    log_send(log, peer->id, FRAME_APPEND, &log_append_schema, &heartbeat);
 }
 
-void log_transfer_send(struct log *log, struct log_peer *peer, int beat)
+void log_transfer_send(struct log *log, struct log_peer *peer, int heartbeat)
 {
-    int64_t now_ms = world_ms(log->w), silent_ms = SILENT_BEATS * log->settings.heartbeat_ms;
-    if (beat)
-        send_beat(log, peer);
-    if (peer->copying && peer->copying == log->outgoing.index && outgoing_good(log) &&
+    int64_t now_ms = world_ms(log->w), silent_ms = CHUNK_RETRY_HEARTBEATS * log->settings.heartbeat_ms;
+    if (heartbeat)
+        send_heartbeat(log, peer);
+    if (peer->copying && peer->copying == log->outgoing.index && outgoing_is_valid(log) &&
         now_ms - peer->chunk_ms < silent_ms)
         return;
     if (open_outgoing(log) || !log->outgoing.index)
@@ -116,52 +116,52 @@
     if (peer->chunks)
         send_chunk(log, peer);
     else
-        send_whole(log, peer);
+        send_whole_snapshot(log, peer);
 }
 
-void log_on_got(struct log *log, const struct log_got *got)
+void log_on_chunk_ack(struct log *log, const struct log_chunk_ack *ack)
 {
-    struct log_peer *peer = log_peer(log, got->from);
-    if (got->term > log->term) {
-        log_follow(log, got->term, 0);
+    struct log_peer *peer = log_peer(log, ack->from);
+    if (ack->term > log->term) {
+        log_follow(log, ack->term, 0);
         return;
     }
-    if (log->role != LOG_LEADER || got->term != log->term || !peer)
+    if (log->role != LOG_LEADER || ack->term != log->term || !peer)
         return;
     peer->heard_ms = world_ms(log->w);
-    if (got->round > peer->acked_round)
-        peer->acked_round = got->round;
-    log_reads_done(log);
-    if (!peer->copying || got->index != peer->copying || got->index != log->outgoing.index ||
-        got->sum != log->outgoing.sum || got->offset < 0 || got->offset > log->outgoing.total)
+    if (ack->round > peer->acked_round)
+        peer->acked_round = ack->round;
+    log_complete_reads(log);
+    if (!peer->copying || ack->index != peer->copying || ack->index != log->outgoing.index ||
+        ack->sum != log->outgoing.sum || ack->offset < 0 || ack->offset > log->outgoing.total)
         return;
-    int on = got->offset > peer->offset && got->offset < log->outgoing.total;
-    peer->offset = got->offset < log->outgoing.total ? got->offset : 0;
-    if (on) /* else with the next beat after a silence: what it refuses isn't sent in a circle */
+    int progress = ack->offset > peer->offset && ack->offset < log->outgoing.total;
+    peer->offset = ack->offset < log->outgoing.total ? ack->offset : 0;
+    if (progress) /* otherwise a heartbeat sends it after a pause, so that a refused chunk is not repeated in a loop */
         send_chunk(log, peer);
 }
 
-/* Entries up to `upto` could go. Of those a member needs that was heard lately and is behind, some stay:
- * at most HELD_SNAPSHOTS intervals of them and held_bytes, so a member that falls behind faster than that starts
- * over with the newest snapshot. */
-int64_t log_entries_wanted(const struct log *log, int64_t upto)
+/* Of the entries up to last_index, those stay that a lagging member which replied recently still needs, but no more
+ * than LAGGING_KEEP_SNAPSHOTS intervals and lagging_keep_bytes. A member that lags more gets the newest snapshot. */
+int64_t log_entries_droppable(const struct log *log, int64_t last_index)
 {
     int64_t now_ms = world_ms(log->w);
-    int64_t least = log->applied - log->settings.keep_entries - HELD_SNAPSHOTS * log->settings.snapshot_every;
-    int64_t least_by_bytes = log_entries_beyond(log, log->settings.held_bytes);
-    if (least < least_by_bytes)
-        least = least_by_bytes;
+    int64_t oldest_kept =
+        log->applied - log->settings.keep_entries - LAGGING_KEEP_SNAPSHOTS * log->settings.snapshot_every;
+    int64_t oldest_kept_by_bytes = log_drop_index_for_bytes(log, log->settings.lagging_keep_bytes);
+    if (oldest_kept < oldest_kept_by_bytes)
+        oldest_kept = oldest_kept_by_bytes;
     for (int64_t i = 0; log->role == LOG_LEADER && i < log->n_peers; i++) {
         const struct log_peer *peer = &log->peers[i];
         int64_t has = peer->copying ? peer->copying : peer->match;
-        if (peer->id != log->id && has <= upto && has >= least && has > 0 &&
-            now_ms - peer->heard_ms <= HELD_HEARD_BEATS * log->settings.heartbeat_ms)
-            upto = has - 1; /* its term is asked for with the one behind it */
+        if (peer->id != log->id && has <= last_index && has >= oldest_kept && has > 0 &&
+            now_ms - peer->heard_ms <= LAGGING_HEARD_HEARTBEATS * log->settings.heartbeat_ms)
+            last_index = has - 1; /* keep the entry at has: the next append needs its term */
     }
-    return upto;
+    return last_index;
 }
 
-void log_transfer_tidy(struct log *log)
+void log_transfer_free_unused(struct log *log)
 {
     int used = 0;
     for (int64_t i = 0; log->role == LOG_LEADER && i < log->n_peers; i++)
@@ -172,10 +172,10 @@
         transfer_free(&log->incoming);
 }
 
-/* --- the receiver's side ----------------------------------------------------------- */
+/* --- receiver ---------------------------------------------------------------------- */
 
-/* All that log holds gives way to a whole snapshot, or nothing does. */
-int log_snapshot_take(struct log *log, const struct log_saved *saved, const struct bytes *file)
+/* On an error of restore() nothing is changed. */
+int log_snapshot_install(struct log *log, const struct log_snapshot_file *saved, const struct bytes *file)
 {
     int rc = log->machine.restore(log->machine.arg, &saved->data);
     if (rc)
@@ -189,7 +189,7 @@
     log->first_index = saved->index + 1;
     log->dropped_term = saved->term;
     log_members_refresh(log);
-    /* the snapshot lasts before what it stands for is cut */
+    /* the snapshot must be durable before the entries that it replaces are removed */
     rc = log_snapshot_write(log, file);
     if (rc)
         return rc;
@@ -200,7 +200,7 @@
     return rc;
 }
 
-static void tell_match(struct log *log, int64_t to, int64_t round)
+static void acknowledge_match(struct log *log, int64_t to, int64_t round)
 {
     struct log_appended reply = {.group = log->group,
                                  .term = log->term,
@@ -216,51 +216,54 @@
     log_send(log, to, FRAME_APPENDED, &log_appended_schema, &reply);
 }
 
-static void heard_leader(struct log *log, int64_t term, int64_t from)
+static void on_leader_heard(struct log *log, int64_t term, int64_t from)
 {
     log_follow(log, term, from);
     log->heard_leader_ms = world_ms(log->w);
     log_election_reset(log);
 }
 
-static void tell_got(struct log *log, const struct log_chunk *chunk, int64_t offset)
+static void acknowledge_chunk(struct log *log, const struct log_chunk *chunk, int64_t offset)
 {
-    struct log_got got = {.group = log->group,
-                          .term = log->term,
-                          .from = log->id,
-                          .to = chunk->from,
-                          .index = chunk->index,
-                          .sum = chunk->sum,
-                          .round = chunk->round,
-                          .offset = offset};
-    log_send(log, chunk->from, FRAME_SNAPSHOT_GOT, &log_got_schema, &got);
+    struct log_chunk_ack ack = {.group = log->group,
+                                .term = log->term,
+                                .from = log->id,
+                                .to = chunk->from,
+                                .index = chunk->index,
+                                .sum = chunk->sum,
+                                .round = chunk->round,
+                                .offset = offset};
+    log_send(log, chunk->from, FRAME_SNAPSHOT_CHUNK_ACK, &log_chunk_ack_schema, &ack);
 }
 
-static void refused(struct log *log, const struct log_chunk *chunk, const char *why)
+static void note_refusal(struct log *log, const struct log_chunk *chunk, const char *why)
 {
     world_note(log->w, EV_SNAPSHOT_REFUSED, "log=%s index=%lld offset=%lld has=%lld why=%s", log->name,
                (long long)chunk->index, (long long)chunk->offset, (long long)log->incoming.data.len, why);
 }
 
-/* NULL, or what is wrong with it by itself. */
-static const char *chunk_wrong(const struct log_chunk *c)
+/* The reason why a chunk is invalid on its own, or NULL. */
+static const char *chunk_error(const struct log_chunk *chunk)
 {
-    if (c->index <= 0 || c->snapshot_term < 0 || c->snapshot_term > c->term)
+    if (chunk->index <= 0 || chunk->snapshot_term < 0 || chunk->snapshot_term > chunk->term)
         return "place";
-    if (c->size <= 0 || c->size > CHUNK_MAX || c->size != c->data.len)
+    if (chunk->size <= 0 || chunk->size > CHUNK_MAX || chunk->size != chunk->data.len)
         return "size";
-    if (c->total <= 0 || c->total > TOTAL_MAX || c->offset < 0 || c->offset > c->total - c->size)
+    if (chunk->total <= 0 || chunk->total > SNAPSHOT_MAX || chunk->offset < 0 ||
+        chunk->offset > chunk->total - chunk->size)
         return "beyond";
     return NULL;
 }
 
-static int same_transfer(const struct log_transfer *t, const struct log_chunk *c)
+static int same_transfer(const struct log_transfer *transfer, const struct log_chunk *chunk)
 {
-    return t->index == c->index && t->term == c->snapshot_term && t->total == c->total && t->sum == c->sum;
+    return transfer->index == chunk->index && transfer->term == chunk->snapshot_term &&
+           transfer->total == chunk->total && transfer->sum == chunk->sum;
 }
 
-/* Has it another transfer than the one we hold? Of the same leader only a newer one takes its place. */
-static const char *begin(struct log *log, const struct log_chunk *chunk)
+/* Starts the transfer that chunk belongs to in place of the current one; from the same leader only a newer snapshot
+ * replaces it. Returns NULL, or the reason of the refusal. */
+static const char *begin_transfer(struct log *log, const struct log_chunk *chunk)
 {
     struct log_transfer *in = &log->incoming;
     if (chunk->offset)
@@ -273,50 +276,50 @@
     return NULL;
 }
 
-static void taken_whole(struct log *log, const struct log_chunk *chunk)
+static void finish_transfer(struct log *log, const struct log_chunk *chunk)
 {
     struct log_transfer whole = log->incoming;
-    struct log_saved saved = {0};
+    struct log_snapshot_file saved = {0};
     log->incoming = (struct log_transfer){0};
-    int rc = whole.sum != (int64_t)crc_of(whole.data.at, whole.data.len) || log_snapshot_open(&whole.data, &saved)
+    int rc = whole.sum != (int64_t)crc_of(whole.data.at, whole.data.len) || log_snapshot_unpack(&whole.data, &saved)
                  ? ERROR_BAD_FRAME
                  : ERROR_NONE;
     if (!rc && (saved.index != whole.index || saved.term != whole.term))
         rc = ERROR_BAD_FRAME;
     if (!rc)
-        rc = log_snapshot_take(log, &saved, &whole.data);
+        rc = log_snapshot_install(log, &saved, &whole.data);
     if (!rc) {
-        tell_match(log, chunk->from, chunk->round);
+        acknowledge_match(log, chunk->from, chunk->round);
     } else if (!log->broken) {
         world_note(log->w, EV_SNAPSHOT_DAMAGED, "log=%s index=%lld bytes=%lld", log->name, (long long)whole.index,
                    (long long)whole.total);
-        tell_got(log, chunk, 0);
+        acknowledge_chunk(log, chunk, 0);
     }
-    schema_free(&log_saved_schema, &saved);
+    schema_free(&log_snapshot_file_schema, &saved);
     transfer_free(&whole);
 }
 
 void log_on_chunk(struct log *log, const struct log_chunk *chunk)
 {
     struct log_transfer *in = &log->incoming;
-    const char *wrong = chunk->term < log->term ? "term" : chunk_wrong(chunk);
+    const char *wrong = chunk->term < log->term ? "term" : chunk_error(chunk);
     if (!wrong) {
-        heard_leader(log, chunk->term, chunk->from);
+        on_leader_heard(log, chunk->term, chunk->from);
         if (log->broken)
             return;
         if (chunk->index <= log->commit) {
-            tell_match(log, chunk->from, chunk->round);
+            acknowledge_match(log, chunk->from, chunk->round);
             return;
         }
         if (!same_transfer(in, chunk))
-            wrong = begin(log, chunk);
+            wrong = begin_transfer(log, chunk);
         else if (chunk->offset > in->data.len)
             wrong = "order";
     }
     if (wrong) {
-        refused(log, chunk, wrong);
+        note_refusal(log, chunk, wrong);
         if (chunk->term <= log->term)
-            tell_got(log, chunk, same_transfer(in, chunk) ? in->data.len : 0);
+            acknowledge_chunk(log, chunk, same_transfer(in, chunk) ? in->data.len : 0);
         return;
     }
     in->from = chunk->from;
@@ -324,31 +327,31 @@
     if (chunk->offset == in->data.len)
         bytes_add(&in->data, chunk->data.at, chunk->data.len);
     if (in->data.len == in->total)
-        taken_whole(log, chunk);
+        finish_transfer(log, chunk);
     else
-        tell_got(log, chunk, in->data.len);
+        acknowledge_chunk(log, chunk, in->data.len);
 }
 
 void log_on_snapshot(struct log *log, struct log_snapshot *snapshot)
 {
-    struct log_saved saved = {.index = snapshot->index,
-                              .term = snapshot->snapshot_term,
-                              .members = snapshot->members,
-                              .data = snapshot->data};
+    struct log_snapshot_file saved = {.index = snapshot->index,
+                                      .term = snapshot->snapshot_term,
+                                      .members = snapshot->members,
+                                      .data = snapshot->data};
     struct bytes file = {0};
     int rc = ERROR_NONE;
     if (snapshot->term < log->term)
         return;
-    heard_leader(log, snapshot->term, snapshot->from);
+    on_leader_heard(log, snapshot->term, snapshot->from);
     if (log->broken)
         return;
     if (snapshot->index > log->commit) {
         log_snapshot_pack(&saved, &file);
-        rc = log_snapshot_take(log, &saved, &file);
+        rc = log_snapshot_install(log, &saved, &file);
         bytes_free(&file);
     }
     if (!rc)
-        tell_match(log, snapshot->from, snapshot->round);
+        acknowledge_match(log, snapshot->from, snapshot->round);
     else if (!log->broken)
         world_note(log->w, EV_SNAPSHOT_DAMAGED, "log=%s index=%lld bytes=%lld", log->name, (long long)snapshot->index,
                    (long long)snapshot->data.len);
--- a/tests/model/bootstrap_monitors.cc
+++ b/tests/model/bootstrap_monitors.cc
@@ -1,36 +1,36 @@
-// What must hold of the agreement on the first voters, in every state the model reaches.
+// Invariants of the bootstrap agreement on the first voters that hold in every state of the model.
 #include <algorithm>
 
-#include "site.h"
+#include "model_cluster.h"
 
 namespace model
 {
 
-static bool majority_of(unsigned seeds, int n_seeds) { return __builtin_popcount(seeds) > n_seeds / 2; }
+static bool is_majority(unsigned seeds, int n_seeds) { return __builtin_popcount(seeds) > n_seeds / 2; }
 
-/* A list goes to voters only once a majority of the seeds accepted it, and no other one ever does. */
-void Site::check_list_told(const Node &n, const struct log_members &list)
+/* A list is sent to voters only once a majority of the seeds accepted it, and no other list is ever sent. */
+void Cluster::check_announced_list(const Node &n, const struct log_members &list)
 {
     uint64_t hash = list_hash(list);
-    if (told_list_ && told_list_ != hash)
-        say("node %d tells another list of first voters than was told before", n.at);
+    if (announced_list_ && announced_list_ != hash)
+        report_violation("node %d sends another list of first voters than was sent before", n.number);
     if (chosen_list_ != hash)
-        say("node %d tells a list of first voters that no majority accepted", n.at);
-    told_list_ = hash;
+        report_violation("node %d sends a list of first voters that no majority accepted", n.number);
+    announced_list_ = hash;
 }
 
-/* Each seed has ballots of its own. */
-void Site::check_ballot_owner(const Node &n, int64_t ballot)
+/* No two seeds propose under the same ballot. */
+void Cluster::check_ballot_owner(const Node &n, int64_t ballot)
 {
     auto at = std::find_if(proposed_.begin(), proposed_.end(), [&](const Proposed &p) { return p.ballot == ballot; });
     if (at == proposed_.end())
-        proposed_.push_back({ballot, n.at});
-    else if (at->by != n.at)
-        say("two seeds propose under one ballot");
+        proposed_.push_back({ballot, n.number});
+    else if (at->by != n.number)
+        report_violation("two seeds propose under one ballot");
 }
 
-/* Whatever is said is true of the disk as it would be read back after a loss of power now. */
-void Site::check_controller_said(Node &n, const struct frame *frame)
+/* What a frame states must be true for the disk as it would be read after a loss of power now. */
+void Cluster::check_controller_frame(Node &n, const struct frame *frame)
 {
     union {
         struct collect collect;
@@ -47,73 +47,74 @@
                                                                       : nullptr;
     if (!schema || schema_unpack(schema, &m, frame->body, frame->len))
         return;
-    const Node::Lasting lasting = n.has_disk() ? n.after_power_loss() : Node::Lasting();
+    const Node::Durable durable = n.has_disk() ? n.after_power_loss() : Node::Durable();
     if (frame->kind == FRAME_LEAVING && m.leaving.may_end)
-        check_may_end(n, m.leaving.id);
+        check_stop_permit(n, m.leaving.id);
     if (frame->kind == FRAME_FOUNDERS)
-        check_list_told(n, m.list);
-    if (frame->kind == FRAME_COLLECT && m.collect.members.n && lasting.bootstrap_list != list_hash(m.collect.members))
-        say("node %d tells that it took a list that is not on its disk", n.at);
+        check_announced_list(n, m.list);
+    if (frame->kind == FRAME_COLLECT && m.collect.members.n && durable.bootstrap_list != list_hash(m.collect.members))
+        report_violation("node %d announces a list that is not on its disk", n.number);
     if (frame->kind == FRAME_BALLOT)
         check_ballot_owner(n, m.ballot.ballot);
-    if (frame->kind == FRAME_BALLOT && n.has_disk() && lasting.promised < m.ballot.ballot)
-        say("node %d proposes under a ballot that is not on its disk", n.at);
+    if (frame->kind == FRAME_BALLOT && n.has_disk() && durable.promised < m.ballot.ballot)
+        report_violation("node %d proposes under a ballot that is not on its disk", n.number);
     if (frame->kind == FRAME_BALLOT && m.ballot.phase == BALLOT_ACCEPT && chosen_list_ &&
         chosen_list_ != list_hash(m.ballot.members) && m.ballot.ballot > chosen_ballot_)
-        say("node %d proposes another list after one was chosen", n.at);
+        report_violation("node %d proposes another list after one was chosen", n.number);
     if (frame->kind == FRAME_BALLOT_REPLY && n.has_disk() &&
-        (lasting.promised < m.reply.promised || lasting.accepted < m.reply.accepted ||
-         (lasting.accepted == m.reply.accepted && m.reply.accepted &&
-          lasting.accepted_list != list_hash(m.reply.members))))
-        say("node %d tells a promise or a list that is not on its disk", n.at);
+        (durable.promised < m.reply.promised || durable.accepted < m.reply.accepted ||
+         (durable.accepted == m.reply.accepted && m.reply.accepted &&
+          durable.accepted_list != list_hash(m.reply.members))))
+        report_violation("node %d sends a promise or a list that is not on its disk", n.number);
     schema_free(schema, &m);
 }
 
-/* What the acceptor of a seed has accepted now. */
-void Site::check_acceptor(const Node &n)
+/* Records and checks what the acceptor of a seed has accepted. */
+void Cluster::check_acceptor(const Node &n)
 {
     const struct acceptor &acceptor = n.controller.acceptor;
     uint64_t list = list_hash(acceptor.members);
     if (acceptor.accepted > acceptor.promised)
-        say("node %d accepted a ballot above its promise", n.at);
+        report_violation("node %d accepted a ballot above its promise", n.number);
     if (!acceptor.accepted)
         return;
     auto at = std::find_if(accepted_.begin(), accepted_.end(),
                            [&](const Accepted &a) { return a.ballot == acceptor.accepted && a.list == list; });
     for (const Accepted &other : accepted_)
         if (other.ballot == acceptor.accepted && other.list != list)
-            say("two lists under one ballot");
+            report_violation("two lists under one ballot");
     if (at == accepted_.end())
         at = accepted_.insert(at, {acceptor.accepted, list, 0});
-    at->by |= 1u << n.at;
-    if (!majority_of(at->by, study_->fleet.seeds))
+    at->by |= 1u << n.number;
+    if (!is_majority(at->by, study_->controller_setup.seeds))
         return;
     if (chosen_list_ && chosen_list_ != list)
-        say("a majority accepted another list after one was chosen");
+        report_violation("a majority accepted another list after one was chosen");
     if (!chosen_list_)
         chosen_ballot_ = acceptor.accepted;
     chosen_list_ = list;
 }
 
-void Site::check_controller(const Node &n)
+void Cluster::check_controller(const Node &n)
 {
     const struct controller &c = n.controller;
     uint64_t list = list_hash(c.bootstrap_members);
     check_acceptor(n);
     if (c.chosen_members.n && list_hash(c.chosen_members) != chosen_list_)
-        say("node %d believes in a list that no majority accepted", n.at);
+        report_violation("node %d holds a list for chosen that no majority accepted", n.number);
     if (!list || !n.votes())
         return;
-    check_list_told(n, c.bootstrap_members);
+    check_announced_list(n, c.bootstrap_members);
     bool named = false;
     for (int64_t i = 0; i < c.bootstrap_members.n; i++)
         named |= c.bootstrap_members.members[i].id == n.id;
     if (!named)
-        say("node %d took a list that does not name it", n.at);
-    auto at = std::find_if(taken_.begin(), taken_.end(), [&](const Taken &t) { return t.id == n.id; });
-    if (at == taken_.end())
-        taken_.push_back({n.id, list});
+        report_violation("node %d bootstrapped with a list that does not name it", n.number);
+    auto at =
+        std::find_if(bootstrapped_.begin(), bootstrapped_.end(), [&](const Bootstrapped &t) { return t.id == n.id; });
+    if (at == bootstrapped_.end())
+        bootstrapped_.push_back({n.id, list});
     else if (at->list != list)
-        say("node %d took two lists", n.at);
+        report_violation("node %d bootstrapped with two lists", n.number);
 }
 } // namespace model
--- a/tests/model/controller_node.cc
+++ b/tests/model/controller_node.cc
@@ -1,18 +1,18 @@
-// A node that is a controller: the shipped ballot, bootstrap, members and log, in the order in which controller.c
-// drives them. Left out are dispatch, the relay of requests and the directory's search for a leader.
+// A node that is a controller: the production ballot, bootstrap, members and log, called in the same order as by
+// controller.c. Dispatch, the relay of requests and the directory's search for a leader are left out.
 #include <algorithm>
 #include <cstdlib>
 #include <cstring>
 
-#include "site.h"
+#include "model_cluster.h"
 
 namespace model
 {
 
-constexpr int64_t LONGEST_WAIT = 6000; /* ms: no timer of ballot.c, bootstrap.c and members.c looks back further */
-constexpr int64_t SLEPT = 500;         /* between two timers: then silence proves nothing */
-constexpr int64_t HAND_OVER = 1000;    /* a leader that handed over and is still there then follows */
-constexpr int64_t GRACE = 60000;       /* longer than any run */
+constexpr int64_t LONGEST_WAIT_MS = 6000; /* longer than every wait of ballot.c, bootstrap.c and members.c */
+constexpr int64_t PAUSE_MS = 500;         /* after a longer pause between two timers, missing frames prove nothing */
+constexpr int64_t HAND_OVER_MS = 1000;    /* a leader that handed over becomes a follower after this time */
+constexpr int64_t GRACE_MS = 60000;       /* longer than every run */
 
 uint64_t list_hash(const struct log_members &list)
 {
@@ -22,12 +22,13 @@
     return h;
 }
 
-/* --- life ---------------------------------------------------------------------------------- */
+/* --- start, stop and copy ------------------------------------------------------------------ */
 
 /* As controller_new() and open_log(). */
 int Node::load_controller(bool first_start)
 {
-    const std::string own_zone = at < (int)strlen(fleet->zones) ? std::string(1, fleet->zones[at]) : "a";
+    const std::string own_zone =
+        number < (int)strlen(controller_setup->zones) ? std::string(1, controller_setup->zones[number]) : "a";
     int rc = ERROR_NONE;
     controller = {};
     controller.w = &world;
@@ -37,20 +38,20 @@
     controller.setup.disk = has_disk();
     controller.setup.first_start = first_start;
     controller.setup.machines_lost = 1;
-    controller.setup.grace_ms = GRACE;
-    for (int i = 0; i < fleet->seeds; i++)
+    controller.setup.grace_ms = GRACE_MS;
+    for (int i = 0; i < controller_setup->seeds; i++)
         controller.seeds[controller.n_seeds++] = (int64_t)(ADDR + ADDR_STEP * (uint64_t)i);
     directory_start(&controller.directory, &world, CLUSTER, NULL, 0, 1, controller.votes, 0);
     up = true;
-    lead = {};
-    rights.clear();
+    heartbeat_round = {};
+    member_kinds.clear();
     members_index = 0;
-    timer_ran = awake_since = world_ms(&world);
+    last_timer_ms = awake_since_ms = world_ms(&world);
     if (has_disk()) {
         controller.id = id;
         rc = load();
         if (!rc && !controller_empty(&controller))
-            log.votes_from_ms = world_ms(&world) + ELECTION;
+            log.votes_from_ms = world_ms(&world) + ELECTION_MS;
     }
     return rc ? rc : bootstrap_load(&controller);
 }
@@ -59,7 +60,7 @@
 {
     if (votes())
         log_end(&log);
-    if (up && fleet) {
+    if (up && controller_setup) {
         bootstrap_end(&controller);
         members_end(&controller);
         free(controller.zone);
@@ -74,11 +75,11 @@
     schema_copy(schema, to, from);
 }
 
-/* All that bootstrap and membership own. A new pointer in struct controller must be copied here. */
+/* Copies all that bootstrap and membership own. A new pointer in struct controller must be copied here. */
 void Node::copy_controller(const Node &other)
 {
     static_assert(sizeof(struct controller) == 6176,
-                  "struct controller has changed: copy here what it owns, then put its size");
+                  "struct controller has changed: copy here what it owns, then update the size");
     const struct controller &from = other.controller;
     controller = from;
     controller.w = &world;
@@ -100,26 +101,26 @@
         copy_schema(&join_schema, &controller.joiners[i].join, &from.joiners[i].join);
 }
 
-/* Of a reader's disk (after_power_loss()): what acceptor and voter would read back. */
+/* For after_power_loss(): reads the files of the acceptor and the bootstrapped list. */
 void Node::read_bootstrap_files()
 {
     struct acceptor acceptor = {};
     struct log_members list = {};
-    lasting = {};
+    durable = {};
     if (!log_load_schema(&world, "founding-ballot", &acceptor_schema, &acceptor)) {
-        lasting.promised = acceptor.promised;
-        lasting.accepted = acceptor.accepted;
-        lasting.accepted_list = list_hash(acceptor.members);
+        durable.promised = acceptor.promised;
+        durable.accepted = acceptor.accepted;
+        durable.accepted_list = list_hash(acceptor.members);
     }
     if (!log_load_schema(&world, "founding", &log_members_schema, &list))
-        lasting.bootstrap_list = list_hash(list);
+        durable.bootstrap_list = list_hash(list);
     schema_free(&acceptor_schema, &acceptor);
     schema_free(&log_members_schema, &list);
 }
 
-/* --- turns --------------------------------------------------------------------------------- */
+/* --- frames and timers --------------------------------------------------------------------- */
 
-/* As follow_log() tells the directory. */
+/* Updates the directory, as follow_log() does. */
 void Node::learn_leader()
 {
     if (!votes())
@@ -129,14 +130,14 @@
     else if (controller.directory.leader == (int64_t)world.self)
         directory_doubt(&controller.directory);
     if (log.role != LOG_LEADER && log.leader_addr && log.leader_addr != (int64_t)world.self && log.heard_leader_ms &&
-        world_ms(&world) - log.heard_leader_ms < 2 * TICK)
+        world_ms(&world) - log.heard_leader_ms < 2 * TIMER_MS)
         directory_learn(&controller.directory, log.term, log.leader_addr);
 }
 
 /* As controller_take(). */
 int Node::take(const struct frame *frame)
 {
-    if (!fleet)
+    if (!controller_setup)
         return log_take(&log, frame);
     if (frame_of_log(frame->kind)) {
         int rc = votes() ? log_take(&log, frame) : ERROR_NONE;
@@ -162,14 +163,14 @@
 /* As controller_on_timer(). */
 void Node::on_timer()
 {
-    if (!fleet) {
+    if (!controller_setup) {
         log_on_timer(&log);
         return;
     }
     int64_t now = world_ms(&world);
-    if (now - timer_ran > SLEPT)
-        awake_since = now;
-    timer_ran = now;
+    if (now - last_timer_ms > PAUSE_MS)
+        awake_since_ms = now;
+    last_timer_ms = now;
     if (votes()) {
         log_on_timer(&log);
         leave_on_timer();
@@ -187,33 +188,34 @@
 {
     int64_t now = world_ms(&world);
     int64_t since = std::max({controller.leave_ms, log.heard_leader_ms, log.handed_over_ms});
-    if (now - since < 2 * ELECTION && log.election_due_ms < now + ELECTION)
-        log.election_due_ms = now + ELECTION;
+    if (now - since < 2 * ELECTION_MS && log.election_due_ms < now + ELECTION_MS)
+        log.election_due_ms = now + ELECTION_MS;
 }
 
-/* As leave_on_timer() of controller.c; a leader hands over, but not in haste, since GRACE is longer than any run. */
+/* As leave_on_timer() of controller.c, except that a leader never hands over because the grace period ends: GRACE_MS is
+ * longer than every run. */
 void Node::leave_on_timer()
 {
     int64_t now = world_ms(&world);
-    if (log.role == LOG_LEADER && log.handed_over_ms && now - log.handed_over_ms > HAND_OVER)
+    if (log.role == LOG_LEADER && log.handed_over_ms && now - log.handed_over_ms > HAND_OVER_MS)
         log_follow(&log, log.term, 0);
     if (!controller.leaving)
         return;
     if (log.role == LOG_LEADER && !log.handed_over_ms && now >= controller.hand_over_ms &&
         leaving_may_hand_over(&controller, 0)) {
-        controller.hand_over_ms = now + TICK;
+        controller.hand_over_ms = now + TIMER_MS;
         log_hand_over(&log);
     } else if (log.role == LOG_FOLLOWER) {
         let_others_lead();
     }
 }
 
-/* --- what makes two controllers the same ------------------------------------------------------ */
+/* --- hash of a controller --------------------------------------------------------------------- */
 
-uint64_t Node::hash_controller(int64_t clock) const
+uint64_t Node::controller_hash(int64_t clock) const
 {
     const struct controller &c = controller;
-    auto age = [clock](int64_t ms) { return ms ? (uint64_t)std::min(clock - ms, LONGEST_WAIT) : UINT64_MAX; };
+    auto age = [clock](int64_t ms) { return ms ? (uint64_t)std::min(clock - ms, LONGEST_WAIT_MS) : UINT64_MAX; };
     auto left = [clock](int64_t ms) { return (uint64_t)std::max<int64_t>(ms - clock, 0); };
     const uint64_t numbers[] = {(uint64_t)c.may_bootstrap,
                                 (uint64_t)c.acceptor.promised,
@@ -226,7 +228,7 @@
                                 (uint64_t)c.proposer.highest_promised,
                                 list_hash(c.proposer.members),
                                 age(c.proposer.heard_ms),
-                                (uint64_t)std::max<int64_t>(c.proposer.start_ms - clock, -LONGEST_WAIT),
+                                (uint64_t)std::max<int64_t>(c.proposer.start_ms - clock, -LONGEST_WAIT_MS),
                                 list_hash(c.bootstrap_members),
                                 list_hash(c.chosen_members),
                                 age(c.first_heard_ms),
@@ -249,8 +251,8 @@
                                 left(c.leaving_ms),
                                 left(c.join_ms),
                                 left(c.step_ms),
-                                age(awake_since),
-                                age(timer_ran),
+                                age(awake_since_ms),
+                                age(last_timer_ms),
                                 (uint64_t)frozen};
     uint64_t h = hash_bytes(numbers, sizeof numbers, 0);
     for (int64_t i = 0; i < c.n_candidates; i++) {
@@ -258,7 +260,7 @@
         h = hash_mix(h, (uint64_t)(said.id + said.empty) + list_hash(said.members));
         h = hash_mix(h, age(c.candidates[i].heard_ms));
     }
-    for (int64_t ms : heard)
+    for (int64_t ms : last_reply_ms)
         h = hash_mix(h, age(ms));
     for (int64_t i = 0; i < c.n_joiners; i++)
         h = hash_mix(h, hash_mix((uint64_t)c.joiners[i].join.id, age(c.joiners[i].heard_ms)));
--- a/tests/model/explorer.cc
+++ b/tests/model/explorer.cc
@@ -8,48 +8,48 @@
 namespace
 {
 
-bool free_of_charge(const Choice &choice) { return choice.kind == 'D' || choice.kind == 'S' || choice.kind == 'W'; }
+bool is_regular(const Choice &choice) { return choice.kind == 'D' || choice.kind == 'S' || choice.kind == 'W'; }
 
 struct Search {
     const Study &study;
     const Bounds &bounds;
-    Found &found;
-    std::chrono::steady_clock::time_point from;
+    SearchResult &result;
+    std::chrono::steady_clock::time_point started;
     int deepest_allowed;
-    std::unordered_map<uint64_t, int> seen; /* state -> most odd choices that were left there */
+    std::unordered_map<uint64_t, int> seen; /* state -> most odd choices that remained there */
     std::vector<Choice> path;
 
-    double seconds() const { return std::chrono::duration<double>(std::chrono::steady_clock::now() - from).count(); }
+    double seconds() const { return std::chrono::duration<double>(std::chrono::steady_clock::now() - started).count(); }
 
-    bool over()
+    bool limit_reached()
     {
         if ((int64_t)seen.size() < bounds.states && (!bounds.seconds || seconds() < bounds.seconds))
             return false;
-        found.whole = false;
+        result.exhaustive = false;
         return true;
     }
 
-    bool visit(const Site &site, int odd)
+    bool visit(const Cluster &cluster, int odd_choices)
     {
         if ((int)path.size() >= bounds.depth)
             return false;
-        for (const Choice &choice : site.choices()) {
-            int left = odd - !free_of_charge(choice);
+        for (const Choice &choice : cluster.choices()) {
+            int left = odd_choices - !is_regular(choice);
             if (left < 0)
                 continue;
-            if (over())
+            if (limit_reached())
                 return false;
-            Site next = site;
+            Cluster next = cluster;
             next.apply(choice);
-            found.steps++;
+            result.steps++;
             path.push_back(choice);
-            found.depth = std::max(found.depth, (int)path.size());
-            if (!next.breach.empty()) {
-                found.breach = next.breach;
+            result.depth = std::max(result.depth, (int)path.size());
+            if (!next.violation.empty()) {
+                result.violation = next.violation;
                 return true;
             }
             auto at = seen.emplace(next.hash(), left);
-            if (!next.pointless && (at.second || at.first->second < left)) {
+            if (!next.crash_unused && (at.second || at.first->second < left)) {
                 at.first->second = left;
                 if (visit(next, left))
                     return true;
@@ -60,7 +60,7 @@
     }
 };
 
-std::string text_of(const std::vector<Choice> &path)
+std::string format_path(const std::vector<Choice> &path)
 {
     std::string text;
     for (const Choice &c : path)
@@ -68,76 +68,77 @@
     return text;
 }
 
-/* Up to the first breach; choices that are not there are passed over. */
-std::string run(const Study &study, const std::vector<Choice> &path, std::vector<Choice> *done)
+/* Makes the choices up to the first violation, which it returns; skips impossible choices. */
+std::string run_path(const Study &study, const std::vector<Choice> &path, std::vector<Choice> *done)
 {
-    Site site(study);
+    Cluster cluster(study);
     for (const Choice &c : path) {
-        if (!site.possible(c))
+        if (!cluster.possible(c))
             continue;
-        site.apply(c);
+        cluster.apply(c);
         if (done)
             done->push_back(c);
-        if (!site.breach.empty())
+        if (!cluster.violation.empty())
             break;
     }
-    return site.breach;
+    return cluster.violation;
 }
 
-/* Leaves out what the breach does not need. */
-void shorten(const Study &study, std::vector<Choice> &path, const std::string &breach)
+/* Removes the choices that the violation does not need. */
+void shorten(const Study &study, std::vector<Choice> &path, const std::string &violation)
 {
-    for (bool again = true; again;) {
-        again = false;
+    for (bool changed = true; changed;) {
+        changed = false;
         for (size_t i = 0; i < path.size(); i++) {
             std::vector<Choice> fewer = path, done;
             fewer.erase(fewer.begin() + (long)i);
-            if (run(study, fewer, &done) == breach && done.size() < path.size()) {
+            if (run_path(study, fewer, &done) == violation && done.size() < path.size()) {
                 path = done;
-                again = true;
+                changed = true;
             }
         }
     }
 }
 } // namespace
 
-Found explore(const Study &study, const Bounds &bounds)
+SearchResult explore(const Study &study, const Bounds &bounds)
 {
-    Found found;
-    Search search = {study, bounds, found, std::chrono::steady_clock::now(), 0, {}, {}};
-    Site first(study);
-    found.breach = first.breach;
-    for (int odd = 1; odd <= bounds.odd && found.breach.empty() && found.whole; odd++) {
+    SearchResult result;
+    Search search = {study, bounds, result, std::chrono::steady_clock::now(), 0, {}, {}};
+    Cluster first(study);
+    result.violation = first.violation;
+    for (int odd_choices = 1; odd_choices <= bounds.odd_choices && result.violation.empty() && result.exhaustive;
+         odd_choices++) {
         search.seen.clear();
-        search.visit(first, odd);
-        found.states = (int64_t)search.seen.size();
-        if (found.whole && found.breach.empty())
-            found.odd = odd;
+        search.visit(first, odd_choices);
+        result.states = (int64_t)search.seen.size();
+        if (result.exhaustive && result.violation.empty())
+            result.odd_choices = odd_choices;
     }
-    found.seconds = search.seconds();
-    if (!found.breach.empty()) {
-        shorten(study, search.path, found.breach);
-        found.trace = text_of(search.path);
+    result.seconds = search.seconds();
+    if (!result.violation.empty()) {
+        shorten(study, search.path, result.violation);
+        result.trace = format_path(search.path);
     }
-    return found;
+    return result;
 }
 
 std::string replay(const Study &study, const std::string &trace)
 {
-    Site site(study);
-    printf("%-8s %s\n", "", site.line().c_str());
+    Cluster cluster(study);
+    printf("%-8s %s\n", "", cluster.summary().c_str());
     for (const Choice &c : choices_of(trace)) {
-        if (!site.breach.empty())
+        if (!cluster.violation.empty())
             break;
-        if (c.kind != '*' && !site.possible(c))
+        if (c.kind != '*' && !cluster.possible(c))
             return "no choice " + c.text();
-        for (int i = 0; c.kind == '*' && site.oldest() >= 0 && i < 200; i++)
-            site.apply({'D', 0, 0, 0});
+        for (int i = 0; c.kind == '*' && cluster.oldest() >= 0 && i < 200; i++)
+            cluster.apply({'D', 0, 0, 0});
         if (c.kind != '*')
-            site.apply(c);
-        printf("%-8s %s\n", c.text().c_str(), site.line().c_str());
+            cluster.apply(c);
+        printf("%-8s %s\n", c.text().c_str(), cluster.summary().c_str());
     }
-    return site.breach;
+    return cluster.violation;
 }
 
 const Study *study_named(const std::string &name)
--- a/tests/model/explorer.h
+++ b/tests/model/explorer.h
@@ -1,28 +1,29 @@
-/* The search: depth-first over choices, at most `odd` of them other than "deliver the
- * oldest message" (and starts of ended nodes), one more in each round, states seen cut. */
+/* Depth-first exploration of all sequences of choices with a limited number of odd choices. Regular choices are to
+ * deliver the oldest message, to start a stopped node and to run the next timer; all others are odd. Each round allows
+ * one odd choice more, and states that were visited before are not explored again. */
 #ifndef SAGEHITCH_MODEL_EXPLORER_H
 #define SAGEHITCH_MODEL_EXPLORER_H
-#include "site.h"
+#include "model_cluster.h"
 
 namespace model
 {
 
 struct Bounds {
-    int odd, depth;
+    int odd_choices, depth;
     int64_t states;
-    double seconds; /* 0: no bound */
+    double seconds; /* 0: unbounded */
 };
 
-struct Found {
-    int64_t states = 0, steps = 0; /* of the last round, of all */
-    int depth = 0, odd = 0;        /* the deepest, rounds that were whole */
-    bool whole = true;             /* no bound but odd and depth cut anything */
+struct SearchResult {
+    int64_t states = 0, steps = 0;  /* of the last round; of all rounds */
+    int depth = 0, odd_choices = 0; /* the longest path; odd choices of the last complete round */
+    bool exhaustive = true;         /* not cut short by the bounds on states and seconds */
     double seconds = 0;
-    std::string breach, trace;
+    std::string violation, trace;
 };
 
-Found explore(const Study &study, const Bounds &bounds);
-std::string replay(const Study &study, const std::string &trace); /* its breach, or "" */
+SearchResult explore(const Study &study, const Bounds &bounds);
+std::string replay(const Study &study, const std::string &trace); /* returns the violation, or "" */
 const Study *study_named(const std::string &name);
 const std::vector<Study> &studies();
 } // namespace model
--- a/tests/model/site.cc
+++ b/tests/model/model_cluster.cc
@@ -1,5 +1,5 @@
-// A site of the model: its choices and what each does.
-#include "site.h"
+// The cluster of the model: setup, the effect of each choice, and the hash of a state.
+#include "model_cluster.h"
 
 #include <algorithm>
 #include <cstdarg>
@@ -8,39 +8,39 @@
 namespace model
 {
 
-Site::Site(const Study &study) : study_(&study)
+Cluster::Cluster(const Study &study) : study_(&study)
 {
     current = this;
-    for (int i = 0; i < study.slots; i++) {
+    for (int i = 0; i < study.n_nodes; i++) {
         auto n = std::make_shared<Node>();
-        n->at = i;
-        n->fleet = study.fleet.seeds ? &study.fleet : nullptr;
+        n->number = i;
+        n->controller_setup = study.controller_setup.seeds ? &study.controller_setup : nullptr;
         n->segment_bytes = study.segment_bytes;
         n->world.self = ADDR + ADDR_STEP * (uint64_t)i;
         n->rate = study.rates.empty() ? 1000 : study.rates[(size_t)i];
-        identifying_ = true;
+        making_identity_ = true;
         if (n->has_disk())
             log_identity(&n->world, CLUSTER, &n->id);
-        identifying_ = false;
+        making_identity_ = false;
         nodes_.push_back(n);
     }
-    if (study.fleet.seeds)
+    if (study.controller_setup.seeds)
         for (auto &n : nodes_)
             n->load_controller(true);
     else
         load_logs();
-    for (const Choice &c : choices_of(study.prefix)) {
+    for (const Choice &c : choices_of(study.setup)) {
         if (c.kind != '*')
             apply(c);
         if (c.kind == '*')
             deliver_all();
     }
-    memset(used_, 0, sizeof used_);
-    touched_ = ~0u;
+    memset(choices_used_, 0, sizeof choices_used_);
+    changed_nodes_ = ~0u;
 }
 
-/* Nodes of logs alone begin with their voters agreed. */
-void Site::load_logs()
+/* In studies of the log alone the first voters are given. */
+void Cluster::load_logs()
 {
     std::vector<struct log_member> voters;
     char zone[] = "z";
@@ -49,99 +49,99 @@
     struct log_members members = {voters.data(), study_->voters};
     for (auto &n : nodes_) {
         n->load();
-        if (n->at < study_->voters)
+        if (n->number < study_->voters)
             log_bootstrap(&n->log, &members);
     }
 }
 
-Node &Site::own(int i)
+Node &Cluster::mutable_node(int i)
 {
     auto &n = nodes_[(size_t)i];
-    touched_ |= 1u << i;
+    changed_nodes_ |= 1u << i;
     if (n.use_count() > 1)
         n = std::make_shared<Node>(*n);
     return *n;
 }
 
-void Site::say(const char *format, ...)
+void Cluster::report_violation(const char *format, ...)
 {
     char text[300];
     va_list args;
     va_start(args, format);
     vsnprintf(text, sizeof text, format, args);
     va_end(args);
-    if (breach.empty())
-        breach = text;
+    if (violation.empty())
+        violation = text;
 }
 
-int Site::oldest() const
+int Cluster::oldest() const
 {
     for (size_t i = 0; i < messages_.size(); i++) {
         const Message &m = messages_[i];
-        if (!m.held && !node(m.to).frozen && !((sides_ >> m.from ^ sides_ >> m.to) & 1))
+        if (!m.held && !node(m.to).frozen && !((partition_ >> m.from ^ partition_ >> m.to) & 1))
             return (int)i;
     }
     return -1;
 }
 
-bool Site::left(char kind) const
+bool Cluster::may_choose(char kind) const
 {
-    const char *at = strchr(study_->menu, kind);
-    return at && used_[(unsigned char)kind] < atoi(at + 1);
+    const char *at = strchr(study_->choice_limits, kind);
+    return at && choices_used_[(unsigned char)kind] < atoi(at + 1);
 }
 
-int Site::slot_of(int64_t id) const
+int Cluster::number_of(int64_t id) const
 {
     for (auto &n : nodes_)
         if (n->id == id)
-            return n->at;
+            return n->number;
     return -1;
 }
 
-bool Site::retired(int64_t id) const { return std::count(retired_.begin(), retired_.end(), id) > 0; }
+bool Cluster::retired(int64_t id) const { return std::count(retired_.begin(), retired_.end(), id) > 0; }
 
-/* --- what each does ------------------------------------------------------------------- */
+/* --- effects of choices --------------------------------------------------------------- */
 
-void Site::end(Node &n, End how)
+void Cluster::crash(Node &n, Crash how)
 {
     n.unload();
-    n.dying = n.frozen = n.turn_open = false;
-    n.armed = -1;
-    n.disk.after(how);
-    n.lasting.known = false;
+    n.crashing = n.frozen = n.sync_deferred = false;
+    n.crash_at_sync = -1;
+    n.disk.crash(how);
+    n.durable.known = false;
 }
 
-void Site::start(Node &n, bool first_start)
+void Cluster::start(Node &n, bool first_start)
 {
     int64_t id = 0;
-    identifying_ = true;
+    making_identity_ = true;
     int rc = n.has_disk() ? log_identity(&n.world, CLUSTER, &id) : ERROR_NONE;
-    identifying_ = false;
+    making_identity_ = false;
     n.id = id;
-    if (n.fleet) {
+    if (n.controller_setup) {
         if (rc || n.load_controller(first_start))
-            say("node %d cannot read its own disk after it ended", n.at);
+            report_violation("node %d cannot read its own disk after a restart", n.number);
         return;
     }
     if (!rc)
         rc = n.load();
     if (rc)
-        say("node %d cannot read its own disk after it ended", n.at);
+        report_violation("node %d cannot read its own disk after a restart", n.number);
     else if (n.log.members.n || log_last(&n.log) || n.log.term) /* as controller.c does */
-        n.log.votes_from_ms = clock(n) + ELECTION;
+        n.log.votes_from_ms = clock(n) + ELECTION_MS;
 }
 
-static void acknowledged(void *arg, int64_t op, int error, const struct bytes *)
+static void on_acknowledged(void *arg, int64_t op, int error, const struct bytes *)
 {
-    current->proposed((int)(intptr_t)arg, op, error);
+    current->on_proposed((int)(intptr_t)arg, op, error);
 }
 
-static void confirmed(void *arg, int64_t must_see, int error, const struct bytes *)
+static void on_read_done(void *arg, int64_t must_see, int error, const struct bytes *)
 {
-    current->read((int)(intptr_t)arg, must_see, error);
+    current->on_read((int)(intptr_t)arg, must_see, error);
 }
 
-void Site::change(Node &n, const Choice &choice)
+void Cluster::change_members(Node &n, const Choice &choice)
 {
     const Node &other = node(choice.c & 15);
     int64_t addr = (int64_t)other.world.self;
@@ -157,7 +157,7 @@
     }
 }
 
-void Site::deliver(size_t at, bool keep)
+void Cluster::deliver(size_t at, bool keep)
 {
     Message m = messages_[at];
     struct frame frame;
@@ -165,40 +165,41 @@
         messages_[at].held = true;
     else
         messages_.erase(messages_.begin() + (long)at);
-    Node &n = own(m.to);
+    Node &n = mutable_node(m.to);
     if (!n.up)
         return;
     auto *bytes = reinterpret_cast<const uint8_t *>(m.bytes->data());
     if (frame_parse(&frame, bytes, (int64_t)m.bytes->size(), CLUSTER) || n.take(&frame))
-        say("node %d cannot read a frame of node %d", m.to, m.from);
-    else if (frame.kind == FRAME_APPENDED || frame.kind == FRAME_SNAPSHOT_GOT)
-        n.heard[m.from] = clock(n);
-    act(n);
+        report_violation("node %d cannot read a frame of node %d", m.to, m.from);
+    else if (frame.kind == FRAME_APPENDED || frame.kind == FRAME_SNAPSHOT_CHUNK_ACK)
+        n.last_reply_ms[m.from] = clock(n);
+    end_turn(n);
 }
 
-/* The end of a node's turn, as in controller_flush, if no more events belong to it; an armed one may end in it. */
-void Site::act(Node &n)
+/* Ends the turn of a node: flushes its log as controller_flush() does, unless sync_deferred; crashes it if the crash is
+ * due; and checks the invariants. */
+void Cluster::end_turn(Node &n)
 {
-    if (n.votes() && !n.turn_open)
+    if (n.votes() && !n.sync_deferred)
         log_flush(&n.log);
-    if (n.dying)
-        end(n, (End)(n.armed & 3));
+    if (n.crashing)
+        crash(n, (Crash)(n.crash_at_sync & 3));
     if (n.up)
         check(n);
     check_leases();
 }
 
-void Site::deliver_all()
+void Cluster::deliver_all()
 {
-    for (int i = 0; oldest() >= 0 && breach.empty() && i < 200; i++)
+    for (int i = 0; oldest() >= 0 && violation.empty() && i < 200; i++)
         deliver((size_t)oldest(), false);
 }
 
-void Site::deliver_at_once()
+void Cluster::deliver_at_once()
 {
-    for (size_t i = 0; i < messages_.size() && breach.empty();) {
+    for (size_t i = 0; i < messages_.size() && violation.empty();) {
         const Message &m = messages_[i];
-        if (!m.at_once || node(m.to).frozen || ((sides_ >> m.from ^ sides_ >> m.to) & 1)) {
+        if (!m.at_once || node(m.to).frozen || ((partition_ >> m.from ^ partition_ >> m.to) & 1)) {
             i++;
             continue;
         }
@@ -207,52 +208,54 @@
     }
 }
 
-int Site::next_turn() const
+int Cluster::next_turn() const
 {
     int at = oldest();
-    return at >= 0 ? messages_[(size_t)at].to : (turn_ + 1) % study_->slots;
+    return at >= 0 ? messages_[(size_t)at].to : (timer_turn_ + 1) % study_->n_nodes;
 }
 
-/* The timer of the next node, in turn: each runs once in TICK. */
-void Site::tick()
+/* Runs the timer of the next node in turn; each node's timer runs once in TIMER_MS. */
+void Cluster::run_next_timer()
 {
-    now_ += (TICK + study_->slots - 1) / study_->slots;
-    turn_ = (turn_ + 1) % study_->slots;
-    Node &n = own(turn_);
+    now_ += (TIMER_MS + study_->n_nodes - 1) / study_->n_nodes;
+    timer_turn_ = (timer_turn_ + 1) % study_->n_nodes;
+    Node &n = mutable_node(timer_turn_);
     if (!n.up || n.frozen)
         return;
     search_leader(n);
     n.on_timer();
-    act(n);
+    end_turn(n);
 }
 
-/* As the directory finds it by asking around. */
-void Site::search_leader(Node &n)
+/* Sets the leader, as the directory does by querying other controllers. */
+void Cluster::search_leader(Node &n)
 {
-    if (study_->fleet.focus != MEMBERSHIP || directory_leader(&n.controller.directory))
+    if (study_->controller_setup.frame_choices != MEMBERSHIP_FRAMES || directory_leader(&n.controller.directory))
         return;
     for (auto &other : nodes_)
-        if (other->votes() && !other->frozen && !((sides_ >> n.at ^ sides_ >> other->at) & 1) && log_leads(&other->log))
+        if (other->votes() && !other->frozen && !((partition_ >> n.number ^ partition_ >> other->number) & 1) &&
+            log_leads(&other->log))
             directory_learn(&n.controller.directory, other->log.term, (int64_t)other->world.self);
 }
 
-void Site::apply(const Choice &choice)
+void Cluster::apply(const Choice &choice)
 {
     const int at = next_turn();
     current = this;
-    /* of ends and starts that change places with one another only one order is left: by node */
-    touched_ = strchr("CSEI", choice.kind) ? touched_ & ~((2u << choice.a) - 1) : 0;
-    used_[(unsigned char)choice.kind]++;
+    /* crashes and starts of different nodes commute: keep only the order by node number */
+    changed_nodes_ = strchr("CSEI", choice.kind) ? changed_nodes_ & ~((2u << choice.a) - 1) : 0;
+    choices_used_[(unsigned char)choice.kind]++;
     step(choice);
     deliver_at_once();
-    pointless = study_->fleet.seeds && node(at).armed >= 0 && (choice.kind == 'D' || choice.kind == 'W');
+    crash_unused =
+        study_->controller_setup.seeds && node(at).crash_at_sync >= 0 && (choice.kind == 'D' || choice.kind == 'W');
 }
 
-void Site::step(const Choice &choice)
+void Cluster::step(const Choice &choice)
 {
     int at = oldest();
     if (strchr("DKU", choice.kind) && at < 0)
-        return say("%c with nothing on its way", choice.kind); /* only a line given by hand can ask for it */
+        return report_violation("%c without a message in flight", choice.kind); /* only in a replayed line */
     if (choice.kind == 'D' || choice.kind == 'U')
         return deliver((size_t)at, choice.kind == 'U');
     if (choice.kind == 'L')
@@ -262,27 +265,27 @@
         return;
     }
     if (choice.kind == 'Z') {
-        now_ += choice.a ? ELECTION * 9 / 10 : ELECTION;
+        now_ += choice.a ? ELECTION_MS * 9 / 10 : ELECTION_MS;
         return check_leases();
     }
     if (choice.kind == 'W')
-        return tick();
+        return run_next_timer();
     if (choice.kind == 'Q' || choice.kind == 'Y') {
-        for (int i = 0; i < choice.a * study_->slots && breach.empty(); i++) {
+        for (int i = 0; i < choice.a * study_->n_nodes && violation.empty(); i++) {
             deliver_all();
-            tick();
+            run_next_timer();
         }
         return deliver_all();
     }
     if (choice.kind == 'G') {
-        sides_ ^= 1u << choice.a;
+        partition_ ^= 1u << choice.a;
         return;
     }
-    Node &n = own(choice.a);
+    Node &n = mutable_node(choice.a);
     switch (choice.kind) {
-    case 'X': n.jumped += n.fleet ? ELECTION : n.log.election_due_ms - clock(n); /* fallthrough */
+    case 'X': n.clock_offset += n.controller_setup ? ELECTION_MS : n.log.election_due_ms - clock(n); /* fallthrough */
     case 'T': n.on_timer(); break;
-    case 'H': n.turn_open = !n.turn_open; break;
+    case 'H': n.sync_deferred = !n.sync_deferred; break;
     case 'F': n.frozen = !n.frozen; return;
     case 'B':
         n.controller.leaving = 1;
@@ -293,28 +296,28 @@
         std::vector<uint8_t> op(study_->op_bytes);
         le_put(op.data(), (uint64_t)++ops_, 8);
         struct bytes body = {op.data(), (int64_t)op.size(), 0};
-        log_propose(&n.log, ENTRY_OP, &body, acknowledged, (void *)(intptr_t)n.at, ops_);
+        log_propose(&n.log, ENTRY_OP, &body, on_acknowledged, (void *)(intptr_t)n.number, ops_);
         break;
     }
-    case 'R': log_read(&n.log, confirmed, (void *)(intptr_t)n.at, acked_); break;
+    case 'R': log_read(&n.log, on_read_done, (void *)(intptr_t)n.number, acked_); break;
     case 'N': log_snapshot_save(&n.log); break;
     case 'O': log_hand_over(&n.log); break;
-    case 'M': change(n, choice); break;
-    case 'A': n.armed = choice.b; return;
-    case 'C': end(n, (End)choice.b); return;
+    case 'M': change_members(n, choice); break;
+    case 'A': n.crash_at_sync = choice.b; return;
+    case 'C': crash(n, (Crash)choice.b); return;
     case 'I': start(n, true); break;
     case 'E':
         retired_.push_back(n.id);
         n.disk = {};
-        n.lasting.known = false; /* fallthrough */
+        n.durable.known = false; /* fallthrough */
     default: start(n, false);
     }
-    act(n);
+    end_turn(n);
 }
 
-/* --- what makes two states the same ------------------------------------------------------ */
+/* --- summary and hash of a state ---------------------------------------------------------- */
 
-/* Ballot proposed, promised and accepted, by round and rank; * it knows what was chosen, + it took a list. */
+/* The ballots proposed, promised and accepted, as round and rank; *: knows the chosen list; +: has bootstrapped. */
 static std::string bootstrap_text(const struct controller &c)
 {
     char text[80];
@@ -324,16 +327,16 @@
     return text;
 }
 
-std::string Site::line() const
+std::string Cluster::summary() const
 {
     std::string text;
     char part[80];
     for (auto &n : nodes_) {
-        snprintf(part, sizeof part, "%d:%c%lld %lld/%lld%s  ", n->at, n->up ? "fpcL"[n->log.role] : '-',
+        snprintf(part, sizeof part, "%d:%c%lld %lld/%lld%s  ", n->number, n->up ? "fpcL"[n->log.role] : '-',
                  (long long)n->log.term, (long long)n->log.commit, (long long)(n->up ? log_last(&n->log) : 0),
-                 sides_ >> n->at & 1 ? "'" : "");
+                 partition_ >> n->number & 1 ? "'" : "");
         text += part;
-        if (n->fleet && n->up)
+        if (n->controller_setup && n->up)
             text += bootstrap_text(n->controller);
     }
     for (auto &m : messages_)
@@ -341,18 +344,18 @@
     return text;
 }
 
-uint64_t Site::hash() const
+uint64_t Cluster::hash() const
 {
-    uint64_t h = hash_mix(sides_, (uint64_t)acked_);
-    h = hash_mix(h, (uint64_t)(ops_ * 1000 + fresh_));
+    uint64_t h = hash_mix(partition_, (uint64_t)acked_);
+    h = hash_mix(h, (uint64_t)(ops_ * 1000 + identities_made_));
     for (int kind = 'A'; kind <= 'Z'; kind++)
-        h = hash_mix(h, kind == 'D' || kind == 'S' ? 0 : (uint64_t)used_[kind]);
+        h = hash_mix(h, kind == 'D' || kind == 'S' ? 0 : (uint64_t)choices_used_[kind]);
     for (auto &n : nodes_)
         h = hash_mix(h, n->hash(clock(*n)));
     for (auto &m : messages_)
         h = hash_mix(m.hash, h + (uint64_t)(m.held + 2 * m.to + 32 * m.from));
     for (auto &c : commits_)
-        h = hash_mix(h, c.hash + (uint64_t)c.under);
+        h = hash_mix(h, c.hash + (uint64_t)c.committed_in);
     for (auto &v : votes_)
         h = hash_mix(h, hash_mix((uint64_t)v.id, (uint64_t)(v.term * 1000003 + v.given_to)));
     for (auto &e : entries_)
@@ -363,11 +366,11 @@
         h = hash_mix(h, hash_mix((uint64_t)a.ballot + a.by, a.list));
     for (auto &p : proposed_)
         h = hash_mix(h, (uint64_t)p.ballot * 64 + (uint64_t)p.by);
-    for (auto &t : told_to_end_)
-        h = hash_mix(h, (uint64_t)t.id + (uint64_t)std::min(now_ - t.at, 2 * ELECTION));
-    for (auto &t : taken_)
+    for (auto &t : stop_permits_)
+        h = hash_mix(h, (uint64_t)t.id + (uint64_t)std::min(now_ - t.at_ms, 2 * ELECTION_MS));
+    for (auto &t : bootstrapped_)
         h = hash_mix(h, hash_mix((uint64_t)t.id, t.list));
-    h = hash_mix(h, hash_mix(told_list_, chosen_list_) + (uint64_t)turn_);
+    h = hash_mix(h, hash_mix(announced_list_, chosen_list_) + (uint64_t)timer_turn_);
     return h;
 }
 } // namespace model
--- a/tests/model/model_test.cc
+++ b/tests/model/model_test.cc
@@ -1,6 +1,6 @@
-// Log and controller under every interleaving that stays within a study's bounds (studies.cc).
-//   SAGEHITCH_MODEL_STATES=N, _ODD=N, _SECONDS=N    other bounds
-//   SAGEHITCH_MODEL_REPLAY="study: choices"         plays a printed line again (Replay.*)
+// Explores log and controller under all interleavings within the bounds of each study (studies.cc).
+//   SAGEHITCH_MODEL_STATES=N, _ODD=N, _SECONDS=N    set other bounds
+//   SAGEHITCH_MODEL_REPLAY="study: choices"         replays a printed line (Replay.*)
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr int DEPTH = 400; /* of choices; no run within the bounds on odd choices is as long */
+constexpr int DEPTH = 400; /* of choices; longer than every path within the bounds on odd choices */
 
 double bound(const char *name, double otherwise)
 {
@@ -28,17 +28,17 @@
 TEST_P(Model, HoldsWithinItsBounds)
 {
     const Study &study = studies()[GetParam()];
-    Bounds bounds = {(int)bound("SAGEHITCH_MODEL_ODD", study.odd), DEPTH, (int64_t)bound("SAGEHITCH_MODEL_STATES", 1e6),
-                     bound("SAGEHITCH_MODEL_SECONDS", 0)};
-    Found found = explore(study, bounds);
+    Bounds bounds = {(int)bound("SAGEHITCH_MODEL_ODD", study.odd_choices), DEPTH,
+                     (int64_t)bound("SAGEHITCH_MODEL_STATES", 1e6), bound("SAGEHITCH_MODEL_SECONDS", 0)};
+    SearchResult result = explore(study, bounds);
     printf("model %-10s %8lld states, depth %d, every run with up to %d odd choices%s, %.0f states a second\n",
-           study.name, (long long)found.states, found.depth, found.odd, found.whole ? "" : " and part of the next",
-           (double)found.steps / (found.seconds + 1e-9));
-    EXPECT_EQ(found.breach, "") << "SAGEHITCH_MODEL_REPLAY=\"" << study.name << ": " << found.trace << "\"";
+           study.name, (long long)result.states, result.depth, result.odd_choices,
+           result.exhaustive ? "" : " and part of the next", (double)result.steps / (result.seconds + 1e-9));
+    EXPECT_EQ(result.violation, "") << "SAGEHITCH_MODEL_REPLAY=\"" << study.name << ": " << result.trace << "\"";
 }
 
-// A line as printed above, "study: choices"; without one, a day in which two lead in turn.
-TEST(Replay, ALineIsPlayedAgain)
+// Replays a line as printed above, "study: choices"; by default a run in which two nodes lead in turn.
+TEST(Replay, LineIsReplayed)
 {
     const char *given = getenv("SAGEHITCH_MODEL_REPLAY");
     std::string line = given ? given : "copies: G0 Z0 T1 * G0 T1 *";
--- a/tests/model/monitors.cc
+++ b/tests/model/monitors.cc
@@ -1,50 +1,51 @@
-// What must hold in every state the model reaches.
+// Invariants of the log that hold in every state of the model.
 #include <algorithm>
 #include <cstring>
 
-#include "site.h"
+#include "model_cluster.h"
 
 namespace model
 {
 
-/* Beyond it the oldest one is lost; controllers say more in a turn than logs do. */
-constexpr size_t IN_FLIGHT = 14, IN_FLIGHT_CONTROLLERS = 30;
+/* With more messages in flight the oldest one is lost. Controllers send more in a turn than logs alone. */
+constexpr size_t MESSAGES_MAX = 14, CONTROLLER_MESSAGES_MAX = 30;
 
-/* --- said and answered ----------------------------------------------------------------- */
+/* --- frames and replies ---------------------------------------------------------------- */
 
-void Site::sent(Node &n, uint64_t to, const struct blob *frame)
+void Cluster::on_send(Node &n, uint64_t to, const struct blob *frame)
 {
     struct frame f;
-    auto slot = (int)((to - ADDR) / ADDR_STEP);
+    auto number = (int)((to - ADDR) / ADDR_STEP);
     if (!frame_parse(&f, frame->bytes.at, frame->bytes.len, CLUSTER))
-        frame_of_log(f.kind) ? check_said(n, &f) : check_controller_said(n, &f);
-    if (n.fleet && f.kind == FRAME_APPEND)
-        note_round(n);
-    if (((sides_ >> n.at ^ sides_ >> slot) & 1) || slot == n.at)
+        frame_of_log(f.kind) ? check_log_frame(n, &f) : check_controller_frame(n, &f);
+    if (n.controller_setup && f.kind == FRAME_APPEND)
+        record_round(n);
+    if (((partition_ >> n.number ^ partition_ >> number) & 1) || number == n.number)
         return;
-    if (messages_.size() == (n.fleet ? IN_FLIGHT_CONTROLLERS : IN_FLIGHT))
+    if (messages_.size() == (n.controller_setup ? CONTROLLER_MESSAGES_MAX : MESSAGES_MAX))
         messages_.erase(messages_.begin());
     auto *at = reinterpret_cast<const char *>(frame->bytes.at);
     auto len = (size_t)frame->bytes.len;
-    bool at_once = n.fleet && ((n.fleet->focus != EACH_FRAME && f.kind == FRAME_COLLECT) ||
-                               (n.fleet->focus == BALLOTS && frame_of_log(f.kind)));
+    bool at_once =
+        n.controller_setup && ((n.controller_setup->frame_choices != ALL_FRAMES && f.kind == FRAME_COLLECT) ||
+                               (n.controller_setup->frame_choices == BALLOT_FRAMES && frame_of_log(f.kind)));
     messages_.push_back(
-        {n.at, slot, false, at_once, std::make_shared<const std::string>(at, len), hash_bytes(at, len, 0)});
+        {n.number, number, false, at_once, std::make_shared<const std::string>(at, len), hash_bytes(at, len, 0)});
 }
 
-void Site::voted(int64_t id, int64_t term, int64_t given_to)
+void Cluster::record_vote(int64_t id, int64_t term, int64_t given_to)
 {
     for (auto &v : votes_)
         if (v.id == id && v.term == term) {
             if (v.given_to != given_to)
-                say("voted twice in term %lld", (long long)term);
+                report_violation("voted twice in term %lld", (long long)term);
             return;
         }
     votes_.push_back({id, term, given_to});
 }
 
-/* Whatever is said is true of the disk as it would be read back after a loss of power now. */
-void Site::check_said(Node &n, const struct frame *frame)
+/* What a frame states must be true for the disk as it would be read after a loss of power now. */
+void Cluster::check_log_frame(Node &n, const struct frame *frame)
 {
     union {
         struct log_vote_request request;
@@ -58,93 +59,94 @@
                                   : frame->kind == FRAME_APPENDED   ? &log_appended_schema
                                                                     : &log_lead_now_schema;
     schema_unpack(schema, &m, frame->body, frame->len);
-    const Node::Lasting &lasting = n.after_power_loss();
+    const Node::Durable &durable = n.after_power_loss();
     bool pre = (frame->kind == FRAME_VOTE_REQUEST && m.request.pre) || (frame->kind == FRAME_VOTE && m.vote.pre);
     if (retired(m.now.from))
-        say("node %d speaks as its former self", n.at);
-    if (!pre && lasting.term < m.now.term)
-        say("node %d speaks under term %lld that is not on its disk", n.at, (long long)m.now.term);
+        report_violation("node %d sends under the identity of its former disk", n.number);
+    if (!pre && durable.term < m.now.term)
+        report_violation("node %d sends in term %lld that is not on its disk", n.number, (long long)m.now.term);
     int64_t given_to = 0;
     if (frame->kind == FRAME_VOTE_REQUEST && !pre)
         given_to = m.request.from;
     if (frame->kind == FRAME_VOTE && m.vote.granted && !pre)
         given_to = m.vote.to;
     if (given_to)
-        voted(m.now.from, m.now.term, given_to);
-    if (given_to && lasting.term == m.now.term && lasting.vote != given_to)
-        say("node %d tells a vote that is not on its disk", n.at);
+        record_vote(m.now.from, m.now.term, given_to);
+    if (given_to && durable.term == m.now.term && durable.vote != given_to)
+        report_violation("node %d sends a vote that is not on its disk", n.number);
     if (frame->kind != FRAME_APPENDED || !m.appended.ok)
         return;
-    for (int64_t i = lasting.base + 1; i <= m.appended.match; i++) {
-        size_t k = (size_t)(i - lasting.base - 1);
-        if (k >= lasting.terms.size() || (lasting.terms[k] != log_term_at(&n.log, i) && i > n.log.snapshot_index)) {
-            say("node %d acknowledges entry %lld that is not on its disk", n.at, (long long)i);
+    for (int64_t i = durable.base + 1; i <= m.appended.match; i++) {
+        size_t k = (size_t)(i - durable.base - 1);
+        if (k >= durable.terms.size() || (durable.terms[k] != log_term_at(&n.log, i) && i > n.log.snapshot_index)) {
+            report_violation("node %d acknowledges entry %lld that is not on its disk", n.number, (long long)i);
             return;
         }
     }
 }
 
-void Site::proposed(int at, int64_t op, int error)
+void Cluster::on_proposed(int at, int64_t op, int error)
 {
-    if (node(at).dying || error)
+    if (node(at).crashing || error)
         return;
-    /* the caller's answer comes as it is applied: commits_ may learn of it in this same turn */
+    /* the proposal is acknowledged when it is applied; commits_ may be updated only later in this turn */
     acked_ = std::max(acked_, node(at).log.applied);
     (void)op;
 }
 
-void Site::read(int at, int64_t must_see, int error)
+void Cluster::on_read(int at, int64_t must_see, int error)
 {
-    if (!node(at).dying && !error && node(at).log.applied < must_see)
-        say("a read at node %d does not see entry %lld, acknowledged before it began", at, (long long)must_see);
+    if (!node(at).crashing && !error && node(at).log.applied < must_see)
+        report_violation("a read at node %d does not see entry %lld, acknowledged before it began", at,
+                         (long long)must_see);
 }
 
-void Site::applied(int at, int64_t index, int64_t op)
+void Cluster::on_applied(int at, int64_t index, int64_t op)
 {
-    if (!node(at).dying && index <= (int64_t)commits_.size() && commits_[(size_t)index - 1].op != op)
-        say("node %d applies another entry at %lld than was committed", at, (long long)index);
+    if (!node(at).crashing && index <= (int64_t)commits_.size() && commits_[(size_t)index - 1].op != op)
+        report_violation("node %d applies another entry at %lld than was committed", at, (long long)index);
 }
 
-/* --- held --------------------------------------------------------------------------------- */
+/* --- state -------------------------------------------------------------------------------- */
 
-void Site::check_entries(const Node &n)
+void Cluster::check_entries(const Node &n)
 {
     const struct log *log = &n.log;
     for (int64_t i = 0; i < log->n_entries; i++) {
         int64_t index = log->first_index + i, term = log->entries[i].term;
         uint64_t hash = hash_mix(entry_hash(&log->entries[i]), (uint64_t)log_term_at(log, index - 1));
         auto at = std::find_if(entries_.begin(), entries_.end(),
-                               [&](const Seen &s) { return s.index == index && s.term == term; });
+                               [&](const SeenEntry &s) { return s.index == index && s.term == term; });
         if (at == entries_.end())
             entries_.push_back({index, term, hash});
         else if (at->hash != hash)
-            say("two entries with index %lld and term %lld", (long long)index, (long long)term);
+            report_violation("two entries with index %lld and term %lld", (long long)index, (long long)term);
     }
 }
 
-/* Counted by what the voters' disks hold, not by what the log believes of them. */
-void Site::check_quorum(const Node &n, int64_t index, int64_t term)
+/* Counts what the voters' disks contain, not what the log assumes about them. */
+void Cluster::check_quorum(const Node &n, int64_t index, int64_t term)
 {
     const struct log *log = &n.log;
     int voters = 0, have = 0, former = 0, former_have = 0;
     bool changing = log->members_index >= index;
     for (int64_t i = 0; i < log->members.n; i++) {
         const struct log_member *m = &log->members.members[i];
-        int slot = slot_of(m->id);
+        int number = number_of(m->id);
         if (m->voter == VOTES_NOT)
             continue;
-        bool has = true; /* of an identity whose disk is gone: it did have it when it said so */
-        if (slot >= 0)
-            has = own(slot).after_power_loss().holds(index, term);
+        bool has = true; /* an identity whose disk is lost had the entry when it acknowledged it */
+        if (number >= 0)
+            has = mutable_node(number).after_power_loss().holds(index, term);
         voters += m->voter != VOTED, have += m->voter != VOTED && has;
         former += m->voter != VOTES_NEWLY, former_have += m->voter != VOTES_NEWLY && has;
     }
     if (have * 2 <= voters || (changing && former_have * 2 <= former))
-        say("entry %lld is committed on %d of %d disks (%d of %d former)", (long long)index, have, voters, former_have,
-            former);
+        report_violation("entry %lld is committed on %d of %d disks (%d of %d former)", (long long)index, have, voters,
+                         former_have, former);
 }
 
-void Site::check_commits(const Node &n)
+void Cluster::check_commits(const Node &n)
 {
     const struct log *log = &n.log;
     std::vector<int64_t> ops;
@@ -152,25 +154,25 @@
         const struct log_entry *entry = index >= log->first_index ? &log->entries[index - log->first_index] : nullptr;
         if (index > (int64_t)commits_.size()) {
             if (!entry)
-                return say("node %d has a snapshot of what nobody committed", n.at);
+                return report_violation("node %d has a snapshot with an uncommitted entry", n.number);
             int64_t op = entry->kind == ENTRY_OP ? (int64_t)le_get(entry->body.at, 8) : 0;
             commits_.push_back({entry->term, log->term, entry_hash(entry), op});
             check_quorum(n, index, entry->term);
         }
         const Commit &c = commits_[(size_t)index - 1];
         if (entry && entry_hash(entry) != c.hash)
-            return say("node %d has another entry at %lld than was committed", n.at, (long long)index);
+            return report_violation("node %d has another entry at %lld than was committed", n.number, (long long)index);
         if (c.op && index <= log->applied)
             ops.push_back(c.op);
     }
     if (ops != n.ops)
-        say("node %d has not applied what was committed up to %lld", n.at, (long long)log->applied);
+        report_violation("node %d has not applied what was committed up to %lld", n.number, (long long)log->applied);
     if (log->snapshot_index && log->snapshot_index <= (int64_t)commits_.size() &&
         commits_[(size_t)log->snapshot_index - 1].term != log->snapshot_term)
-        say("node %d has a snapshot with a false term", n.at);
+        report_violation("node %d has a snapshot with a wrong term", n.number);
 }
 
-void Site::check_leader(const Node &n)
+void Cluster::check_leader(const Node &n)
 {
     const struct log *log = &n.log;
     if (log->role != LOG_LEADER)
@@ -180,54 +182,55 @@
         given += v.term == log->term && v.given_to == log->id;
     auto at = std::find_if(leaders_.begin(), leaders_.end(), [&](auto &l) { return l.first == log->term; });
     if (at == leaders_.end() && given < log_majority(log))
-        say("node %d leads in term %lld with %lld votes", n.at, (long long)log->term, (long long)given);
+        report_violation("node %d leads in term %lld with %lld votes", n.number, (long long)log->term,
+                         (long long)given);
     if (at == leaders_.end())
         leaders_.push_back({log->term, log->id});
     else if (at->second != log->id)
-        say("two leaders in term %lld", (long long)log->term);
+        report_violation("two leaders in term %lld", (long long)log->term);
     for (int64_t index = log->snapshot_index + 1; index <= (int64_t)commits_.size(); index++) {
         const Commit &c = commits_[(size_t)index - 1];
-        if (c.under < log->term && log_term_at(log, index) != c.term)
-            return say("node %d leads in term %lld without the committed entry %lld", n.at, (long long)log->term,
-                       (long long)index);
+        if (c.committed_in < log->term && log_term_at(log, index) != c.term)
+            return report_violation("node %d leads in term %lld without the committed entry %lld", n.number,
+                                    (long long)log->term, (long long)index);
     }
 }
 
-void Site::check(Node &n)
+void Cluster::check(Node &n)
 {
     const struct log *log = &n.log;
-    if (n.fleet)
+    if (n.controller_setup)
         check_controller(n);
     if (!n.votes())
         return;
     if (log->broken)
-        return say("node %d is broken", n.at);
+        return report_violation("node %d is broken", n.number);
     if (log->commit > log_last(log) || log->applied > log->commit || log->snapshot_index > log->commit)
-        return say("node %d has committed what it does not hold", n.at);
+        return report_violation("node %d has committed an entry that it does not have", n.number);
     if (log->commit < n.committed)
-        return say("node %d has committed up to %lld, then up to %lld", n.at, (long long)n.committed,
-                   (long long)log->commit);
+        return report_violation("node %d has committed up to %lld, then up to %lld", n.number, (long long)n.committed,
+                                (long long)log->commit);
     n.committed = log->commit;
     check_entries(n);
     check_commits(n);
     check_leader(n);
-    if (n.fleet)
+    if (n.controller_setup)
         check_membership(n);
 }
 
-/* Only where clocks keep their bound: a study with jumps (X) promises nothing of leases. */
-void Site::check_leases()
+/* Leases need clocks of bounded drift, so this is not checked in studies with clock jumps (X). */
+void Cluster::check_leases()
 {
-    if (strchr(study_->menu, 'X'))
+    if (strchr(study_->choice_limits, 'X'))
         return;
     for (auto &n : nodes_) {
         if (!n->votes() || !log_leads(&n->log))
             continue;
         for (auto &other : nodes_)
             if (other->votes() && other->log.role == LOG_LEADER && other->log.term > n->log.term)
-                say("node %d may answer alone while node %d leads", n->at, other->at);
+                report_violation("node %d holds a lease while node %d leads", n->number, other->number);
         if (log_term_at(&n->log, n->log.commit) == n->log.term && n->log.applied < acked_)
-            say("node %d may answer alone without entry %lld, acknowledged", n->at, (long long)acked_);
+            report_violation("node %d holds a lease without the acknowledged entry %lld", n->number, (long long)acked_);
     }
 }
 } // namespace model
--- a/tests/model/world.cc
+++ b/tests/model/world.cc
@@ -1,13 +1,13 @@
-// Clocks, net and disk as data, for nodes of the model.
+// The environment of the model's nodes: clocks, network and disks as data.
 #include <algorithm>
 #include <cstring>
 
-#include "site.h"
+#include "model_cluster.h"
 
 namespace model
 {
 
-Site *current;
+Cluster *current;
 
 namespace
 {
@@ -20,19 +20,19 @@
 void send(struct world *w, uint64_t to, struct blob *frame, int)
 {
     Node &n = node_of(w);
-    if (!n.dying && !n.scratch)
-        current->sent(n, to, frame);
+    if (!n.crashing && !n.is_reader)
+        current->on_send(n, to, frame);
 }
 
 File *file(Node &n, const char *name)
 {
-    auto at = n.disk.now.find(name);
-    return at == n.disk.now.end() ? nullptr : &n.disk.files[at->second];
+    auto at = n.disk.names.find(name);
+    return at == n.disk.names.end() ? nullptr : &n.disk.files[at->second];
 }
 
 int disk_list(struct world *w, void (*each)(void *, const char *), void *arg)
 {
-    for (auto &name : node_of(w).disk.now)
+    for (auto &name : node_of(w).disk.names)
         each(arg, name.first.c_str());
     return 0;
 }
@@ -49,11 +49,11 @@
 int disk_add(struct world *w, const char *name, const void *at, int64_t len)
 {
     Node &n = node_of(w);
-    if (n.dying)
+    if (n.crashing)
         return 0;
     if (!file(n, name)) {
-        n.disk.now[name] = ++n.disk.made;
-        n.disk.files[n.disk.made] = {};
+        n.disk.names[name] = ++n.disk.files_made;
+        n.disk.files[n.disk.files_made] = {};
     }
     File *f = file(n, name);
     f->data.append(static_cast<const char *>(at), (size_t)len);
@@ -72,53 +72,53 @@
     return 0;
 }
 
-/* An armed node's life ends here; nothing it does until its turn is over reaches anybody. */
+/* A node with crash_at_sync crashes here; its sends and writes in the rest of its turn have no effect. */
 int disk_sync(struct world *w, const char *name)
 {
     Node &n = node_of(w);
     File *f = file(n, name);
-    if (n.dying)
+    if (n.crashing)
         return 0;
-    if (n.armed >= 0 && n.armed < 4) {
-        n.dying = true;
+    if (n.crash_at_sync >= 0 && n.crash_at_sync < 4) {
+        n.crashing = true;
         return 0;
     }
     if (!f)
         return ERROR_NO_SUCH;
     f->synced = f->data.size();
-    n.lasting.known = false;
-    n.dying = n.armed >= 4;
+    n.durable.known = false;
+    n.crashing = n.crash_at_sync >= 4;
     return 0;
 }
 
 int disk_sync_names(struct world *w)
 {
     Node &n = node_of(w);
-    if (n.dying)
+    if (n.crashing)
         return 0;
-    n.disk.lasting = n.disk.now;
-    n.lasting.known = false;
+    n.disk.durable = n.disk.names;
+    n.durable.known = false;
     return 0;
 }
 
 int disk_rename(struct world *w, const char *from, const char *to)
 {
     Node &n = node_of(w);
-    if (n.dying)
+    if (n.crashing)
         return 0;
-    auto at = n.disk.now.find(from);
-    if (at == n.disk.now.end())
+    auto at = n.disk.names.find(from);
+    if (at == n.disk.names.end())
         return ERROR_NO_SUCH;
-    n.disk.now[to] = at->second;
-    n.disk.now.erase(from);
+    n.disk.names[to] = at->second;
+    n.disk.names.erase(from);
     return 0;
 }
 
 int disk_remove(struct world *w, const char *name)
 {
     Node &n = node_of(w);
-    if (!n.dying)
-        n.disk.now.erase(name);
+    if (!n.crashing)
+        n.disk.names.erase(name);
     return 0;
 }
 
@@ -127,8 +127,8 @@
     Node &n = *static_cast<Node *>(arg);
     int64_t no = (int64_t)le_get(op->at, 8);
     n.ops.push_back(no);
-    if (!n.scratch)
-        current->applied(n.at, index, no);
+    if (!n.is_reader)
+        current->on_applied(n.number, index, no);
 }
 
 void snapshot(void *arg, struct bytes *to)
@@ -170,10 +170,10 @@
     return &calls;
 }
 
-/* All that a log owns. A new member of struct log that points to memory must be copied here. */
+/* Copies all that a log owns. A new member of struct log that owns memory must be copied here. */
 void log_duplicate(struct log *to, const struct log *from, struct world *w)
 {
-    static_assert(sizeof(struct log) == 1288, "struct log has changed: copy here what it owns, then put its size");
+    static_assert(sizeof(struct log) == 1288, "struct log has changed: copy here what it owns, then update the size");
     *to = *from;
     to->w = w;
     to->entries = copy_of(from->entries, from->n_entries);
@@ -196,14 +196,16 @@
 Node::Node() { world.calls = world_calls_of_model(); }
 
 Node::Node(const Node &other)
-    : world(other.world), at(other.at), up(other.up), dying(other.dying), armed(other.armed), scratch(other.scratch),
-      segment_bytes(other.segment_bytes), id(other.id), rate(other.rate), jumped(other.jumped),
-      committed(other.committed), fleet(other.fleet), turn_open(other.turn_open), frozen(other.frozen),
-      timer_ran(other.timer_ran), awake_since(other.awake_since), lead(other.lead), rights(other.rights),
-      members_index(other.members_index), disk(other.disk), ops(other.ops), lasting(other.lasting)
+    : world(other.world), number(other.number), up(other.up), crashing(other.crashing),
+      crash_at_sync(other.crash_at_sync), is_reader(other.is_reader), segment_bytes(other.segment_bytes), id(other.id),
+      rate(other.rate), clock_offset(other.clock_offset), committed(other.committed),
+      controller_setup(other.controller_setup), sync_deferred(other.sync_deferred), frozen(other.frozen),
+      last_timer_ms(other.last_timer_ms), awake_since_ms(other.awake_since_ms), heartbeat_round(other.heartbeat_round),
+      member_kinds(other.member_kinds), members_index(other.members_index), disk(other.disk), ops(other.ops),
+      durable(other.durable)
 {
-    memcpy(heard, other.heard, sizeof heard);
-    if (up && fleet)
+    memcpy(last_reply_ms, other.last_reply_ms, sizeof last_reply_ms);
+    if (up && controller_setup)
         copy_controller(other);
     if (votes()) {
         log_duplicate(&log, &other.log, &world);
@@ -220,8 +222,8 @@
     committed = 0;
     up = true;
     log_start(&log, &world, CLUSTER, GROUP_JOBS, id, &machine);
-    log.settings.heartbeat_ms = 0; /* a leader beats whenever its turn is chosen */
-    log.settings.election_ms = ELECTION;
+    log.settings.heartbeat_ms = 0; /* a leader sends heartbeats whenever its timer is chosen */
+    log.settings.election_ms = ELECTION_MS;
     log.settings.keep_entries = 0;
     if (segment_bytes)
         log.settings.segment_bytes = segment_bytes;
@@ -229,53 +231,53 @@
     return log_load(&log);
 }
 
-const Node::Lasting &Node::after_power_loss()
+const Node::Durable &Node::after_power_loss()
 {
-    if (lasting.known)
-        return lasting;
+    if (durable.known)
+        return durable;
     Node reader;
-    reader.scratch = true;
+    reader.is_reader = true;
     reader.id = id;
     reader.disk = disk;
-    reader.disk.after(POWER);
-    lasting = {};
-    lasting.known = true;
-    if (fleet) {
+    reader.disk.crash(POWER_LOSS);
+    durable = {};
+    durable.known = true;
+    if (controller_setup) {
         reader.read_bootstrap_files();
-        lasting.promised = reader.lasting.promised;
-        lasting.accepted = reader.lasting.accepted;
-        lasting.accepted_list = reader.lasting.accepted_list;
-        lasting.bootstrap_list = reader.lasting.bootstrap_list;
+        durable.promised = reader.durable.promised;
+        durable.accepted = reader.durable.accepted;
+        durable.accepted_list = reader.durable.accepted_list;
+        durable.bootstrap_list = reader.durable.bootstrap_list;
     }
     if (reader.load())
-        return lasting;
-    lasting.term = reader.log.term;
-    lasting.vote = reader.log.vote;
-    lasting.base = reader.log.snapshot_index;
+        return durable;
+    durable.term = reader.log.term;
+    durable.vote = reader.log.vote;
+    durable.base = reader.log.snapshot_index;
     for (int64_t i = 0; i < reader.log.n_entries; i++)
-        lasting.terms.push_back(reader.log.entries[i].term);
-    return lasting;
+        durable.terms.push_back(reader.log.entries[i].term);
+    return durable;
 }
 
-void Disk::after(End how)
+void Disk::crash(Crash how)
 {
     std::map<int, File> left;
-    if (how == POWER)
-        now = lasting;
-    for (auto &name : now) {
+    if (how == POWER_LOSS)
+        names = durable;
+    for (auto &name : names) {
         File &f = files[name.second];
         size_t unsynced = f.data.size() - f.synced;
         if (how != KILLED && unsynced) {
-            f.data.resize(f.synced + (how == TORN ? unsynced / 2 : 0));
+            f.data.resize(f.synced + (how == TORN_WRITE ? unsynced / 2 : 0));
             f.synced = f.data.size();
             f.hash = hash_bytes(f.data.data(), f.data.size(), 0);
         }
         left[name.second] = f;
     }
     if (how != KILLED)
-        lasting = now;
+        durable = names;
     else
-        for (auto &name : lasting)
+        for (auto &name : durable)
             left[name.second] = files[name.second];
     files.swap(left);
 }
@@ -285,15 +287,15 @@
 uint64_t Disk::hash() const
 {
     uint64_t h = 1;
-    for (auto &name : now) {
+    for (auto &name : names) {
         const File &f = files.at(name.second);
         h = hash_bytes(name.first.data(), name.first.size(), h);
         h = hash_mix(hash_mix(h, f.hash), f.synced);
-        auto at = lasting.find(name.first);
-        h = hash_mix(h, at != lasting.end() && at->second == name.second);
+        auto at = durable.find(name.first);
+        h = hash_mix(h, at != durable.end() && at->second == name.second);
     }
-    for (auto &name : lasting)
-        if (!now.count(name.first)) {
+    for (auto &name : durable)
+        if (!names.count(name.first)) {
             const File &f = files.at(name.second);
             h = hash_bytes(name.first.data(), name.first.size(), h);
             h = hash_mix(hash_mix(h, f.hash), f.synced);
@@ -301,7 +303,7 @@
     return h;
 }
 
-/* Ops are a number and zeroes (Site::apply). */
+/* An operation is a number followed by zeroes (Cluster::step()). */
 uint64_t entry_hash(const struct log_entry *entry)
 {
     int64_t len = entry->kind == ENTRY_OP ? 8 : entry->body.len;
@@ -309,12 +311,12 @@
 }
 uint64_t Node::hash(int64_t clock) const
 {
-    auto age = [clock](int64_t ms) { return (uint64_t)std::min<int64_t>(clock - ms, 2 * ELECTION); };
+    auto age = [clock](int64_t ms) { return (uint64_t)std::min<int64_t>(clock - ms, 2 * ELECTION_MS); };
     auto left = [clock](int64_t ms) { return (uint64_t)std::max<int64_t>(ms - clock, 0); };
-    uint64_t h = hash_mix(hash_mix((uint64_t)id, up + 2 * turn_open), (uint64_t)armed);
+    uint64_t h = hash_mix(hash_mix((uint64_t)id, up + 2 * sync_deferred), (uint64_t)crash_at_sync);
     h = hash_mix(h, disk.hash());
-    if (up && fleet)
-        h = hash_mix(h, hash_controller(clock));
+    if (up && controller_setup)
+        h = hash_mix(h, controller_hash(clock));
     if (!votes())
         return h;
     const uint64_t numbers[] = {(uint64_t)log.role,
@@ -327,13 +329,13 @@
                                 (uint64_t)log.first_index,
                                 (uint64_t)log.n_entries,
                                 (uint64_t)log.snapshot_index,
-                                (uint64_t)log.from_id,
+                                (uint64_t)log.last_sender_id,
                                 (uint64_t)log.round,
-                                (uint64_t)log.from_addr,
+                                (uint64_t)log.last_sender_addr,
                                 left(log.election_due_ms),
                                 age(log.heard_leader_ms),
                                 left(log.votes_from_ms),
-                                (uint64_t)log.discounted_id,
+                                (uint64_t)log.excluded_voter_id,
                                 log.handed_over_ms != 0,
                                 log.role == LOG_LEADER ? age(log.leader_since_ms) : 0,
                                 (uint64_t)log.broken,
--- a/tests/unit/decoders_test.cc
+++ b/tests/unit/decoders_test.cc
@@ -1,5 +1,5 @@
-// Every decoder of bytes from outside, fed with damaged messages of its own
-// kind: it refuses, or what it took packs to something it takes again.
+// Every decoder of external input is given damaged messages: it refuses them, or decodes them to something that it can
+// encode and decode again.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -17,7 +17,7 @@
 namespace
 {
 
-// Fills a struct by its own schema, lists and strings of random size.
+// Fills a struct with random values according to its schema, with lists and strings of random size.
 void fill(const schema *s, void *what, std::mt19937 &random, int depth)
 {
     memset(what, 0, s->size);
@@ -64,8 +64,8 @@
                                &log_appended_schema,
                                &log_snapshot_schema,
                                &log_chunk_schema,
-                               &log_got_schema,
-                               &log_saved_schema,
+                               &log_chunk_ack_schema,
+                               &log_snapshot_file_schema,
                                &log_lead_now_schema,
                                &found_schema,
                                &join_schema,
@@ -127,7 +127,7 @@
     EXPECT_GT(taken, 100);
 }
 
-TEST(Decoders, DamagedJsonAtTheDoors)
+TEST(Decoders, DamagedJson)
 {
     const char *bodies[] = {
         R"({"key":"k","service":"s","queue":"q","steps":[{"name":"a","rack":"one","tasks":[{"kind":"c","payload":"x"}]}]})",
@@ -172,7 +172,7 @@
     return text;
 }
 
-// What is taken holds together; what is not taken changes nothing.
+// Accepted settings are valid, and rejected ones change nothing.
 TEST(Decoders, DamagedSettings)
 {
     std::mt19937 random(3);
@@ -206,7 +206,7 @@
     config_tree_end(&c);
 }
 
-TEST(Decoders, DamagedRunbooksAreWholeOrNameALine)
+TEST(Decoders, DamagedRunbooksAreParsedOrNameALine)
 {
     const char good[] = "runbook x\nparam a\n# note\nstep one\n  let v = GET /v1/settings version\n"
                         "  unless GET /p s[k={a}].count is 1\n  do PUT /p?expect={v} {\"a\":1}\n"
--- a/tests/unit/log_bytes_test.cc
+++ b/tests/unit/log_bytes_test.cc
@@ -1,16 +1,16 @@
-// Entries of many bytes: what the log holds in memory and on disk is bounded by bytes, and a member that is
-// behind comes to the same state all the same.
+// Large entries: the size of the log in memory and on disk is bounded, and a lagging member still reaches the same
+// state.
 #include "log_pair.h"
 
 using namespace log_pair;
 
 namespace
 {
-const int64_t MIB = 1 << 20, OP = 256 << 10;
-const int64_t KEPT = 4 * MIB, DUE = 4 * MIB, HELD = 16 * MIB, SEGMENT = 4 * MIB;
+const int64_t MIB = 1 << 20, OP_BYTES = 256 << 10;
+const int64_t KEEP_BYTES = 4 * MIB, SNAPSHOT_BYTES = 4 * MIB, LAGGING_KEEP_BYTES = 16 * MIB, SEGMENT_BYTES = 4 * MIB;
 
-// The state is a checksum of all that was applied: large entries, small snapshots.
-void fold(void *arg, int64_t, const struct bytes *op, struct bytes *)
+// The state is a checksum of all applied operations, so that snapshots are small although entries are large.
+void apply_checksum(void *arg, int64_t, const struct bytes *op, struct bytes *)
 {
     std::string &state = static_cast<Node *>(arg)->state;
     uint32_t sum = crc_of(op->at, op->len) ^ crc_of((const uint8_t *)state.data(), (int64_t)state.size()) * 31;
@@ -33,86 +33,87 @@
     return bytes;
 }
 
-struct Large : Pair {
+struct LargeEntries : Pair {
     int64_t written = 0;
-    Large() : Pair(8)
+    LargeEntries() : Pair(8)
     {
-        for (Node *node : {&lead, &member}) {
+        for (Node *node : {&leader, &member}) {
             node->log.settings.keep_entries = 500;
-            node->log.machine.apply = fold;
+            node->log.machine.apply = apply_checksum;
         }
     }
     void write()
     {
         struct bytes op = {};
-        std::string body((size_t)OP, (char)('a' + written++ % 26));
-        bytes_add(&op, body.data(), OP);
-        log_propose(&lead.log, ENTRY_OP, &op, nullptr, nullptr, 0);
+        std::string body((size_t)OP_BYTES, (char)('a' + written++ % 26));
+        bytes_add(&op, body.data(), OP_BYTES);
+        log_propose(&leader.log, ENTRY_OP, &op, nullptr, nullptr, 0);
         bytes_free(&op);
-        log_flush(&lead.log);
+        log_flush(&leader.log);
     }
 };
 } // namespace
 
-// With nobody behind: at most what a snapshot is due after and what is kept behind it, and the newest entry.
+// Without a lagging member, memory holds at most the entries since the last snapshot, those kept after it, and the
+// newest entry.
 TEST(LogBytes, MemoryAndDiskAreBoundedAndNothingIsLost)
 {
-    Large p;
+    LargeEntries p;
     p.run(1000);
-    int64_t most = 0, most_disk = 0;
-    for (int i = 0; i < 200; i++) { // 50 MiB; fewer entries than are kept by count
+    int64_t peak_memory = 0, peak_disk = 0;
+    for (int i = 0; i < 200; i++) { // 50 MiB, in fewer entries than keep_entries
         p.write();
         p.run(20);
-        for (Node *node : {&p.lead, &p.member}) {
-            most = std::max(most, entry_bytes(node->log));
-            most_disk = std::max(most_disk, disk_bytes(*node));
+        for (Node *node : {&p.leader, &p.member}) {
+            peak_memory = std::max(peak_memory, entry_bytes(node->log));
+            peak_disk = std::max(peak_disk, disk_bytes(*node));
         }
     }
-    EXPECT_LE(most, DUE + KEPT + OP);
-    EXPECT_GE(most, DUE);
-    EXPECT_LE(most_disk, DUE + 2 * SEGMENT + 2 * OP);
+    EXPECT_LE(peak_memory, SNAPSHOT_BYTES + KEEP_BYTES + OP_BYTES);
+    EXPECT_GE(peak_memory, SNAPSHOT_BYTES);
+    EXPECT_LE(peak_disk, SNAPSHOT_BYTES + 2 * SEGMENT_BYTES + 2 * OP_BYTES);
     p.run(1000);
-    EXPECT_EQ(p.member.state, p.lead.state);
-    EXPECT_EQ(p.member.events[EV_DIGEST_TAKEN], 1) << "a member that follows needed a snapshot";
-    Node again(MEMBER);
-    log_end(&again.log);
-    again.files = p.member.files;
-    const struct log_machine machine = {&again, fold, Node::pack, Node::restore};
-    log_start(&again.log, &again, 9, GROUP_JOBS, MEMBER, &machine);
-    ASSERT_EQ(log_load(&again.log), 0);
-    again.log.commit = log_last(&again.log);
-    log_apply(&again.log);
-    EXPECT_EQ(again.state, p.lead.state);
+    EXPECT_EQ(p.member.state, p.leader.state);
+    EXPECT_EQ(p.member.events[EV_DIGEST_TAKEN], 1) << "an up-to-date member needed another snapshot";
+    Node restarted(MEMBER);
+    log_end(&restarted.log);
+    restarted.files = p.member.files;
+    const struct log_machine machine = {&restarted, apply_checksum, Node::pack, Node::restore};
+    log_start(&restarted.log, &restarted, 9, GROUP_JOBS, MEMBER, &machine);
+    ASSERT_EQ(log_load(&restarted.log), 0);
+    restarted.log.commit = log_last(&restarted.log);
+    log_apply(&restarted.log);
+    EXPECT_EQ(restarted.state, p.leader.state);
 }
 
-// A member that is heard and slow: up to HELD is kept for it, not more, and it comes to the same state.
-TEST(LogBytes, ASlowMemberIsHeldForWithinABound)
+// For a slow member that still replies at most LAGGING_KEEP_BYTES are kept, and it reaches the same state.
+TEST(LogBytes, EntriesKeptForASlowMemberAreBounded)
 {
-    Large p;
+    LargeEntries p;
     p.run(1000);
-    int64_t most = 0;
-    std::deque<std::string> late;
-    for (int i = 0; i < 200; i++) { // it answers heartbeats, and what it had 20 rounds ago
-        p.lead.now += 20, p.member.now += 20;
+    int64_t peak_memory = 0;
+    std::deque<std::string> delayed;
+    for (int i = 0; i < 200; i++) { // it replies, but handles frames with a growing delay
+        p.leader.now += 20, p.member.now += 20;
         p.write();
-        log_on_timer(&p.lead.log);
-        log_flush(&p.lead.log);
-        while (!p.lead.sent.empty())
-            late.push_back(p.lead.next());
-        if (i % 4 == 0 && !late.empty()) {
-            p.member.take(late.front());
-            late.pop_front();
+        log_on_timer(&p.leader.log);
+        log_flush(&p.leader.log);
+        while (!p.leader.sent.empty())
+            delayed.push_back(p.leader.pop_sent());
+        if (i % 4 == 0 && !delayed.empty()) {
+            p.member.take(delayed.front());
+            delayed.pop_front();
         }
         while (!p.member.sent.empty())
-            p.lead.take(p.member.next());
-        most = std::max(most, entry_bytes(p.lead.log));
+            p.leader.take(p.member.pop_sent());
+        peak_memory = std::max(peak_memory, entry_bytes(p.leader.log));
     }
-    EXPECT_LE(most, HELD + DUE + OP);
-    EXPECT_GT(most, KEPT + DUE + OP) << "nothing was held for it";
-    for (auto &frame : late)
+    EXPECT_LE(peak_memory, LAGGING_KEEP_BYTES + SNAPSHOT_BYTES + OP_BYTES);
+    EXPECT_GT(peak_memory, KEEP_BYTES + SNAPSHOT_BYTES + OP_BYTES) << "nothing was kept for it";
+    for (auto &frame : delayed)
         p.member.take(frame);
     p.run(8000);
-    EXPECT_EQ(p.member.state, p.lead.state);
-    EXPECT_EQ(p.member.log.commit, p.lead.log.commit);
-    EXPECT_LE(entry_bytes(p.lead.log), HELD + DUE + OP);
+    EXPECT_EQ(p.member.state, p.leader.state);
+    EXPECT_EQ(p.member.log.commit, p.leader.log.commit);
+    EXPECT_LE(entry_bytes(p.leader.log), LAGGING_KEEP_BYTES + SNAPSHOT_BYTES + OP_BYTES);
 }
--- a/tests/unit/log_pair.h
+++ b/tests/unit/log_pair.h
@@ -1,7 +1,6 @@
-// Two logs with a disk in memory and a net moved by hand: a leader, and a member it sends a snapshot to.
+// Two logs with disks in memory and a network that the test drives: a leader, and a member that needs a snapshot.
 #ifndef SAGEHITCH_TESTS_LOG_PAIR_H
 #define SAGEHITCH_TESTS_LOG_PAIR_H
-// change.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -21,13 +20,13 @@
 
 const int64_t LEADER = 1, MEMBER = 2, CHUNK = 32 << 10;
 
-// A log with a state of text, a disk in memory and a net that keeps what was sent.
+// A log whose state is a text, with its files in memory and a queue of sent frames.
 struct Node : world {
     struct world_calls table = {};
     int64_t now = 1000;
     struct log log = {};
     std::string state;
-    bool refuse = false;
+    bool refuse_restore = false;
     std::map<std::string, std::string> files;
     std::deque<std::string> sent;
     std::map<int, int> events;
@@ -90,7 +89,7 @@
     }
     static int restore(void *arg, const struct bytes *from)
     {
-        if (((Node *)arg)->refuse)
+        if (((Node *)arg)->refuse_restore)
             return ERROR_BAD_FRAME;
         ((Node *)arg)->state.assign((const char *)from->at, (size_t)from->len);
         return 0;
@@ -116,7 +115,7 @@
         EXPECT_EQ(frame_parse(&f, (const uint8_t *)frame.data(), (int64_t)frame.size(), 9), 0);
         return log_take(&log, &f);
     }
-    std::string next()
+    std::string pop_sent()
     {
         std::string frame = sent.front();
         sent.pop_front();
@@ -126,64 +125,64 @@
 
 inline struct log_member member_of(int64_t id) { return {id, id << 16 | 7000, VOTES, must_dup("z")}; }
 
-// A leader whose entries are all in a snapshot of that many bytes, and an empty member.
+// A leader that has all its entries in a snapshot of the given size, and an empty member.
 struct Pair {
-    Node lead{LEADER}, member{MEMBER};
+    Node leader{LEADER}, member{MEMBER};
     explicit Pair(size_t bytes)
     {
         struct log_members members = {};
         members.members = (struct log_member *)must_alloc(sizeof *members.members);
         members.members[members.n++] = member_of(LEADER);
-        EXPECT_EQ(log_bootstrap(&lead.log, &members), 0);
-        lead.log.term = 2;
-        log_lead(&lead.log);
-        log_flush(&lead.log);
+        EXPECT_EQ(log_bootstrap(&leader.log, &members), 0);
+        leader.log.term = 2;
+        log_become_leader(&leader.log);
+        log_flush(&leader.log);
         std::mt19937 random(7);
         for (size_t i = 0; i < bytes; i++)
-            lead.state.push_back((char)random());
-        EXPECT_EQ(log_change(&lead.log, MEMBER, MEMBER << 16 | 7000, "z", VOTES_NOT, 0), 0);
-        log_flush(&lead.log);
-        EXPECT_EQ(log_snapshot_save(&lead.log), 0);
+            leader.state.push_back((char)random());
+        EXPECT_EQ(log_change(&leader.log, MEMBER, MEMBER << 16 | 7000, "z", VOTES_NOT, 0), 0);
+        log_flush(&leader.log);
+        EXPECT_EQ(log_snapshot_save(&leader.log), 0);
         schema_free(&log_members_schema, &members);
-        lead.sent.clear();
+        leader.sent.clear();
     }
-    // carries everything both ways until nothing is under way; beats go on
+    // runs both for ms and delivers all frames
     void run(int ms)
     {
         for (int i = 0; i < ms; i += 20) {
-            lead.now += 20, member.now += 20;
-            log_on_timer(&lead.log);
-            log_flush(&lead.log);
-            while (!lead.sent.empty() || !member.sent.empty()) {
-                while (!lead.sent.empty())
-                    member.take(lead.next());
+            leader.now += 20, member.now += 20;
+            log_on_timer(&leader.log);
+            log_flush(&leader.log);
+            while (!leader.sent.empty() || !member.sent.empty()) {
+                while (!leader.sent.empty())
+                    member.take(leader.pop_sent());
                 while (!member.sent.empty())
-                    lead.take(member.next());
+                    leader.take(member.pop_sent());
             }
         }
     }
-    // the chunks of a whole transfer, as they were sent
+    // delivers a whole snapshot and returns its chunks as they were sent
     std::vector<std::string> chunks()
     {
         std::vector<std::string> all;
         for (int i = 0; i < 400 && member.log.commit == 0; i++) {
-            lead.now += 20, member.now += 20;
-            log_on_timer(&lead.log);
-            while (!lead.sent.empty() || !member.sent.empty()) {
-                while (!lead.sent.empty()) {
-                    if (lead.sent.front()[3] == FRAME_SNAPSHOT_CHUNK)
-                        all.push_back(lead.sent.front());
-                    member.take(lead.next());
+            leader.now += 20, member.now += 20;
+            log_on_timer(&leader.log);
+            while (!leader.sent.empty() || !member.sent.empty()) {
+                while (!leader.sent.empty()) {
+                    if (leader.sent.front()[3] == FRAME_SNAPSHOT_CHUNK)
+                        all.push_back(leader.sent.front());
+                    member.take(leader.pop_sent());
                 }
                 while (!member.sent.empty())
-                    lead.take(member.next());
+                    leader.take(member.pop_sent());
             }
         }
         return all;
     }
 };
 
-inline struct log_chunk opened(const std::string &frame)
+inline struct log_chunk unpack_chunk(const std::string &frame)
 {
     struct frame f;
     struct log_chunk chunk = {};
@@ -192,7 +191,7 @@
     return chunk;
 }
 
-inline std::string packed(const struct log_chunk &chunk)
+inline std::string pack_chunk(const struct log_chunk &chunk)
 {
     struct bytes out = {};
     frame_build(&out, FRAME_SNAPSHOT_CHUNK, 9, (uint64_t)LEADER << 16 | 7000, &log_chunk_schema, &chunk);
--- a/tests/unit/log_removed_test.cc
+++ b/tests/unit/log_removed_test.cc
@@ -1,4 +1,5 @@
-// A voter that was removed comes back with its old disk, on which it still votes: it moves no term and unseats nobody.
+// A removed voter returns with its old disk, according to which it is still a voter. It must neither raise the term of
+// the other members nor depose a leader.
 #include "log_pair.h"
 
 using namespace log_pair;
@@ -6,17 +7,17 @@
 namespace
 {
 
-const int64_t THIRD = 3, FRESH = 4;
+const int64_t THIRD = 3, ADDED = 4;
 
-// Three voters and a learner; the learner takes the vote of the third while that one is away.
-struct Site {
-    Node lead{1}, member{2}, removed{3}, fresh{4};
-    std::vector<Node *> all{&lead, &member, &removed, &fresh};
-    std::map<int64_t, bool> away;
-    int asked = 0, real = 0; // requests for votes by the removed one; those of them that raise its term
+// Three voters and a learner that replaces the third voter while that is disconnected.
+struct Cluster {
+    Node leader{1}, member{2}, removed{3}, added{4};
+    std::vector<Node *> all{&leader, &member, &removed, &added};
+    std::map<int64_t, bool> disconnected;
+    int vote_requests = 0, real_vote_requests = 0; // sent by the removed voter; those that are not pre-votes
 
-    // in_place: the third's disk is taken for gone for good; one_away: the second sleeps through the change
-    explicit Site(bool in_place = false, bool one_away = false)
+    // replace: the third voter is replaced as if its disk were lost; second_disconnected: the second misses the change
+    explicit Cluster(bool replace = false, bool second_disconnected = false)
     {
         struct log_members members = {};
         members.members = (struct log_member *)must_alloc(3 * sizeof *members.members);
@@ -25,23 +26,23 @@
         for (int64_t id = 1; id <= 3; id++)
             EXPECT_EQ(log_bootstrap(&all[(size_t)id - 1]->log, &members), 0);
         schema_free(&log_members_schema, &members);
-        for (Node *node : all) /* the rig's random numbers are all the same */
+        for (Node *node : all) /* the nodes' random numbers are all equal */
             node->log.settings.election_ms = 700 + 100 * (node->log.id % 4);
-        lead.log.term = 2;
-        log_lead(&lead.log);
+        leader.log.term = 2;
+        log_become_leader(&leader.log);
         run(300);
-        EXPECT_EQ(log_change(&lead.log, FRESH, FRESH << 16 | 7000, "z", VOTES_NOT, 0), 0);
+        EXPECT_EQ(log_change(&leader.log, ADDED, ADDED << 16 | 7000, "z", VOTES_NOT, 0), 0);
         run(500);
-        away[THIRD] = true;
+        disconnected[THIRD] = true;
         run(300);
-        away[MEMBER] = one_away;
-        EXPECT_EQ((in_place ? log_replace : log_exchange)(&lead.log, THIRD, FRESH), 0);
+        disconnected[MEMBER] = second_disconnected;
+        EXPECT_EQ((replace ? log_replace : log_exchange)(&leader.log, THIRD, ADDED), 0);
         run(300);
-        EXPECT_EQ(log_settle(&lead.log), in_place ? ERROR_NO_SUCH : 0);
+        EXPECT_EQ(log_settle(&leader.log), replace ? ERROR_NO_SUCH : 0);
         run(300);
-        EXPECT_EQ(!log_member(&member.log, THIRD), !one_away);
-        EXPECT_EQ(lead.log.commit, log_last(&lead.log));
-        asked = real = 0; // those before it was away
+        EXPECT_EQ(!log_member(&member.log, THIRD), !second_disconnected);
+        EXPECT_EQ(leader.log.commit, log_last(&leader.log));
+        vote_requests = real_vote_requests = 0; // do not count those before it was disconnected
     }
     void count(const std::string &text)
     {
@@ -51,23 +52,23 @@
         if (f.kind != FRAME_VOTE_REQUEST)
             return;
         EXPECT_EQ(schema_unpack(&log_vote_request_schema, &request, f.body, f.len), 0);
-        asked++;
-        real += !request.pre;
+        vote_requests++;
+        real_vote_requests += !request.pre;
     }
-    void carry()
+    void deliver_all()
     {
         for (bool any = true; any;) {
             any = false;
             for (Node *from : all)
                 while (!from->sent.empty()) {
-                    std::string text = from->next();
+                    std::string text = from->pop_sent();
                     any = true;
                     if (from == &removed)
                         count(text);
-                    if (away[from->log.id])
+                    if (disconnected[from->log.id])
                         continue;
-                    for (Node *to : all) /* each takes only what names it */
-                        if (to != from && !away[to->log.id])
+                    for (Node *to : all) /* only the addressed node handles it */
+                        if (to != from && !disconnected[to->log.id])
                             to->take(text);
                 }
         }
@@ -77,12 +78,12 @@
         for (int i = 0; i < ms; i += 20) {
             for (Node *node : all) {
                 node->now += 20;
-                if (away[node->log.id])
+                if (disconnected[node->log.id])
                     continue;
                 log_on_timer(&node->log);
                 log_flush(&node->log);
             }
-            carry();
+            deliver_all();
         }
     }
 };
@@ -98,70 +99,70 @@
 
 } // namespace
 
-// It asks before it raises its own term, and nobody that hears the leader answers.
-TEST(LogRemoved, AsksInVainWhileALeaderIsHeard)
+// It asks for pre-votes before it raises its own term, and members that hear the leader do not reply.
+TEST(LogRemoved, GetsNoVoteWhileALeaderIsHeard)
 {
-    Site s;
-    int64_t term = s.lead.log.term, old_term = s.removed.log.term;
-    s.away[THIRD] = false;
+    Cluster s;
+    int64_t term = s.leader.log.term, old_term = s.removed.log.term;
+    s.disconnected[THIRD] = false;
     s.run(10000);
-    EXPECT_TRUE(log_voter(&s.removed.log, THIRD)); // as far as it knows
-    EXPECT_GT(s.asked, 5);
-    EXPECT_EQ(s.real, 0);
+    EXPECT_TRUE(log_voter(&s.removed.log, THIRD)); // according to its own log
+    EXPECT_GT(s.vote_requests, 5);
+    EXPECT_EQ(s.real_vote_requests, 0);
     EXPECT_EQ(s.removed.log.term, old_term);
-    EXPECT_EQ(s.lead.log.role, LOG_LEADER);
-    for (Node *node : {&s.lead, &s.member, &s.fresh})
+    EXPECT_EQ(s.leader.log.role, LOG_LEADER);
+    for (Node *node : {&s.leader, &s.member, &s.added})
         EXPECT_EQ(node->log.term, term);
 }
 
-// Where no leader is heard it is told no: it lacks the entry that removed it. It raises no term, and one of the
-// others is elected, in as many terms as without it.
-TEST(LogRemoved, IsElectedByNobodyWhereTheLeaderIsGone)
+// Without a leader its pre-vote is denied because it lacks the entry that removed it. It raises no term, and one of the
+// others is elected after as many terms as without it.
+TEST(LogRemoved, IsNotElectedAfterALeaderFailure)
 {
     int64_t terms[2];
-    for (bool back : {false, true}) {
-        Site s;
-        s.away[THIRD] = !back;
-        s.away[LEADER] = true;
+    for (bool reconnect : {false, true}) {
+        Cluster s;
+        s.disconnected[THIRD] = !reconnect;
+        s.disconnected[LEADER] = true;
         s.run(10000);
-        EXPECT_EQ(s.asked > 0, back);
-        EXPECT_EQ(s.real, 0);
+        EXPECT_EQ(s.vote_requests > 0, reconnect);
+        EXPECT_EQ(s.real_vote_requests, 0);
         EXPECT_NE(s.removed.log.role, LOG_LEADER);
-        EXPECT_TRUE(s.member.log.role == LOG_LEADER || s.fresh.log.role == LOG_LEADER);
-        terms[back] = std::max(s.member.log.term, s.fresh.log.term);
-        EXPECT_LE(s.removed.log.term, terms[back]);
+        EXPECT_TRUE(s.member.log.role == LOG_LEADER || s.added.log.role == LOG_LEADER);
+        terms[reconnect] = std::max(s.member.log.term, s.added.log.term);
+        EXPECT_LE(s.removed.log.term, terms[reconnect]);
     }
     EXPECT_EQ(terms[0], terms[1]);
 }
 
-// Replaced in place, as one whose disk is gone for good, it is elected by nobody that holds the change.
-TEST(LogRemoved, ReplacedInPlaceIsElectedByNobodyThatKnows)
+// The same after log_replace(): members that have the change do not elect it.
+TEST(LogRemoved, IsNotElectedAfterAReplacement)
 {
-    Site s(true);
-    s.away[THIRD] = false;
-    s.away[LEADER] = true;
+    Cluster s(true);
+    s.disconnected[THIRD] = false;
+    s.disconnected[LEADER] = true;
     s.run(10000);
-    EXPECT_GT(s.asked, 0);
-    EXPECT_EQ(s.real, 0);
+    EXPECT_GT(s.vote_requests, 0);
+    EXPECT_EQ(s.real_vote_requests, 0);
     EXPECT_NE(s.removed.log.role, LOG_LEADER);
-    EXPECT_TRUE(s.member.log.role == LOG_LEADER || s.fresh.log.role == LOG_LEADER);
+    EXPECT_TRUE(s.member.log.role == LOG_LEADER || s.added.log.role == LOG_LEADER);
 }
 
-// Even a real request under a higher term, which it sends only after a majority said yes to its question, is not
-// heard by whoever hears a leader; where none is heard it raises a term, and wins no vote.
-TEST(LogRemoved, RealRequestUnseatsNobody)
+// Even a real vote request with a higher term, which needs a majority of pre-votes, is ignored by members that hear a
+// leader. A member that hears none adopts the term, but does not grant the vote.
+TEST(LogRemoved, VoteRequestDoesNotDeposeTheLeader)
 {
-    Site s;
-    int64_t term = s.lead.log.term;
+    Cluster s;
+    int64_t term = s.leader.log.term;
     struct log_vote_request request = {};
     request.group = GROUP_JOBS, request.term = term + 5, request.from = THIRD, request.to = LEADER;
     request.last_index = log_last(&s.removed.log);
     request.last_term = log_term_at(&s.removed.log, request.last_index);
-    s.lead.take(vote_request(request));
+    s.leader.take(vote_request(request));
     request.to = MEMBER;
     s.member.take(vote_request(request));
-    EXPECT_EQ(s.lead.log.role, LOG_LEADER);
-    EXPECT_EQ(s.lead.log.term, term);
+    EXPECT_EQ(s.leader.log.role, LOG_LEADER);
+    EXPECT_EQ(s.leader.log.term, term);
     EXPECT_EQ(s.member.log.term, term);
     s.member.now += 2000; // no leader is heard any more
     s.member.take(vote_request(request));
@@ -169,10 +170,10 @@
     EXPECT_EQ(s.member.log.vote, 0);
 }
 
-// What it sent as the leader of a former term is told the newer term, and changes nothing.
-TEST(LogRemoved, AppendOfAFormerTermChangesNothing)
+// An append that it sent as the leader of an earlier term is refused with the newer term and changes nothing.
+TEST(LogRemoved, StaleAppendChangesNothing)
 {
-    Site s;
+    Cluster s;
     int64_t last = log_last(&s.member.log), term = s.member.log.term;
     struct log_append append = {};
     append.group = GROUP_JOBS, append.term = 1, append.from = THIRD, append.to = MEMBER, append.commit = last;
@@ -188,10 +189,10 @@
     EXPECT_EQ(s.member.log.term, term);
 }
 
-// Told to lead in a former term, it asks nobody.
-TEST(LogRemoved, LeadNowOfAFormerTermIsNotTaken)
+// A hand-over of an earlier term does not start an election.
+TEST(LogRemoved, StaleLeadNowIsIgnored)
 {
-    Site s;
+    Cluster s;
     struct log_lead_now now = {.group = GROUP_JOBS, .term = s.removed.log.term - 1, .from = LEADER, .to = THIRD};
     struct bytes out = {};
     frame_build(&out, FRAME_LEAD_NOW, 9, (uint64_t)LEADER << 16 | 7000, &log_lead_now_schema, &now);
