--- a/tests/unit/log_transfer_test.cc
+++ b/tests/unit/log_transfer_test.cc
@@ -1,115 +1,116 @@
-// A snapshot in chunks: what a member takes of bad, lost and doubled ones, against an oracle; and what it must not
+// Snapshots in chunks: a member handles damaged, lost and duplicate chunks, and changes its state only for a complete
+// snapshot.
 #include "log_pair.h"
 
 using namespace log_pair;
 
-TEST(LogTransfer, ComesWholeAndIsFreed)
+TEST(LogTransfer, SnapshotIsInstalledAndFreed)
 {
     for (size_t bytes : {(size_t)1, (size_t)CHUNK, (size_t)500000}) {
         Pair p(bytes);
         p.run(2000);
-        EXPECT_EQ(p.member.state, p.lead.state);
-        EXPECT_EQ(p.member.log.snapshot_index, p.lead.log.snapshot_index);
-        EXPECT_EQ(p.member.log.commit, p.lead.log.commit);
-        EXPECT_EQ(p.lead.log.outgoing.data.at, nullptr);
+        EXPECT_EQ(p.member.state, p.leader.state);
+        EXPECT_EQ(p.member.log.snapshot_index, p.leader.log.snapshot_index);
+        EXPECT_EQ(p.member.log.commit, p.leader.log.commit);
+        EXPECT_EQ(p.leader.log.outgoing.data.at, nullptr);
         EXPECT_EQ(p.member.log.incoming.data.at, nullptr);
         EXPECT_EQ(p.member.events[EV_SNAPSHOT_REFUSED], 0);
-        // what it wrote is what it starts from again
-        Node again(MEMBER);
-        log_end(&again.log);
-        again.files = p.member.files;
-        const struct log_machine machine = {&again, Node::apply, Node::pack, Node::restore};
-        log_start(&again.log, &again, 9, GROUP_JOBS, MEMBER, &machine);
-        ASSERT_EQ(log_load(&again.log), 0);
-        EXPECT_EQ(again.state, p.lead.state);
+        // after a restart it reads the same state from its disk
+        Node restarted(MEMBER);
+        log_end(&restarted.log);
+        restarted.files = p.member.files;
+        const struct log_machine machine = {&restarted, Node::apply, Node::pack, Node::restore};
+        log_start(&restarted.log, &restarted, 9, GROUP_JOBS, MEMBER, &machine);
+        ASSERT_EQ(log_load(&restarted.log), 0);
+        EXPECT_EQ(restarted.state, p.leader.state);
     }
 }
 
-TEST(LogTransfer, BeatsGoOnAndOneChunkIsUnderWay)
+TEST(LogTransfer, HeartbeatsContinueAndOneChunkIsInFlight)
 {
     Pair p(500000);
-    int chunks = 0, beats = 0;
-    p.lead.log.peers[1].chunks = 1;
-    p.lead.log.peers[1].next = 1;
-    for (int i = 0; i < 95; i++) { // nobody answers for 1.9 s
-        p.lead.now += 20;
-        log_on_timer(&p.lead.log);
-        log_flush(&p.lead.log);
-        for (; !p.lead.sent.empty(); p.lead.next()) {
-            chunks += p.lead.sent.front()[3] == FRAME_SNAPSHOT_CHUNK;
-            beats += p.lead.sent.front()[3] == FRAME_APPEND;
+    int chunks = 0, heartbeats = 0;
+    p.leader.log.peers[1].chunks = 1;
+    p.leader.log.peers[1].next = 1;
+    for (int i = 0; i < 95; i++) { // no replies for 1.9 s
+        p.leader.now += 20;
+        log_on_timer(&p.leader.log);
+        log_flush(&p.leader.log);
+        for (; !p.leader.sent.empty(); p.leader.pop_sent()) {
+            chunks += p.leader.sent.front()[3] == FRAME_SNAPSHOT_CHUNK;
+            heartbeats += p.leader.sent.front()[3] == FRAME_APPEND;
         }
     }
     EXPECT_EQ(chunks, 1);
-    EXPECT_GE(beats, 17);
+    EXPECT_GE(heartbeats, 17);
 }
 
-// Any order, any damage: the state is the old one until it is the whole new one; the oracle is the set of bytes
-// that came in order.
-TEST(LogTransfer, BadChunksChangeNothing)
+// With chunks in any order and with any damage the state stays the old one until the snapshot is complete. received is
+// the expected number of accepted bytes.
+TEST(LogTransfer, InvalidChunksChangeNothing)
 {
     std::vector<std::string> chunks = Pair(500000).chunks();
-    std::string whole = Pair(500000).lead.state;
+    std::string whole = Pair(500000).leader.state;
     ASSERT_GT(chunks.size(), 7u);
     std::mt19937 random(5);
-    int ended = 0;
+    int completed = 0;
     for (int round = 0; round < 150; round++) {
         Node member(MEMBER);
         member.state = "old";
         member.log.term = 2;
-        int64_t held = 0;
+        int64_t received = 0;
         for (int step = 0; step < 120 && !member.log.commit; step++) {
-            size_t n = random() % 4 ? (size_t)(held / CHUNK) : random() % chunks.size();
-            struct log_chunk c = opened(chunks[n]);
+            size_t n = random() % 4 ? (size_t)(received / CHUNK) : random() % chunks.size();
+            struct log_chunk c = unpack_chunk(chunks[n]);
             int64_t total = c.total;
-            int how = random() % 3 ? 0 : 1 + (int)(random() % 9);
-            switch (how) {
-            case 1: c.term = 1; break;                      // of a term before
-            case 2: c.index++, c.offset = CHUNK; break;     // of another index, not from its start
-            case 3: c.data.len--; break;                    // cut short
+            int damage = random() % 3 ? 0 : 1 + (int)(random() % 9);
+            switch (damage) {
+            case 1: c.term = 1; break;                      // an earlier term
+            case 2: c.index++, c.offset = CHUNK; break;     // another snapshot, not from its start
+            case 3: c.data.len--; break;                    // truncated
             case 4: c.size = 0, c.data.len = 0; break;      // empty
-            case 5: c.total = c.offset + c.size - 1; break; // beyond its size
+            case 5: c.total = c.offset + c.size - 1; break; // longer than total
             case 6: c.offset = -1; break;
             case 7: c.offset = total + 1; break;
-            case 8: c.snapshot_term = c.term + 1; break; // of a term to come
+            case 8: c.snapshot_term = c.term + 1; break; // a later term
             case 9: c.total = INT64_MAX; break;
             }
-            bool good = how == 0 && c.offset <= held;
-            if (good && c.offset == held)
-                held += c.size;
+            bool valid = damage == 0 && c.offset <= received;
+            if (valid && c.offset == received)
+                received += c.size;
             int before = member.events[EV_SNAPSHOT_REFUSED];
-            std::string frame = packed(c);
+            std::string frame = pack_chunk(c);
             schema_free(&log_chunk_schema, &c);
             member.take(frame);
-            ASSERT_EQ(member.events[EV_SNAPSHOT_REFUSED] - before, good ? 0 : 1)
-                << "round " << round << " way " << how << " chunk " << n;
-            if (held < total) {
+            ASSERT_EQ(member.events[EV_SNAPSHOT_REFUSED] - before, valid ? 0 : 1)
+                << "round " << round << " way " << damage << " chunk " << n;
+            if (received < total) {
                 ASSERT_EQ(member.state, "old");
-                ASSERT_EQ(member.log.incoming.data.len, held);
+                ASSERT_EQ(member.log.incoming.data.len, received);
             }
         }
         if (member.log.commit) {
-            ended++;
+            completed++;
             ASSERT_EQ(member.state, whole);
         }
     }
-    EXPECT_GT(ended, 100);
+    EXPECT_GT(completed, 100);
 }
 
-TEST(LogTransfer, FalseChecksumOrStateChangesNothing)
+TEST(LogTransfer, WrongChecksumOrStateChangesNothing)
 {
     std::vector<std::string> chunks = Pair(200000).chunks();
-    for (int way = 0; way < 3; way++) {
+    for (int damage = 0; damage < 3; damage++) {
         Node member(MEMBER);
         member.state = "old";
-        member.refuse = way == 2;
+        member.refuse_restore = damage == 2;
         for (size_t n = 0; n < chunks.size(); n++) {
-            struct log_chunk c = opened(chunks[n]);
-            if (way == 0 && n == 1) // a byte of it, with a frame that is whole
+            struct log_chunk c = unpack_chunk(chunks[n]);
+            if (damage == 0 && n == 1) // a wrong byte in a valid frame
                 c.data.at[77] ^= 1;
-            if (way == 1)
+            if (damage == 1)
                 c.sum ^= 1;
-            std::string frame = packed(c);
+            std::string frame = pack_chunk(c);
             schema_free(&log_chunk_schema, &c);
             member.take(frame);
         }
@@ -117,43 +118,43 @@
         EXPECT_EQ(member.log.commit, 0);
         EXPECT_EQ(member.log.snapshot_index, 0);
         EXPECT_EQ(member.events[EV_SNAPSHOT_DAMAGED], 1);
-        member.refuse = false;
-        for (auto &chunk : chunks) // whole after all
+        member.refuse_restore = false;
+        for (auto &chunk : chunks) // then a valid transfer
             member.take(chunk);
         EXPECT_GT(member.log.commit, 0);
     }
 }
 
-TEST(LogTransfer, AMemberOfTheFormerVersionGetsItWhole)
+TEST(LogTransfer, MemberOfAnOlderVersionGetsAWholeSnapshot)
 {
     Pair p(200000);
-    p.lead.log.peers[1].chunks = 0;
-    p.lead.log.peers[1].next = 1;
-    p.lead.now += 200;
-    log_on_timer(&p.lead.log);
+    p.leader.log.peers[1].chunks = 0;
+    p.leader.log.peers[1].next = 1;
+    p.leader.now += 200;
+    log_on_timer(&p.leader.log);
     int whole = 0;
-    for (; !p.lead.sent.empty();) {
-        std::string frame = p.lead.next();
+    for (; !p.leader.sent.empty();) {
+        std::string frame = p.leader.pop_sent();
         whole += frame[3] == FRAME_SNAPSHOT;
         EXPECT_NE(frame[3], FRAME_SNAPSHOT_CHUNK);
         p.member.take(frame);
     }
     EXPECT_EQ(whole, 1);
-    EXPECT_EQ(p.member.state, p.lead.state);
+    EXPECT_EQ(p.member.state, p.leader.state);
 }
 
-TEST(LogTransfer, ResumesWhereTheReceiverIs)
+TEST(LogTransfer, ResumesAtTheOffsetOfTheReceiver)
 {
     Pair p(500000);
-    p.lead.log.peers[1].chunks = 1;
-    p.lead.log.peers[1].next = 1;
+    p.leader.log.peers[1].chunks = 1;
+    p.leader.log.peers[1].next = 1;
     int sent = 0, lost = 0;
-    for (int i = 0; i < 3000 && p.member.state != p.lead.state; i++) {
-        p.lead.now += 20, p.member.now += 20;
-        log_on_timer(&p.lead.log);
-        while (!p.lead.sent.empty() || !p.member.sent.empty()) {
-            while (!p.lead.sent.empty()) {
-                std::string frame = p.lead.next();
+    for (int i = 0; i < 3000 && p.member.state != p.leader.state; i++) {
+        p.leader.now += 20, p.member.now += 20;
+        log_on_timer(&p.leader.log);
+        while (!p.leader.sent.empty() || !p.member.sent.empty()) {
+            while (!p.leader.sent.empty()) {
+                std::string frame = p.leader.pop_sent();
                 bool chunk = frame[3] == FRAME_SNAPSHOT_CHUNK;
                 sent += chunk;
                 if (chunk && sent % 3 == 0)
@@ -162,73 +163,74 @@
                     p.member.take(frame);
             }
             while (!p.member.sent.empty()) {
-                std::string frame = p.member.next();
-                if (frame[3] == FRAME_SNAPSHOT_GOT && sent == 4)
-                    lost++; // an answer
+                std::string frame = p.member.pop_sent();
+                if (frame[3] == FRAME_SNAPSHOT_CHUNK_ACK && sent == 4)
+                    lost++; // an acknowledgement
                 else
-                    p.lead.take(frame);
+                    p.leader.take(frame);
             }
         }
-        if (i == 60) { // another connection, another leader's view of it: it asks from the start and is told
-            p.lead.log.peers[1].offset = 0;
-            p.lead.log.peers[1].chunk_ms = 0;
+        if (i == 60) { // the leader forgets the offset and learns it again from the acknowledgement
+            p.leader.log.peers[1].offset = 0;
+            p.leader.log.peers[1].chunk_ms = 0;
         }
     }
-    EXPECT_EQ(p.member.state, p.lead.state);
+    EXPECT_EQ(p.member.state, p.leader.state);
     EXPECT_GT(lost, 2);
-    EXPECT_LE(sent, 500000 / CHUNK + 1 + lost + 2) << "it began again";
+    EXPECT_LE(sent, 500000 / CHUNK + 1 + lost + 2) << "it started over";
     EXPECT_EQ(p.member.events[EV_SNAPSHOT_REFUSED], 0);
 }
 
-// A leader that goes on taking snapshots while one is on its way sends the one it began, and keeps what follows it.
-TEST(LogTransfer, SnapshotsOfTheLeaderDoNotBeginItAnew)
+// A leader that takes further snapshots during a transfer continues it, and keeps the entries after that snapshot.
+TEST(LogTransfer, LaterSnapshotsDoNotRestartTheTransfer)
 {
     Pair p(500000);
-    p.lead.log.settings.snapshot_every = 10;
-    p.lead.log.peers[1].chunks = 1;
-    p.lead.log.peers[1].next = 1;
-    int64_t begun = 0, saved = 0;
+    p.leader.log.settings.snapshot_every = 10;
+    p.leader.log.peers[1].chunks = 1;
+    p.leader.log.peers[1].next = 1;
+    int64_t transfer_index = 0, snapshots_saved = 0;
     struct bytes op = {};
     bytes_add(&op, "+", 1);
-    for (int i = 0; i < 60 && p.member.log.commit == 0; i++) { // one frame of each side in 20 ms: a slow link
-        p.lead.now += 20, p.member.now += 20;
+    for (int i = 0; i < 60 && p.member.log.commit == 0; i++) { // a slow link: one frame each way in 20 ms
+        p.leader.now += 20, p.member.now += 20;
         for (int k = 0; k < 2 && i < 20; k++)
-            log_propose(&p.lead.log, ENTRY_OP, &op, nullptr, nullptr, 0);
-        log_flush(&p.lead.log);
-        log_on_timer(&p.lead.log);
-        if (!p.lead.sent.empty())
-            p.member.take(p.lead.next());
+            log_propose(&p.leader.log, ENTRY_OP, &op, nullptr, nullptr, 0);
+        log_flush(&p.leader.log);
+        log_on_timer(&p.leader.log);
+        if (!p.leader.sent.empty())
+            p.member.take(p.leader.pop_sent());
         if (!p.member.sent.empty())
-            p.lead.take(p.member.next());
-        if (!begun && p.member.log.incoming.index) {
-            begun = p.member.log.incoming.index;
-            saved = p.lead.events[EV_DIGEST_SAVED];
+            p.leader.take(p.member.pop_sent());
+        if (!transfer_index && p.member.log.incoming.index) {
+            transfer_index = p.member.log.incoming.index;
+            snapshots_saved = p.leader.events[EV_DIGEST_SAVED];
         }
     }
     bytes_free(&op);
-    ASSERT_GT(begun, 0);
-    EXPECT_GE(p.lead.events[EV_DIGEST_SAVED], saved + 2);
-    EXPECT_EQ(p.member.log.snapshot_index, begun);
+    ASSERT_GT(transfer_index, 0);
+    EXPECT_GE(p.leader.events[EV_DIGEST_SAVED], snapshots_saved + 2);
+    EXPECT_EQ(p.member.log.snapshot_index, transfer_index);
     p.run(1000);
-    EXPECT_EQ(p.member.state, p.lead.state);
+    EXPECT_EQ(p.member.state, p.leader.state);
     EXPECT_EQ(p.member.events[EV_DIGEST_TAKEN], 1) << "a second one was needed";
 }
 
-// What a member said it had and no longer has doesn't count, once a later round says so.
-TEST(LogTransfer, AMemberWithLessThanItHadIsNoticed)
+// Entries that a member acknowledged and has lost no longer count once it reports this in a later round.
+TEST(LogTransfer, LostAcknowledgedEntriesAreDetected)
 {
     Pair p(1000);
     p.run(1000);
-    struct log_peer *peer = log_peer(&p.lead.log, MEMBER);
-    int64_t had = peer->match;
-    ASSERT_EQ(had, log_last(&p.lead.log));
-    struct log_appended less = {GROUP_JOBS, p.lead.log.term, MEMBER, LEADER, 0, had - 1, peer->match_round, 0, 1};
-    log_on_appended(&p.lead.log, &less); // of the same round: may have been overtaken
-    EXPECT_EQ(peer->match, had);
-    EXPECT_EQ(p.lead.events[EV_MEMBER_ROLLED_BACK], 0);
-    less.round = peer->match_round + 1;
-    log_on_appended(&p.lead.log, &less);
-    EXPECT_EQ(peer->match, had - 1);
-    EXPECT_EQ(p.lead.events[EV_MEMBER_ROLLED_BACK], 1);
-    EXPECT_LE(peer->next, had + 1);
+    struct log_peer *peer = log_peer(&p.leader.log, MEMBER);
+    int64_t acknowledged = peer->match;
+    ASSERT_EQ(acknowledged, log_last(&p.leader.log));
+    struct log_appended smaller = {GROUP_JOBS,       p.leader.log.term, MEMBER, LEADER, 0,
+                                   acknowledged - 1, peer->match_round, 0,      1};
+    log_on_appended(&p.leader.log, &smaller); // of the same round: may be an older frame that was reordered
+    EXPECT_EQ(peer->match, acknowledged);
+    EXPECT_EQ(p.leader.events[EV_MEMBER_ROLLED_BACK], 0);
+    smaller.round = peer->match_round + 1;
+    log_on_appended(&p.leader.log, &smaller);
+    EXPECT_EQ(peer->match, acknowledged - 1);
+    EXPECT_EQ(p.leader.events[EV_MEMBER_ROLLED_BACK], 1);
+    EXPECT_LE(peer->next, acknowledged + 1);
 }
