--- a/sim/oracle_promises.c
+++ b/sim/oracle_promises.c
@@ -9,7 +9,7 @@
 
 void oracle_settings_accepted(struct oracle *o, int64_t version)
 {
-    *list_more(o->promised, o->n_promised) = (struct promised){.version = version, .at_ms = sim_ms(o->sim)};
+    *array_add(o->promised, o->n_promised) = (struct promised){.version = version, .at_ms = sim_ms(o->sim)};
 }
 
 /* A change was taken: it is the next after the one its operator had seen. */
@@ -24,7 +24,7 @@
 
 void oracle_cancelled(struct oracle *o, int64_t job)
 {
-    *list_more(o->cancelled, o->n_cancelled) = (struct cancelled){.job = job, .at_ms = sim_ms(o->sim)};
+    *array_add(o->cancelled, o->n_cancelled) = (struct cancelled){.job = job, .at_ms = sim_ms(o->sim)};
 }
 
 void oracle_shown(struct oracle *o, int64_t id, const char *state)
@@ -50,7 +50,7 @@
 /* Settings as of a version; the calendar changes states under the same one. */
 int64_t oracle_content(const struct config_tree *config_tree)
 {
-    json_t *whole = config_tree_whole(config_tree);
+    json_t *whole = config_tree_to_json(config_tree);
     char *text = json_dumps(whole, JSON_COMPACT | JSON_SORT_KEYS);
     int64_t hash = (int64_t)(hash_text(text) | 1);
     json_decref(whole);
@@ -137,7 +137,8 @@
         if (!job || (g->settled && now_ms - g->first_ms < GANG_MS + lease_of(o, job) + LAPSE_MS))
             continue;
         g->settled++;
-        int64_t first = spec_first(&job->spec, g->step), n = job->spec.steps[g->step].n_tasks, begun = 0, running = 0;
+        int64_t first = spec_first_task(&job->spec, g->step), n = job->spec.steps[g->step].n_tasks, begun = 0,
+                running = 0;
         for (int64_t k = first; k < first + n; k++)
             begun += oracle_task(o, g->job, k)->starts > 0;
         for (int64_t k = first; begun < n && k < first + n; k++) {
--- a/src/base/frame.h
+++ b/src/base/frame.h
@@ -20,26 +20,26 @@
     FRAME_SNAPSHOT,
     FRAME_LEAD_NOW,
     /* bootstrap and membership */
-    FRAME_FOUND_REQUEST,
-    FRAME_FOUND,
+    FRAME_BOOTSTRAP_STATUS_REQUEST,
+    FRAME_BOOTSTRAP_STATUS,
     FRAME_JOIN,
     /* configuration tree */
-    FRAME_CONFIRM,
-    FRAME_FEED,
-    FRAME_NEWS,
+    FRAME_CONTROL_UPDATES_REQUEST,
+    FRAME_CONTROL_UPDATES,
+    FRAME_CONTROL_UPDATES_NOTICE,
     FRAME_PROPOSE,
     FRAME_PROPOSED,
     /* api: a request forwarded to another node */
-    FRAME_SEND_ON,
-    FRAME_SENT_ON,
+    FRAME_FORWARD_REQUEST,
+    FRAME_FORWARD_RESPONSE,
     /* executors: capacity, reservations and tasks */
-    FRAME_ROOMS,
+    FRAME_EXECUTOR_SUMMARIES,
     FRAME_RESERVE,
     FRAME_RESERVED,
     FRAME_RELEASE,
     FRAME_START,
     FRAME_STOP,
-    FRAME_GO,
+    FRAME_GANG_START,
     FRAME_CHECK,
     FRAME_CHECKED,
     FRAME_ENDED,
@@ -50,7 +50,7 @@
     /* bootstrap of controllers */
     FRAME_COLLECT,
     FRAME_COLLECTED,
-    FRAME_FOUNDERS,
+    FRAME_BOOTSTRAP_MEMBERS,
     /* controllers: a request forwarded to the leader */
     FRAME_REQUEST,
     FRAME_RESPONSE,
@@ -92,5 +92,5 @@
 /* 1 if frames of this kind may be lost, so that they can be sent as datagrams. */
 int frame_lossy(enum frame_kind kind);
 /* 1 if log_take() handles frames of this kind. */
-int frame_of_log(enum frame_kind kind);
+int frame_is_for_log(enum frame_kind kind);
 #endif
--- a/src/controller/relay.c
+++ b/src/controller/relay.c
@@ -1,6 +1,6 @@
 /* Forwards requests to the leader and returns its responses. Requests are idempotent, so one is sent again when the
  * leader changes or does not respond. A caller is told that its request was refused only if no leader can have taken
- * it; if that is not certain it gets ERROR_GAVE_UP. */
+ * it; if that is not certain it gets ERROR_OUTCOME_UNKNOWN. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -87,7 +87,7 @@
 static void send_to_leader(struct controller *c, struct relayed_request *r)
 {
     int64_t leader = directory_leader(&c->directory), self = (int64_t)c->w->self;
-    if (!leader || (leader == self && !dispatch_leads(c->dispatch)))
+    if (!leader || (leader == self && !dispatch_is_leader(c->dispatch)))
         return;
     r->sent_ms = world_ms(c->w);
     r->sent_to = leader;
@@ -157,7 +157,7 @@
     switch (request.kind) {
     case REQUEST_READY: answer = readiness(c); break;
     case REQUEST_NONE:
-    case REQUEST_BEAT: answer = api_response_error(request.kind, ERROR_NO_SUCH, 0, NULL); break;
+    case REQUEST_HEARTBEAT: answer = api_response_error(request.kind, ERROR_NOT_FOUND, 0, NULL); break;
     default: relay_new(c, slot, &request); return;
     }
     http_respond(c, slot, &answer);
@@ -165,12 +165,13 @@
 }
 
 /* The error to return for a refusal. If a change was sent more than once, one copy may have been taken although another
- * was refused, so the refusal becomes ERROR_GAVE_UP; errors that any copy would have got are returned as they are. */
+ * was refused, so the refusal becomes ERROR_OUTCOME_UNKNOWN; errors that any copy would have got are returned as they
+ * are. */
 static int64_t refusal(const struct relayed_request *r, int64_t error)
 {
     int same = error == ERROR_NONE || error == ERROR_BAD_JSON || error == ERROR_BAD_FIELD || error == ERROR_BAD_STEPS ||
                error == ERROR_TOO_LARGE || error == ERROR_KEY_TAKEN || error == ERROR_GONE;
-    return same || !is_change(r) || r->sends < 2 ? error : ERROR_GAVE_UP;
+    return same || !is_change(r) || r->sends < 2 ? error : ERROR_OUTCOME_UNKNOWN;
 }
 
 /* Refused by a controller that does not lead: others may go on naming it, and a request may be as large as a
@@ -199,7 +200,7 @@
         r->sent_to = 0;
         hold(c, r);
         if (c->directory.leader == from && from != (int64_t)c->w->self)
-            directory_doubt(&c->directory);
+            directory_suspect_leader(&c->directory);
         return; /* the timer sends it again */
     }
     struct api_response told = *answer;
@@ -236,7 +237,7 @@
 
 static void on_request(struct controller *c, int64_t from, const struct forwarded_request *m)
 {
-    if (!dispatch_leads(c->dispatch) || m->term != c->log.term) {
+    if (!dispatch_is_leader(c->dispatch) || m->term != c->log.term) {
         struct forwarded_response no = {.boot = m->boot,
                                         .ticket = m->ticket,
                                         .answer = api_response_error(m->request.kind, ERROR_NOT_LEADER, 0, NULL)};
@@ -270,7 +271,7 @@
 static void give_up(struct controller *c, struct relayed_request *r)
 {
     if (r->sends && is_change(r))
-        finish_with_error(c, r, ERROR_GAVE_UP, 0);
+        finish_with_error(c, r, ERROR_OUTCOME_UNKNOWN, 0);
     else
         finish_with_error(c, r, ERROR_UNAVAILABLE, 1000);
 }
@@ -292,10 +293,10 @@
         int64_t leader = directory_leader(&c->directory);
         int silent = r->sent_to && now_ms - r->sent_ms >= RESEND_MS;
         /* our own dispatch answers each ticket once, when it can */
-        if (r->sent_to == (int64_t)c->w->self && leader == r->sent_to && dispatch_leads(c->dispatch))
+        if (r->sent_to == (int64_t)c->w->self && leader == r->sent_to && dispatch_is_leader(c->dispatch))
             continue;
         if (silent && leader == r->sent_to) {
-            directory_doubt(&c->directory);
+            directory_suspect_leader(&c->directory);
             leader = 0;
         }
         if (leader && leader != r->sent_to && !is_held(c, r))
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -3,7 +3,7 @@
  * its state machine in the same order. Extensions: pre-vote, leader lease, snapshots sent in chunks, and the exchange
  * of two voters by one entry.
  *
- * The module has no threads or timers of its own: the caller passes in frames (log_take()) and timer ticks
+ * The module has no threads or timers of its own: the caller passes in frames (log_on_frame()) and timer ticks
  * (log_on_timer()), and calls log_flush() once per iteration of its event loop to sync the appended entries. All times
  * are monotonic time in ms, and indexes count entries from 1. Functions that return int return 0 or an enum
  * sagehitch_error, unless stated otherwise. Not thread-safe. */
@@ -16,9 +16,9 @@
 /* A candidate first asks for pre-votes, which change no state at the voters, and starts an election only once a
  * majority has granted them. */
 enum log_role { LOG_FOLLOWER, LOG_PRE_CANDIDATE, LOG_CANDIDATE, LOG_LEADER };
-/* ENTRY_BLANK: appended by each new leader, so that it has an entry of its own term to commit. ENTRY_OP: an operation
+/* ENTRY_NOOP: appended by each new leader, so that it has an entry of its own term to commit. ENTRY_OP: an operation
  * for the state machine. ENTRY_MEMBERS: the complete list of members that is in effect from this entry on. */
-enum log_entry_kind { ENTRY_BLANK, ENTRY_OP, ENTRY_MEMBERS };
+enum log_entry_kind { ENTRY_NOOP, ENTRY_OP, ENTRY_MEMBERS };
 /* Number of heartbeat rounds whose sending time is kept, to compute the lease. */
 enum { ROUNDS_KEPT = 64 };
 /* Identifies one of several independent logs that the same processes replicate; part of each frame. */
@@ -31,9 +31,9 @@
 };
 
 /* What a member is. A MEMBERS entry that exchanges voters contains both sets: the voters after its commit (VOTES and
- * VOTES_NEWLY) and the voters before it (VOTES and VOTED); VOTES_NOT is a learner.
+ * LOG_INCOMING_VOTER) and the voters before it (VOTES and VOTED); LOG_LEARNER is a learner.
  * Invariant: until that entry is known to be committed, elections, commits and reads need a majority of both sets. */
-enum log_membership { VOTES_NOT, VOTES, VOTED, VOTES_NEWLY };
+enum log_membership { LOG_LEARNER, LOG_VOTER, LOG_OUTGOING_VOTER, LOG_INCOMING_VOTER };
 
 /* id: identity of the member's disk. addr: its address for frames. zone is owned. A learner receives entries but has
  * no vote. */
@@ -42,7 +42,10 @@
     char *zone;
 };
 /* Whether the member is a voter once the newest change of members is committed. */
-static inline int log_votes(const struct log_member *m) { return m->voter == VOTES || m->voter == VOTES_NEWLY; }
+static inline int log_votes_after_change(const struct log_member *m)
+{
+    return m->voter == LOG_VOTER || m->voter == LOG_INCOMING_VOTER;
+}
 
 /* All members, voters and learners. Owns the array and the zones; freed with schema_free(). */
 struct log_members {
@@ -134,7 +137,7 @@
  * how many bytes of that snapshot it has. chunk_ms: when the last chunk was sent. */
 struct log_peer {
     int64_t id, next, match, acked_round, heard_ms, sync_ms;
-    int64_t base, match_round, last_rewind_ms, chunks, copying, offset, chunk_ms;
+    int64_t in_flight_base, match_round, last_rewind_ms, chunks, snapshot_sent_index, offset, chunk_ms;
 };
 /* A snapshot file in transfer: on the leader the whole file, on the receiver the bytes received so far. index 0: none.
  * total, sum: as in struct log_chunk; from, from_term: the sending leader and its term. Owns data. */
@@ -212,7 +215,7 @@
     int64_t newest_round_commit;        /* commit index when the newest round began */
     int64_t handed_over_ms;             /* when this leader handed over in its term; 0: it has not */
     int64_t excluded_voter_id;          /* its acknowledgement does not count for commits; 0: all voters count */
-    int64_t votes_from_ms; /* no vote before: a leader's lease may count on an acknowledgement before the restart */
+    int64_t no_vote_before_ms; /* no vote before: a leader's lease may count on an acknowledgement before the restart */
 };
 
 /* log.c */
@@ -230,7 +233,7 @@
 /* Sends new entries to the members, syncs them to the local disk, and commits what a majority has. */
 void log_flush(struct log *log);
 /* Handles one frame (frame_of_log()). ERROR_BAD_FRAME: it cannot be decoded; ERROR_DISK: the log is broken. */
-int log_take(struct log *log, const struct frame *frame);
+int log_on_frame(struct log *log, const struct frame *frame);
 /* As leader, appends an entry with a copy of op (NULL: empty). done, if not NULL, is called exactly once: with the
  * result once the entry is applied, or with an error, possibly during this call. */
 void log_propose(struct log *log, int64_t kind, const struct bytes *op, log_done *done, void *arg, int64_t tag);
@@ -248,7 +251,7 @@
 /* As leader, commits the entries that a quorum has; steps down if this member is no longer a voter. */
 void log_advance(struct log *log);
 /* As leader: the acknowledgements of the voter id no longer count for commits. 0: all voters count again. */
-void log_discount(struct log *log, int64_t id);
+void log_exclude_from_commit(struct log *log, int64_t id);
 /* Applies the committed entries, completes pending proposals, and saves a snapshot if enough entries were applied since
  * the last. */
 void log_apply(struct log *log);
@@ -256,11 +259,11 @@
 /* log_elect.c: elections */
 
 /* Becomes a follower in term; a higher term is synced first. leader_id 0: the leader is unknown. */
-void log_follow(struct log *log, int64_t term, int64_t leader_id);
+void log_become_follower(struct log *log, int64_t term, int64_t leader_id);
 /* Asks all voters for pre-votes (pre); or for votes in the next term, once that term and this member's own vote are
  * synced. transfer: see struct log_vote_request. */
 void log_request_votes(struct log *log, int pre, int transfer);
-/* Handlers of frames, called by log_take(). */
+/* Handlers of frames, called by log_on_frame(). */
 void log_on_vote_request(struct log *log, const struct log_vote_request *request);
 void log_on_vote(struct log *log, const struct log_vote *vote);
 /* Picks the random time at which this member becomes a candidate unless it receives a heartbeat before. */
@@ -275,7 +278,7 @@
 void log_become_leader(struct log *log);
 /* Sends each member the entries that it lacks. heartbeat: as a new heartbeat round, which is sent to all members. */
 void log_replicate(struct log *log, int heartbeat);
-/* Handlers of frames, called by log_take(). */
+/* Handlers of frames, called by log_on_frame(). */
 void log_on_append(struct log *log, const struct log_append *append);
 void log_on_appended(struct log *log, const struct log_appended *appended);
 /* 1 if the member has all entries that were committed when the heartbeat round before the newest began. Used for
@@ -287,14 +290,14 @@
 void log_complete_reads(struct log *log);
 /* 1 while this leader holds its lease: a quorum has acknowledged a heartbeat round that was sent less than 90 % of an
  * election time-out ago, so no other member can be leader yet. */
-int log_leads(const struct log *log);
+int log_has_lease(const struct log *log);
 
 /* log_member.c: members and their changes. Pointers returned are valid until the next change of members. */
 
 /* NULL: no member has this identity. */
 const struct log_member *log_member(const struct log *log, int64_t id);
 /* 1 if the member is a voter now; the outgoing voter of an exchange is one until the exchange is committed. */
-int log_voter(const struct log *log, int64_t id);
+int log_is_voter(const struct log *log, int64_t id);
 /* Size of a majority of the voters after the newest change of members. */
 int64_t log_majority(const struct log *log);
 /* 1 if has(id, x) holds for a majority of the voters, and, while a change of members is uncommitted, also for a
@@ -309,12 +312,13 @@
 
 /* Removes the voter former_id, whose disk is permanently lost, and makes the learner new_id a voter. */
 int log_replace(struct log *log, int64_t former_id, int64_t new_id);
-/* Passes the vote of former_id, which may return, to the learner new_id. log_settle() completes the exchange. */
+/* Passes the vote of former_id, which may return, to the learner new_id. log_finish_exchange() completes the exchange.
+ */
 int log_exchange(struct log *log, int64_t former_id, int64_t new_id);
 /* Removes the outgoing voter of a committed exchange. ERROR_NO_SUCH: there is no exchange to complete. */
-int log_settle(struct log *log);
+int log_finish_exchange(struct log *log);
 /* Removes the member id (remove), or sets its kind (voter: enum log_membership), or adds it with a copy of zone. */
-int log_change(struct log *log, int64_t id, int64_t addr, const char *zone, int voter, int remove);
+int log_change_member(struct log *log, int64_t id, int64_t addr, const char *zone, int voter, int remove);
 
 /* log_transfer.c: sends snapshots in chunks, one in flight to each peer */
 
@@ -323,7 +327,7 @@
 void log_transfer_free_unused(struct log *log); /* frees transfers that are no longer needed */
 /* The index up to which entries may be dropped from memory: last_index, or less if a responsive member needs them. */
 int64_t log_entries_droppable(const struct log *log, int64_t last_index);
-/* Handlers of frames, called by log_take(). */
+/* Handlers of frames, called by log_on_frame(). */
 void log_on_chunk(struct log *log, const struct log_chunk *chunk);
 void log_on_chunk_ack(struct log *log, const struct log_chunk_ack *ack);
 void log_on_snapshot(struct log *log, struct log_snapshot *snapshot); /* a whole one, from an older version */
--- a/src/log/log_member.c
+++ b/src/log/log_member.c
@@ -17,17 +17,18 @@
 /* Whether the newest change of members is not yet known to be committed. */
 static int change_uncommitted(const struct log *log) { return log->members_index > log->commit; }
 
-int log_voter(const struct log *log, int64_t id)
+int log_is_voter(const struct log *log, int64_t id)
 {
     const struct log_member *member = log_member(log, id);
-    return member && (log_votes(member) || (member->voter == VOTED && change_uncommitted(log)));
+    return member &&
+           (log_votes_after_change(member) || (member->voter == LOG_OUTGOING_VOTER && change_uncommitted(log)));
 }
 
 int64_t log_majority(const struct log *log)
 {
     int64_t voters = 0;
     for (int64_t i = 0; i < log->members.n; i++)
-        voters += log_votes(&log->members.members[i]);
+        voters += log_votes_after_change(&log->members.members[i]);
     return voters / 2 + 1;
 }
 
@@ -36,7 +37,7 @@
     int64_t n = 0, former_voters = 0, n_former = 0;
     for (int64_t i = 0; i < log->members.n; i++) {
         const struct log_member *m = &log->members.members[i];
-        int was_voter = m->voter == VOTES || m->voter == VOTED, is_voter = log_votes(m);
+        int was_voter = m->voter == LOG_VOTER || m->voter == LOG_OUTGOING_VOTER, is_voter = log_votes_after_change(m);
         int yes = (was_voter || is_voter) && has(log, m->id, x);
         n += is_voter && yes;
         former_voters += was_voter;
@@ -69,9 +70,9 @@
     log->members = members;
     for (int64_t i = 0; i < log->members.n; i++)
         if (!log_peer(log, log->members.members[i].id))
-            *list_more(log->peers, log->n_peers) = (struct log_peer){.id = log->members.members[i].id,
+            *array_add(log->peers, log->n_peers) = (struct log_peer){.id = log->members.members[i].id,
                                                                      .next = log_last(log) + 1,
-                                                                     .base = log_last(log),
+                                                                     .in_flight_base = log_last(log),
                                                                      .heard_ms = world_ms(log->w)};
     for (int64_t i = 0; i < log->n_peers; i++)
         if (!log_member(log, log->peers[i].id))
@@ -116,7 +117,7 @@
     schema_copy(&log_members_schema, &next, &log->members);
     for (int64_t i = 0; i < next.n; i++) {
         if (next.members[i].id == new_id)
-            next.members[i].voter = VOTES;
+            next.members[i].voter = LOG_VOTER;
         if (next.members[i].id == former_id)
             remove_member(&next, i--);
     }
@@ -140,7 +141,7 @@
     schema_copy(&log_members_schema, &next, &log->members);
     for (int64_t i = 0; i < next.n; i++) {
         struct log_member *m = &next.members[i];
-        m->voter = m->id == former_id ? VOTED : m->id == new_id ? VOTES_NEWLY : m->voter;
+        m->voter = m->id == former_id ? LOG_OUTGOING_VOTER : m->id == new_id ? LOG_INCOMING_VOTER : m->voter;
     }
     world_note(log->w, EV_MEMBER_CHANGE, "log=%s exchanged=%llx fresh=%llx", log->name, (unsigned long long)former_id,
                (unsigned long long)new_id);
@@ -148,26 +149,26 @@
     return ERROR_NONE;
 }
 
-int log_settle(struct log *log)
+int log_finish_exchange(struct log *log)
 {
     struct log_members next = {0};
     int exchanging = 0, rc = may_change(log);
     for (int64_t i = 0; i < log->members.n; i++)
-        exchanging |= log->members.members[i].voter > VOTES;
+        exchanging |= log->members.members[i].voter > LOG_VOTER;
     if (!exchanging || rc)
-        return exchanging ? rc : ERROR_NO_SUCH;
+        return exchanging ? rc : ERROR_NOT_FOUND;
     schema_copy(&log_members_schema, &next, &log->members);
     for (int64_t i = 0; i < next.n; i++) {
-        if (next.members[i].voter == VOTES_NEWLY)
-            next.members[i].voter = VOTES;
-        if (next.members[i].voter == VOTED)
+        if (next.members[i].voter == LOG_INCOMING_VOTER)
+            next.members[i].voter = LOG_VOTER;
+        if (next.members[i].voter == LOG_OUTGOING_VOTER)
             remove_member(&next, i--);
     }
     propose_members(log, &next);
     return ERROR_NONE;
 }
 
-int log_change(struct log *log, int64_t id, int64_t addr, const char *zone, int voter, int remove)
+int log_change_member(struct log *log, int64_t id, int64_t addr, const char *zone, int voter, int remove)
 {
     struct log_members next = {0};
     int rc = may_change(log);
@@ -182,7 +183,7 @@
     } else if (!remove && i < next.n) {
         next.members[i].voter = voter;
     } else if (!remove) {
-        struct log_member *member = list_more(next.members, next.n);
+        struct log_member *member = array_add(next.members, next.n);
         *member = (struct log_member){.id = id, .addr = addr, .voter = voter, .zone = must_dup(zone)};
     }
     world_note(log->w, EV_MEMBER_CHANGE, "log=%s id=%llx voter=%d gone=%d", log->name, (unsigned long long)id, voter,
--- a/src/log/log_copy.c
+++ b/src/log/log_replication.c
@@ -28,20 +28,20 @@
     for (int64_t i = 0; i < log->n_peers; i++)
         log->peers[i] = (struct log_peer){.id = log->peers[i].id,
                                           .next = log_last(log) + 1,
-                                          .base = log_last(log),
+                                          .in_flight_base = log_last(log),
                                           .heard_ms = now_ms,
                                           .sync_ms = log->peers[i].sync_ms,
                                           .chunks = log->peers[i].chunks};
     world_note(log->w, EV_LEADER, "log=%s term=%lld last=%lld", log->name, (long long)log->term,
                (long long)log_last(log));
-    log_propose(log, ENTRY_BLANK, NULL, NULL, NULL, 0);
+    log_propose(log, ENTRY_NOOP, NULL, NULL, NULL, 0);
     log->heartbeat_due_ms = now_ms;
 }
 
 /* Bytes of the entries that are in flight to the peer. */
 static int64_t in_flight_bytes(const struct log *log, const struct log_peer *peer)
 {
-    int64_t from = (peer->match > peer->base ? peer->match : peer->base) + 1, bytes = 0;
+    int64_t from = (peer->match > peer->in_flight_base ? peer->match : peer->in_flight_base) + 1, bytes = 0;
     for (int64_t i = from < log->first_index ? log->first_index : from; i < peer->next && i <= log_last(log); i++)
         bytes += log->entries[i - log->first_index].body.len + ENTRY_HEADER_BYTES;
     return bytes;
@@ -56,7 +56,7 @@
 static void rewind_to(struct log_peer *peer, int64_t next)
 {
     peer->next = next;
-    peer->base = next - 1;
+    peer->in_flight_base = next - 1;
 }
 
 static void replicate_to(struct log *log, struct log_peer *peer, int heartbeat)
@@ -78,7 +78,7 @@
         log_transfer_send(log, peer, heartbeat);
         return;
     }
-    peer->copying = 0;
+    peer->snapshot_sent_index = 0;
     int64_t bytes = in_flight_bytes(log, peer);
     if (!heartbeat && (peer->next > log_last(log) || bytes >= IN_FLIGHT_BYTES_MAX))
         return;
@@ -121,7 +121,7 @@
         log_send(log, append->from, FRAME_APPENDED, &log_appended_schema, &reply);
         return;
     }
-    log_follow(log, append->term, append->from);
+    log_become_follower(log, append->term, append->from);
     log->heard_leader_ms = world_ms(log->w);
     log_election_reset(log);
     reply.term = log->term;
@@ -168,7 +168,7 @@
 {
     struct log_peer *peer = log_peer(log, appended->from);
     if (appended->term > log->term) {
-        log_follow(log, appended->term, 0);
+        log_become_follower(log, appended->term, 0);
         return;
     }
     if (log->role != LOG_LEADER || appended->term != log->term || !peer)
@@ -221,7 +221,7 @@
  * most 2 % each, 4 % together. */
 enum { LEASE_PERCENT = 90 };
 
-int log_leads(const struct log *log)
+int log_has_lease(const struct log *log)
 {
     int64_t since_ms = world_ms(log->w) - log->settings.election_ms * LEASE_PERCENT / 100;
     if (log->role != LOG_LEADER || log->broken || log->handed_over_ms)
--- a/src/log/log_snapshot.c
+++ b/src/log/log_snapshot.c
@@ -63,7 +63,7 @@
     snprintf(temp, sizeof temp, "%s-temp-", obsolete->log->name);
     int old = !strncmp(name, prefix, strlen(prefix)) && strcmp(name, keep) < 0;
     if ((old || !strncmp(name, temp, strlen(temp))) && strlen(name) < 64)
-        strcpy(*list_more(obsolete->names, obsolete->n), name);
+        strcpy(*array_add(obsolete->names, obsolete->n), name);
 }
 
 static void remove_obsolete_files(struct log *log)
--- a/src/log/log_store.c
+++ b/src/log/log_store.c
@@ -77,7 +77,7 @@
 int log_store_open(struct log *log)
 {
     int64_t number = log->n_segments ? log->segments[log->n_segments - 1].number + 1 : 1;
-    *list_more(log->segments, log->n_segments) =
+    *array_add(log->segments, log->n_segments) =
         (struct log_segment){.number = number, .first_index = log_last(log) + 1};
     log_store_vote(log);
     if (!log->broken &&
@@ -201,7 +201,7 @@
     snprintf(prefix, sizeof prefix, "%s-seg-", log->name);
     if (strncmp(name, prefix, strlen(prefix)))
         return;
-    *list_more(log->segments, log->n_segments) = (struct log_segment){.number = text_to_int64(name + strlen(prefix))};
+    *array_add(log->segments, log->n_segments) = (struct log_segment){.number = text_to_int64(name + strlen(prefix))};
 }
 
 static int compare_segment_numbers(const void *a, const void *b)
--- a/src/log/log_transfer.c
+++ b/src/log/log_transfer.c
@@ -39,7 +39,7 @@
         return ERROR_NONE;
     transfer_free(out);
     for (int64_t i = 0; i < log->n_peers; i++)
-        log->peers[i].copying = log->peers[i].offset = 0;
+        log->peers[i].snapshot_sent_index = log->peers[i].offset = 0;
     int rc = log_snapshot_read(log, &out->data);
     if (rc) { /* the file is damaged, but the state in memory is not: write a new file */
         transfer_free(out);
@@ -103,13 +103,13 @@
     int64_t now_ms = world_ms(log->w), silent_ms = CHUNK_RETRY_HEARTBEATS * log->settings.heartbeat_ms;
     if (heartbeat)
         send_heartbeat(log, peer);
-    if (peer->copying && peer->copying == log->outgoing.index && outgoing_is_valid(log) &&
+    if (peer->snapshot_sent_index && peer->snapshot_sent_index == log->outgoing.index && outgoing_is_valid(log) &&
         now_ms - peer->chunk_ms < silent_ms)
         return;
     if (open_outgoing(log) || !log->outgoing.index)
         return;
-    if (peer->copying != log->outgoing.index) {
-        peer->copying = log->outgoing.index;
+    if (peer->snapshot_sent_index != log->outgoing.index) {
+        peer->snapshot_sent_index = log->outgoing.index;
         peer->offset = 0;
     }
     peer->chunk_ms = now_ms;
@@ -123,7 +123,7 @@
 {
     struct log_peer *peer = log_peer(log, ack->from);
     if (ack->term > log->term) {
-        log_follow(log, ack->term, 0);
+        log_become_follower(log, ack->term, 0);
         return;
     }
     if (log->role != LOG_LEADER || ack->term != log->term || !peer)
@@ -132,7 +132,7 @@
     if (ack->round > peer->acked_round)
         peer->acked_round = ack->round;
     log_complete_reads(log);
-    if (!peer->copying || ack->index != peer->copying || ack->index != log->outgoing.index ||
+    if (!peer->snapshot_sent_index || ack->index != peer->snapshot_sent_index || ack->index != log->outgoing.index ||
         ack->sum != log->outgoing.sum || ack->offset < 0 || ack->offset > log->outgoing.total)
         return;
     int progress = ack->offset > peer->offset && ack->offset < log->outgoing.total;
@@ -153,7 +153,7 @@
         oldest_kept = oldest_kept_by_bytes;
     for (int64_t i = 0; log->role == LOG_LEADER && i < log->n_peers; i++) {
         const struct log_peer *peer = &log->peers[i];
-        int64_t has = peer->copying ? peer->copying : peer->match;
+        int64_t has = peer->snapshot_sent_index ? peer->snapshot_sent_index : peer->match;
         if (peer->id != log->id && has <= last_index && has >= oldest_kept && has > 0 &&
             now_ms - peer->heard_ms <= LAGGING_HEARD_HEARTBEATS * log->settings.heartbeat_ms)
             last_index = has - 1; /* keep the entry at has: the next append needs its term */
@@ -165,7 +165,7 @@
 {
     int used = 0;
     for (int64_t i = 0; log->role == LOG_LEADER && i < log->n_peers; i++)
-        used |= log->peers[i].copying != 0;
+        used |= log->peers[i].snapshot_sent_index != 0;
     if (!used)
         transfer_free(&log->outgoing);
     if (log->role == LOG_LEADER || log->incoming.index <= log->commit)
@@ -218,7 +218,7 @@
 
 static void on_leader_heard(struct log *log, int64_t term, int64_t from)
 {
-    log_follow(log, term, from);
+    log_become_follower(log, term, from);
     log->heard_leader_ms = world_ms(log->w);
     log_election_reset(log);
 }
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -6,7 +6,7 @@
 #include "base/journal.h"
 #include "base/slab.h"
 #include "config_tree/config_tree.h"
-#include "home/home.h"
+#include "executor_owner/executor_owner.h"
 #include "log/log.h"
 #include "shard/rows.h"
 #include "peer/peer.h"
@@ -46,7 +46,8 @@
     int64_t req, status, retry_ms;
     char *body;
 };
-extern const struct schema confirm_schema, feed_schema, propose_schema, proposed_schema, send_on_schema, sent_on_schema;
+extern const struct schema control_updates_request_schema, control_updates_schema, propose_schema, proposed_schema,
+    forward_request_schema, forward_response_schema;
 
 /* --- continuations --------------------------------------------------------- */
 
@@ -67,13 +68,13 @@
 
 enum shard_state { SHARD_NONE, SHARD_OPENING, SHARD_OPEN };
 
-struct buffered {
+struct buffered_op {
     struct op op;
     int64_t request, staging, since_ms;
 };
 
 struct breaker {
-    int64_t window_from_ms, good, bad, slow, open_until_ms, trips;
+    int64_t window_start_ms, good, bad, slow, open_until_ms, trips;
 };
 
 struct ready_item {
@@ -93,7 +94,7 @@
 struct shard {
     int64_t no, epoch, state, seq, in_flight, proposal, checkpoint_ms, open_since_ms, retry_ms, started_ms;
     struct rows rows;
-    struct buffered *buffer;
+    struct buffered_op *buffer;
     int64_t n_buffer;
     struct breaker breaker;
     struct ready *readies;
@@ -111,13 +112,13 @@
 };
 
 struct staging_place {
-    int64_t no, room, answered, good;
+    int64_t no, executor_summary, answered, good;
     char *executor;
-    int64_t home_epoch, incarnation, home;
+    int64_t executor_epoch, incarnation, executor_owner;
 };
 struct staging {
     int64_t shard, shard_epoch, job, queue, until_ms, committing, n_places, failed, step, urgency;
-    int64_t bold; /* asks although our view says there is no room now */
+    int64_t ignores_view; /* asks although our view says there is no room now */
     struct staging_place *places;
 };
 
@@ -139,11 +140,12 @@
     struct shard shards[SHARD_COUNT];
     struct queue *queues;
     int64_t n_queues;
-    struct room *rooms;
-    int64_t n_rooms;
-    struct home **homes;
-    int64_t n_homes;
-    int64_t rooms_due_ms, rooms_told_ms, rooms_all_ms, rooms_hash, rate_due_ms, reqs, started_ms, runs_due_ms;
+    struct executor_summary *executor_summaries;
+    int64_t n_executor_summaries;
+    struct executor_owner **executor_owners;
+    int64_t n_executor_owners;
+    int64_t summaries_due_ms, summaries_sent_ms, summaries_sent_to_all_ms, summaries_hash, rate_due_ms, reqs,
+        started_ms, runs_due_ms;
     int64_t picks, pick_steps; /* counts for measurements */
     int64_t frames_dropped;
 };
@@ -152,12 +154,13 @@
 void node_start(struct node *node, struct world *w, const struct peer_setup *setup);
 void node_end(struct node *node);
 void node_on_timer(struct node *node);
-void node_take(struct node *node, const uint8_t *at, int64_t len);
+void node_on_frame(struct node *node, const uint8_t *at, int64_t len);
 void node_leave(struct node *node);
-int node_left(const struct node *node); /* all duties are with others */
+int node_has_left(const struct node *node); /* all duties are with others */
 void node_send(struct node *node, int64_t to, enum frame_kind kind, const struct schema *schema, const void *msg);
 int64_t node_fleet_ms(const struct node *node);
-void node_tell(struct node *node, int64_t job, int64_t task, int64_t attempt, const char *what, const char *detail);
+void node_journal_add(struct node *node, int64_t job, int64_t task, int64_t attempt, const char *what,
+                      const char *detail);
 int64_t node_queue(struct node *node, const char *service, const char *queue); /* dense index */
 const struct settings *node_settings(struct node *node, int64_t queue);
 
@@ -189,9 +192,9 @@
 };
 /* Sends a waiting request on to another node, whose response is passed back; or answers with an error where to is 0 or
  * it was sent on too often. */
-void api_send_on(struct node *node, int64_t request, int64_t to, const struct api_call *call);
+void api_forward(struct node *node, int64_t request, int64_t to, const struct api_call *call);
 void api_on_timer(struct node *node);
-char *api_setting(const char *path, const char *name); /* owned; NULL: not there */
+char *api_query_param(const char *path, const char *name); /* owned; NULL: not there */
 
 /* api_operators.c, api_views.c */
 int api_operators(struct node *node, int64_t request, const char *method, const char *path, const char *body,
@@ -200,7 +203,7 @@
 json_t *why_view(struct node *node, struct shard *shard, const struct job *job, int64_t no);
 
 /* shard/owner.c */
-void shard_follow(struct node *node, struct shard *shard, int64_t epoch, int mine);
+void shard_on_owner_change(struct node *node, struct shard *shard, int64_t epoch, int mine);
 void shards_on_timer(struct node *node);
 void shard_lose(struct node *node, struct shard *shard, const char *why);
 void shards_end(struct node *node);
@@ -210,16 +213,16 @@
 struct op *worker_buffer(struct node *node, struct shard *shard, int64_t kind, int64_t job, int64_t request,
                          int64_t staging);
 void worker_on_timer(struct node *node, struct shard *shard);
-int breaker_shut(struct node *node, struct shard *shard); /* 1: ops may flow */
-void breaker_count(struct node *node, struct shard *shard, int good, int64_t took_ms);
+int breaker_closed(struct node *node, struct shard *shard); /* 1: ops may flow */
+void breaker_record(struct node *node, struct shard *shard, int good, int64_t took_ms);
 
 /* shard/ready.c */
 void ready_rebuild(struct node *node, struct shard *shard);
 void ready_clear(struct shard *shard);
-void ready_row(struct node *node, struct shard *shard, struct job *job, int64_t no);
-void ready_job(struct node *node, struct shard *shard, struct job *job);
-void ready_new(struct node *node, struct shard *shard, struct job *job);
-void ready_time(struct shard *shard, int64_t ms, int64_t job, int64_t no);
+void ready_add_row(struct node *node, struct shard *shard, struct job *job, int64_t no);
+void ready_add_rows(struct node *node, struct shard *shard, struct job *job);
+void ready_add_job(struct node *node, struct shard *shard, struct job *job);
+void ready_schedule_check(struct shard *shard, int64_t ms, int64_t job, int64_t no);
 void ready_scan(struct node *node, struct shard *shard);
 int ready_pick(struct node *node, int64_t now_ms, struct shard **shard, struct ready_item *item);
 int64_t row_priority(struct node *node, const struct job *job);
@@ -227,22 +230,23 @@
 
 /* shard/place.c, shard/assign.c */
 void place_on_timer(struct node *node);
-void place_on_reserved(struct node *node, const struct reserved *m);
-void place_committed(struct node *node, struct shard *shard, int64_t staging, const struct op *op, int folded);
-void place_forget(struct node *node, int64_t staging);
+void place_on_reserved(struct node *node, const struct reserve_reply *m);
+void place_committed(struct node *node, struct shard *shard, int64_t staging, const struct op *op, int apply_error);
+void staging_free(struct node *node, int64_t staging);
 int assign_places(struct node *node, struct shard *shard, struct job *job, struct staging *staging);
-const char *assign_denies(struct node *node, const struct job *job, int64_t no, const struct room *room);
-void assign_learn(struct node *node, const struct job *job, int64_t no);
+const char *assign_rejection(struct node *node, const struct job *job, int64_t no,
+                             const struct executor_summary *executor_summary);
+void assign_record_duration(struct node *node, const struct job *job, int64_t no);
 int assign_could_fit(struct node *node, const struct job_spec *spec, int64_t *bad_no);
-struct room *room_find(struct node *node, const char *executor);
-void rooms_take(struct node *node, int64_t from, struct rooms_msg *m);
+struct executor_summary *executor_summary_find(struct node *node, const char *executor);
+void executor_summaries_merge(struct node *node, int64_t from, struct executor_summaries_msg *m);
 
 /* shard/gang.c */
-int gang_is(const struct job *job, int64_t no);
+int is_gang_member(const struct job *job, int64_t no);
 int gang_may_stage(const struct job *job, int64_t no);
 void gang_placed(struct node *node, struct job *job, int64_t no);
-void gang_seen(struct node *node, struct shard *shard, struct job *job, int64_t no, int64_t state);
-void gang_watch(struct node *node, struct shard *shard, struct job *job, int64_t no);
+void gang_on_member_state(struct node *node, struct shard *shard, struct job *job, int64_t no, int64_t state);
+void gang_check_timeout(struct node *node, struct shard *shard, struct job *job, int64_t no);
 void gang_stop(struct node *node, struct shard *shard, struct job *job, int64_t no);
 
 /* shard/track.c */
@@ -251,11 +255,11 @@
 void track_stop(struct node *node, struct shard *shard, struct job *job, int64_t no);
 void track_start(struct node *node, struct shard *shard, struct job *job, int64_t no);
 void track_on_ended(struct node *node, const struct ended *m);
-void track_on_checked(struct node *node, const struct checked *m);
+void track_on_checked(struct node *node, const struct check_reply *m);
 void track_committed(struct node *node, struct shard *shard, const struct op *op);
 
 /* shard/preempt.c */
-void preempt_watch(struct node *node, struct shard *shard, const char *executor);
+void preempt_check(struct node *node, struct shard *shard, const char *executor);
 void preempt_committed(struct node *node, struct shard *shard, struct job *job, const struct op *op);
 static inline int row_preempted(const struct row *row) { return row->preempted && row->preempted == row->attempt; }
 
@@ -264,6 +268,6 @@
 void enqueue_cancel(struct node *node, int64_t request, int64_t job);
 void enqueue_show(struct node *node, int64_t request, int64_t job, const char *path);
 void enqueue_list(struct node *node, int64_t request, int64_t shard, const char *path);
-void enqueue_committed(struct node *node, struct shard *shard, const struct buffered *b, int folded);
+void enqueue_committed(struct node *node, struct shard *shard, const struct buffered_op *b, int apply_error);
 void enqueue_runs(struct node *node);
 #endif
--- a/src/shard/owner.c
+++ b/src/shard/owner.c
@@ -13,11 +13,11 @@
 {
     char name[32];
     snprintf(name, sizeof name, "shard/%lld", (long long)shard);
-    const struct duty *duty = config_tree_duty(&node->config_tree, name);
-    return duty ? duty->owner : 0;
+    const struct ownership *ownership = config_tree_ownership(&node->config_tree, name);
+    return ownership ? ownership->owner : 0;
 }
 
-static void buffered_free(struct buffered *b) { schema_free(&op_schema, &b->op); }
+static void buffered_free(struct buffered_op *b) { schema_free(&op_schema, &b->op); }
 
 void shard_lose(struct node *node, struct shard *shard, const char *why)
 {
@@ -26,7 +26,7 @@
     world_note(node->w, EV_SHARD_LOST, "shard=%lld epoch=%lld why=%s", (long long)shard->no, (long long)shard->epoch,
                why);
     shard->state = SHARD_NONE;
-    struct buffered *buffer = shard->buffer;
+    struct buffered_op *buffer = shard->buffer;
     int64_t n = shard->n_buffer;
     shard->buffer = NULL;
     shard->n_buffer = shard->in_flight = shard->proposal = 0;
@@ -40,7 +40,7 @@
         int64_t number = slab_number(&node->stagings, i);
         struct staging *staging = slab_at(&node->stagings, number);
         if (staging && staging->shard == shard->no)
-            place_forget(node, number);
+            staging_free(node, number);
     }
     ready_clear(shard);
     free(shard->placed);
@@ -81,7 +81,7 @@
     shard->proposal = node_propose(node, GROUP_JOBS, &op, OPEN_WAIT_MS, opened, shard->epoch * SHARD_COUNT + shard->no);
 }
 
-void shard_follow(struct node *node, struct shard *shard, int64_t epoch, int mine)
+void shard_on_owner_change(struct node *node, struct shard *shard, int64_t epoch, int mine)
 {
     if (epoch <= shard->epoch)
         return;
--- a/tests/model/choices.cc
+++ b/tests/model/choices.cc
@@ -43,7 +43,7 @@
         const struct log_member *m = log_member(log, other->id);
         if (!m && other->up)
             to.push_back({'M', n.number, 0, other->number});
-        if (!m || m->voter != VOTES_NOT || other->number == n.number)
+        if (!m || m->voter != LOG_LEARNER || other->number == n.number)
             continue;
         const struct log_peer *peer = log_peer(const_cast<struct log *>(log), other->id);
         if (!peer || peer->match < log->commit || !peer->match)
@@ -51,7 +51,7 @@
         to.push_back({'M', n.number, 1, other->number});
         for (int64_t i = 0; i < log->members.n; i++) {
             const struct log_member *gone = &log->members.members[i];
-            if (log_votes(gone) && gone->id != log->id)
+            if (log_votes_after_change(gone) && gone->id != log->id)
                 to.push_back({'M', n.number, retired(gone->id) ? 3 : 2, other->number + 16 * (int)i});
         }
     }
--- a/tests/model/member_monitors.cc
+++ b/tests/model/member_monitors.cc
@@ -12,7 +12,7 @@
 
 constexpr int64_t NO_MEMBER = -1;
 
-static bool is_voter(int64_t right) { return right == VOTES || right == VOTES_NEWLY; }
+static bool is_voter(int64_t right) { return right == LOG_VOTER || right == LOG_INCOMING_VOTER; }
 
 /* Records the leader's commit index at the start of its last two heartbeat rounds. */
 void Cluster::record_round(Node &n)
@@ -61,7 +61,7 @@
 /* Whether a change of kind takes a vote or removes a learner. The removal of an outgoing voter does neither. */
 static bool loses_vote_or_membership(int64_t from, int64_t to)
 {
-    return (is_voter(from) && !is_voter(to)) || (from == VOTES_NOT && to == NO_MEMBER);
+    return (is_voter(from) && !is_voter(to)) || (from == LOG_LEARNER && to == NO_MEMBER);
 }
 
 static int64_t kind_of(const std::vector<std::pair<int64_t, int64_t>> &member_kinds, int64_t id)
--- a/tests/model/monitors.cc
+++ b/tests/model/monitors.cc
@@ -17,7 +17,7 @@
     struct frame f;
     auto number = (int)((to - ADDR) / ADDR_STEP);
     if (!frame_parse(&f, frame->bytes.at, frame->bytes.len, CLUSTER))
-        frame_of_log(f.kind) ? check_log_frame(n, &f) : check_controller_frame(n, &f);
+        frame_is_for_log(f.kind) ? check_log_frame(n, &f) : check_controller_frame(n, &f);
     if (n.controller_setup && f.kind == FRAME_APPEND)
         record_round(n);
     if (((partition_ >> n.number ^ partition_ >> number) & 1) || number == n.number)
@@ -28,7 +28,7 @@
     auto len = (size_t)frame->bytes.len;
     bool at_once =
         n.controller_setup && ((n.controller_setup->frame_choices != ALL_FRAMES && f.kind == FRAME_COLLECT) ||
-                               (n.controller_setup->frame_choices == BALLOT_FRAMES && frame_of_log(f.kind)));
+                               (n.controller_setup->frame_choices == BALLOT_FRAMES && frame_is_for_log(f.kind)));
     messages_.push_back(
         {n.number, number, false, at_once, std::make_shared<const std::string>(at, len), hash_bytes(at, len, 0)});
 }
@@ -133,13 +133,13 @@
     for (int64_t i = 0; i < log->members.n; i++) {
         const struct log_member *m = &log->members.members[i];
         int number = number_of(m->id);
-        if (m->voter == VOTES_NOT)
+        if (m->voter == LOG_LEARNER)
             continue;
         bool has = true; /* an identity whose disk is lost had the entry when it acknowledged it */
         if (number >= 0)
             has = mutable_node(number).after_power_loss().holds(index, term);
-        voters += m->voter != VOTED, have += m->voter != VOTED && has;
-        former += m->voter != VOTES_NEWLY, former_have += m->voter != VOTES_NEWLY && has;
+        voters += m->voter != LOG_OUTGOING_VOTER, have += m->voter != LOG_OUTGOING_VOTER && has;
+        former += m->voter != LOG_INCOMING_VOTER, former_have += m->voter != LOG_INCOMING_VOTER && has;
     }
     if (have * 2 <= voters || (changing && former_have * 2 <= former))
         report_violation("entry %lld is committed on %d of %d disks (%d of %d former)", (long long)index, have, voters,
@@ -224,7 +224,7 @@
     if (strchr(study_->choice_limits, 'X'))
         return;
     for (auto &n : nodes_) {
-        if (!n->votes() || !log_leads(&n->log))
+        if (!n->votes() || !log_has_lease(&n->log))
             continue;
         for (auto &other : nodes_)
             if (other->votes() && other->log.role == LOG_LEADER && other->log.term > n->log.term)
--- a/tests/platform/api_test.cc
+++ b/tests/platform/api_test.cc
@@ -63,14 +63,15 @@
     EXPECT_STREQ(steps[0].rack, "r2-9");
     EXPECT_STREQ(steps[0].label, "fast");
     EXPECT_EQ(steps[0].per_executor, 2);
-    EXPECT_EQ(steps[0].n_depends_on + steps[0].gang + steps[0].checkpoints + steps[0].duplicates + steps[0].lasting, 0);
+    EXPECT_EQ(
+        steps[0].n_depends_on + steps[0].gang + steps[0].checkpoints + steps[0].duplicates + steps[0].long_running, 0);
     EXPECT_TRUE(steps[1].checkpoints && steps[1].gang && steps[1].same_rack);
     EXPECT_EQ(steps[1].memory_mb, 0);
     EXPECT_EQ(steps[1].label, nullptr);
     EXPECT_EQ(steps[1].rack, nullptr);
     ASSERT_EQ(steps[2].n_depends_on, 2);
     EXPECT_EQ(steps[2].depends_on[1], 1);
-    EXPECT_TRUE(steps[2].duplicates && steps[2].lasting);
+    EXPECT_TRUE(steps[2].duplicates && steps[2].long_running);
 }
 
 TEST(Door, JobNames)
@@ -165,13 +166,13 @@
     EXPECT_STREQ(count.request.path, "/p/q/");
     Read ready({ENTRY_READINESS, "GET", "/sagehitch/readiness", "", {}});
     EXPECT_EQ(ready.request.kind, REQUEST_READY);
-    refused({ENTRY_READINESS, "GET", "/", "", {}}, ERROR_NO_SUCH, "path");
+    refused({ENTRY_READINESS, "GET", "/", "", {}}, ERROR_NOT_FOUND, "path");
     refused({ENTRY_READINESS, "POST", "/sagehitch/readiness", "", {}}, ERROR_BAD_METHOD, "method");
     Read why({ENTRY_OPERATORS, "GET", "/why/00000000000000ff", "", {}});
     EXPECT_EQ(why.request.kind, REQUEST_WHY);
     EXPECT_EQ(api_request_job_id(&why.request), 255);
     refused({ENTRY_OPERATORS, "GET", "/why/ff", "", {}}, ERROR_GONE, "path");
-    refused({ENTRY_OPERATORS, "GET", "/other", "", {}}, ERROR_NO_SUCH, "path");
+    refused({ENTRY_OPERATORS, "GET", "/other", "", {}}, ERROR_NOT_FOUND, "path");
     refused({ENTRY_OPERATORS, "POST", "/sagehitch/configuration", "", {}}, ERROR_BAD_METHOD, "method");
     EXPECT_EQ(Read({ENTRY_OPERATORS, "GET", "/sagehitch/configuration", "", {}}).request.kind, REQUEST_CONFIG_GET);
 }
@@ -197,8 +198,8 @@
     EXPECT_EQ(c.queues[0].stretch_pct, 225);
     ASSERT_EQ(c.n_services, 2);
     EXPECT_STREQ(c.services[0].health_path, "/up");
-    EXPECT_TRUE(c.services[0].guards);
-    EXPECT_FALSE(c.services[1].guards);
+    EXPECT_TRUE(c.services[0].checks_capacity);
+    EXPECT_FALSE(c.services[1].checks_capacity);
     EXPECT_EQ(Read(config_request(config_body, " \"0\" ")).error, 0);
 }
 
@@ -260,9 +261,9 @@
 {
     Read read(beat_request(beat_body));
     ASSERT_EQ(read.error, 0) << read.validation_error.path;
-    const executor_beat &beat = read.beat();
-    EXPECT_EQ(read.request.kind, REQUEST_BEAT);
-    EXPECT_EQ(beat.kind, BEAT_ALIVE);
+    const executor_heartbeat &beat = read.beat();
+    EXPECT_EQ(read.request.kind, REQUEST_HEARTBEAT);
+    EXPECT_EQ(beat.kind, HEARTBEAT_ALIVE);
     EXPECT_EQ(beat.seq, 12);
     EXPECT_STREQ(beat.address, "10.9.8.7:8080");
     EXPECT_STREQ(beat.state.incarnation, "i-19ab");
@@ -296,7 +297,7 @@
     EXPECT_EQ(account.ended[0].seq, 58);
     EXPECT_EQ(account.ended[0].how, END_DONE);
     Read left({ENTRY_OPERATORS, "DELETE", "/sagehitch/executors/i-19ab", "", {}});
-    EXPECT_EQ(left.beat().kind, BEAT_LEFT);
+    EXPECT_EQ(left.beat().kind, HEARTBEAT_LEAVING);
     EXPECT_STREQ(left.beat().state.incarnation, "i-19ab");
 }
 
@@ -309,8 +310,8 @@
     refused(beat_request(with(body, "\"r4-2\"", "4")), ERROR_BAD_FIELD, "labels");
     refused(beat_request(with(body, "8000", "-1")), ERROR_BAD_FIELD, "freeCapacity.vcpus");
     refused(beat_request(with(body, "\"callSequence\":12", "\"callSequence\":[]")), ERROR_BAD_FIELD, "callSequence");
-    refused({ENTRY_OPERATORS, "PUT", "/sagehitch/executors/", body, {}}, ERROR_NO_SUCH, "path");
-    refused({ENTRY_OPERATORS, "PUT", "/sagehitch/executors/a/b", body, {}}, ERROR_NO_SUCH, "path");
+    refused({ENTRY_OPERATORS, "PUT", "/sagehitch/executors/", body, {}}, ERROR_NOT_FOUND, "path");
+    refused({ENTRY_OPERATORS, "PUT", "/sagehitch/executors/a/b", body, {}}, ERROR_NOT_FOUND, "path");
     refused({ENTRY_OPERATORS, "PUT", "/sagehitch/executors/a\r\nb", body, {}}, ERROR_BAD_FIELD, "path");
     refused({ENTRY_OPERATORS, "GET", "/sagehitch/executors/a", body, {}}, ERROR_BAD_METHOD, "method");
 }
@@ -327,18 +328,18 @@
     EXPECT_EQ(Answer(config).body, config_body);
     EXPECT_EQ(Answer(config).status, 200);
     bytes_free(&text);
-    for (int kind : {REQUEST_JOB, REQUEST_CANCEL, REQUEST_CONFIG_PUT, REQUEST_READY, REQUEST_BEAT}) {
+    for (int kind : {REQUEST_JOB, REQUEST_CANCEL, REQUEST_CONFIG_PUT, REQUEST_READY, REQUEST_HEARTBEAT}) {
         EXPECT_EQ(Answer(api_response_done(kind)).status, 200);
         EXPECT_EQ(Answer(api_response_done(kind)).body, "{}");
     }
-    EXPECT_EQ(Answer(api_response_error(REQUEST_READY, ERROR_NO_SUCH, 0, nullptr)).status, 503);
+    EXPECT_EQ(Answer(api_response_error(REQUEST_READY, ERROR_NOT_FOUND, 0, nullptr)).status, 503);
 }
 
 TEST(Door, AnswersToProblems)
 {
     const std::map<int, int> statuses = {
-        {ERROR_NO_SUCH, 404},    {ERROR_GONE, 410},       {ERROR_STALE, 412},     {ERROR_UNAVAILABLE, 503},
-        {ERROR_NOT_LEADER, 503}, {ERROR_NO_OWNER, 503},   {ERROR_OVERLOAD, 429},  {ERROR_GAVE_UP, 504},
+        {ERROR_NOT_FOUND, 404},  {ERROR_GONE, 410},       {ERROR_STALE, 412},     {ERROR_UNAVAILABLE, 503},
+        {ERROR_NOT_LEADER, 503}, {ERROR_NO_OWNER, 503},   {ERROR_OVERLOAD, 429},  {ERROR_OUTCOME_UNKNOWN, 504},
         {ERROR_BAD_JSON, 400},   {ERROR_BAD_FIELD, 400},  {ERROR_BAD_STEPS, 400}, {ERROR_TOO_LARGE, 413},
         {ERROR_KEY_TAKEN, 409},  {ERROR_BAD_METHOD, 405}, {ERROR_BOUND, 400},     {ERROR_NEVER_FITS, 422}};
     const char *detail = "stages: \"none\"";
--- a/tests/unit/log_pair.h
+++ b/tests/unit/log_pair.h
@@ -51,7 +51,7 @@
     static int read(struct world *w, const char *name, struct bytes *to)
     {
         if (!of(w)->files.count(name))
-            return ERROR_NO_SUCH;
+            return ERROR_NOT_FOUND;
         const std::string &file = of(w)->files[name];
         bytes_add(to, file.data(), (int64_t)file.size());
         return 0;
@@ -113,7 +113,7 @@
     {
         struct frame f;
         EXPECT_EQ(frame_parse(&f, (const uint8_t *)frame.data(), (int64_t)frame.size(), 9), 0);
-        return log_take(&log, &f);
+        return log_on_frame(&log, &f);
     }
     std::string pop_sent()
     {
@@ -123,7 +123,7 @@
     }
 };
 
-inline struct log_member member_of(int64_t id) { return {id, id << 16 | 7000, VOTES, must_dup("z")}; }
+inline struct log_member member_of(int64_t id) { return {id, id << 16 | 7000, LOG_VOTER, must_dup("z")}; }
 
 // A leader that has all its entries in a snapshot of the given size, and an empty member.
 struct Pair {
@@ -140,7 +140,7 @@
         std::mt19937 random(7);
         for (size_t i = 0; i < bytes; i++)
             leader.state.push_back((char)random());
-        EXPECT_EQ(log_change(&leader.log, MEMBER, MEMBER << 16 | 7000, "z", VOTES_NOT, 0), 0);
+        EXPECT_EQ(log_change_member(&leader.log, MEMBER, MEMBER << 16 | 7000, "z", LOG_LEARNER, 0), 0);
         log_flush(&leader.log);
         EXPECT_EQ(log_snapshot_save(&leader.log), 0);
         schema_free(&log_members_schema, &members);
--- a/tests/unit/log_removed_test.cc
+++ b/tests/unit/log_removed_test.cc
@@ -31,14 +31,14 @@
         leader.log.term = 2;
         log_become_leader(&leader.log);
         run(300);
-        EXPECT_EQ(log_change(&leader.log, ADDED, ADDED << 16 | 7000, "z", VOTES_NOT, 0), 0);
+        EXPECT_EQ(log_change_member(&leader.log, ADDED, ADDED << 16 | 7000, "z", LOG_LEARNER, 0), 0);
         run(500);
         disconnected[THIRD] = true;
         run(300);
         disconnected[MEMBER] = second_disconnected;
         EXPECT_EQ((replace ? log_replace : log_exchange)(&leader.log, THIRD, ADDED), 0);
         run(300);
-        EXPECT_EQ(log_settle(&leader.log), replace ? ERROR_NO_SUCH : 0);
+        EXPECT_EQ(log_finish_exchange(&leader.log), replace ? ERROR_NOT_FOUND : 0);
         run(300);
         EXPECT_EQ(!log_member(&member.log, THIRD), !second_disconnected);
         EXPECT_EQ(leader.log.commit, log_last(&leader.log));
@@ -106,7 +106,7 @@
     int64_t term = s.leader.log.term, old_term = s.removed.log.term;
     s.disconnected[THIRD] = false;
     s.run(10000);
-    EXPECT_TRUE(log_voter(&s.removed.log, THIRD)); // according to its own log
+    EXPECT_TRUE(log_is_voter(&s.removed.log, THIRD)); // according to its own log
     EXPECT_GT(s.vote_requests, 5);
     EXPECT_EQ(s.real_vote_requests, 0);
     EXPECT_EQ(s.removed.log.term, old_term);
--- a/tests/unit/record_test.cc
+++ b/tests/unit/record_test.cc
@@ -77,7 +77,7 @@
     EXPECT_TRUE(r.queues[1].removed);
     EXPECT_STREQ(r.queues[1].config.name, "b");
     EXPECT_EQ(r.queues[1].live, 1);
-    EXPECT_EQ(add(2, two, "b"), ERROR_NO_SUCH);
+    EXPECT_EQ(add(2, two, "b"), ERROR_NOT_FOUND);
     EXPECT_EQ(add(1, two, "b"), 0); // sent again, its queue gone since
     EXPECT_EQ(config(5, 6, {{"b", 1}}, "six"), 0);
     EXPECT_FALSE(r.queues[1].removed);
@@ -142,15 +142,15 @@
     auto change = [&](int64_t n) {
         return config(version(n - 1), version(n), {{"a", n}}, "body " + std::to_string(n));
     };
-    for (int64_t n = 1; n < CHANGES_REMEMBERED; n++)
+    for (int64_t n = 1; n < CHANGES_KEPT; n++)
         ASSERT_EQ(change(n), 0);
     EXPECT_EQ(config(0, 3, {{"a", 2}, {"b", 0}}, "three"), 0) << "none is dropped yet";
     EXPECT_EQ(config(0, 2, {{"a", 2}}, "two"), ERROR_STALE);
-    ASSERT_EQ(change(CHANGES_REMEMBERED), 0);
-    ASSERT_EQ(change(CHANGES_REMEMBERED + 1), 0);
-    EXPECT_EQ(config(0, 3, {{"a", 2}, {"b", 0}}, "three"), ERROR_GAVE_UP);
-    EXPECT_EQ(config(0, 2, {{"a", 2}}, "two"), ERROR_GAVE_UP);
-    EXPECT_EQ(change(1), ERROR_GAVE_UP);
+    ASSERT_EQ(change(CHANGES_KEPT), 0);
+    ASSERT_EQ(change(CHANGES_KEPT + 1), 0);
+    EXPECT_EQ(config(0, 3, {{"a", 2}, {"b", 0}}, "three"), ERROR_OUTCOME_UNKNOWN);
+    EXPECT_EQ(config(0, 2, {{"a", 2}}, "two"), ERROR_OUTCOME_UNKNOWN);
+    EXPECT_EQ(change(1), ERROR_OUTCOME_UNKNOWN);
     EXPECT_EQ(change(2), 0) << "the oldest remembered";
     EXPECT_EQ(config(version(1), version(2), {{"a", 2}}, "other"), ERROR_STALE);
     EXPECT_EQ(config(version(2), version(2) + 1, {{"a", 2}}, "other"), ERROR_STALE);
@@ -164,9 +164,9 @@
     bytes_free(&from);
     EXPECT_EQ(snapshot_of(&other), packed);
     std::swap(r, other);
-    EXPECT_EQ(change(1), ERROR_GAVE_UP);
+    EXPECT_EQ(change(1), ERROR_OUTCOME_UNKNOWN);
     EXPECT_EQ(change(2), 0);
-    EXPECT_EQ(change(CHANGES_REMEMBERED + 1), 0);
+    EXPECT_EQ(change(CHANGES_KEPT + 1), 0);
     EXPECT_EQ(config(version(2), version(2) + 1, {{"a", 2}}, "other"), ERROR_STALE);
     EXPECT_LT(packed.size(), 16u << 10) << "bytes of a snapshot that holds a full history";
     record_end(&other);
@@ -180,7 +180,7 @@
     EXPECT_EQ(add(-5, two, "a", "other"), ERROR_KEY_TAKEN);
     EXPECT_EQ(add(-5, two, "b"), ERROR_KEY_TAKEN);
     EXPECT_EQ(add(-5, gang), ERROR_KEY_TAKEN);
-    EXPECT_EQ(add(6, two, "x"), ERROR_NO_SUCH);
+    EXPECT_EQ(add(6, two, "x"), ERROR_NOT_FOUND);
     EXPECT_EQ(cancel(-5), 0);
     EXPECT_EQ(job(-5)->rows, nullptr);
     EXPECT_EQ(add(-5, two), 0);
@@ -202,7 +202,7 @@
     EXPECT_EQ(end({{1, 0, 2, END_DONE, ""}}), ERROR_STALE);
     EXPECT_EQ(end({{1, 0, 1, END_DONE, ""}, {1, 0, 1, END_DONE, ""}, {1, 1, 1, END_STOPPED, "half"}}), 0);
     EXPECT_EQ(end({{1, 0, 1, END_DONE, ""}}), ERROR_STALE);
-    EXPECT_STREQ(job(1)->rows[1].saved, "half");
+    EXPECT_STREQ(job(1)->rows[1].checkpoint, "half");
     EXPECT_EQ(job(1)->n_done, 1);
     EXPECT_EQ(job(1)->waiting[0], 1);
     now = 2000;
@@ -245,12 +245,12 @@
     EXPECT_EQ(end({{1, 0, 1, END_FAILED, "s1"}, {1, 1, 1, END_FAILED, ""}}), 0);
     for (int no = 0; no < 3; no++) {
         EXPECT_EQ(job(1)->rows[no].failures, 1);
-        EXPECT_STREQ(job(1)->rows[no].saved, "s1");
+        EXPECT_STREQ(job(1)->rows[no].checkpoint, "s1");
     }
     EXPECT_EQ(job(1)->rows[2].state, ROW_PLACED);
     EXPECT_EQ(job(1)->rows[3].failures, 0);
     EXPECT_EQ(end({{1, 2, 1, END_BROKEN, "s2"}}), 0);
-    EXPECT_STREQ(job(1)->rows[0].saved, "s2");
+    EXPECT_STREQ(job(1)->rows[0].checkpoint, "s2");
     place({{1, 0, 2}, {1, 1, 2}, {1, 2, 2}});
     told.clear();
     now = 3000;
@@ -301,7 +301,7 @@
     }
     EXPECT_EQ(job(1)->rows[0].failures, 0);
     EXPECT_EQ(job(1)->state, JOB_ACTIVE);
-    EXPECT_STREQ(job(1)->rows[0].saved, "kept");
+    EXPECT_STREQ(job(1)->rows[0].checkpoint, "kept");
 }
 
 TEST_F(Record, NoAttemptsMaxCountsAsOne)
@@ -317,12 +317,12 @@
 {
     add(1, {{{2, {}}, {3, {0}}}, 3});
     struct job *j = job(1);
-    EXPECT_EQ(j->times, 3);
+    EXPECT_EQ(j->repetitions, 3);
     EXPECT_EQ(job_due_ms(j, 2), 5200);
     for (int64_t no = 0; no < 15; no++) {
-        int64_t time, step, index;
-        job_place(j, no, &time, &step, &index);
-        EXPECT_EQ(no, time * 5 + (step ? 2 : 0) + index);
+        int64_t repetition, step, index;
+        job_row_position(j, no, &repetition, &step, &index);
+        EXPECT_EQ(no, repetition * 5 + (step ? 2 : 0) + index);
         EXPECT_EQ(job_row(j, job_task(j, no)), no);
     }
     EXPECT_EQ(job_row(j, task_of(3, 0, 0)), -1);
