--- a/src/base/change_history.h
+++ b/src/base/change_history.h
@@ -32,7 +32,7 @@
 /* Adds a change, and drops the oldest if the history is full. */
 void change_history_add(struct change_history *history, const struct applied_change *change);
 /* Checks a change whose version is not above the current one of its key. ERROR_NONE: exactly this change was applied;
- * ERROR_STALE: it was not; ERROR_GAVE_UP: unknown, it is older than the history. */
+ * ERROR_STALE: it was not; ERROR_OUTCOME_UNKNOWN: it is older than the history. */
 enum sagehitch_error change_history_check(const struct change_history *history, const struct applied_change *change);
 /* Whether a history that was read keeps the invariants; otherwise it must not be used. */
 int change_history_is_valid(const struct change_history *history);
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -17,14 +17,14 @@
     ERROR_NEVER_FITS = -9,       /* no kind of executor is large enough */
     ERROR_OVERLOAD = -10,        /* too much is buffered; retry later */
     ERROR_UNAVAILABLE = -11,     /* this process cannot confirm its state now */
-    ERROR_NO_OWNER = -12,        /* no process owns this shard or executor at the moment */
+    ERROR_NO_OWNER = -12,        /* no process is responsible for it at the moment */
     ERROR_OUTCOME_UNKNOWN = -13, /* no majority replied in time; the outcome is unknown */
     ERROR_EPOCH = -14,           /* a lower epoch than the highest one seen */
     ERROR_BAD_FRAME = -15,       /* bytes that cannot be decoded, or a frame of another cluster */
     ERROR_DISK = -16,            /* an I/O error, or data that fail their checksum */
     ERROR_MEMORY = -17,
     ERROR_NOT_LEADER = -18, /* another process leads */
-    ERROR_REJECTED = -19,   /* a reservation that the executor's account does not allow */
+    ERROR_REJECTED = -19,   /* not allowed in the current state, e.g. a reservation that does not fit */
     ERROR_BAD_METHOD = -20,
     ERROR_BAD_SETTING = -21, /* a local setting is invalid */
     ERROR_GONE = -22,        /* no such job, or its retention period is over */
--- a/src/base/frame.h
+++ b/src/base/frame.h
@@ -23,7 +23,7 @@
     FRAME_BOOTSTRAP_STATUS_REQUEST,
     FRAME_BOOTSTRAP_STATUS,
     FRAME_JOIN,
-    /* configuration tree */
+    /* control log: updates for nodes, and proposals */
     FRAME_CONTROL_UPDATES_REQUEST,
     FRAME_CONTROL_UPDATES,
     FRAME_CONTROL_UPDATES_NOTICE,
@@ -91,6 +91,6 @@
 enum sagehitch_error frame_parse(struct frame *to, const uint8_t *at, int64_t len, uint32_t cluster);
 /* 1 if frames of this kind may be lost, so that they can be sent as datagrams. */
 int frame_lossy(enum frame_kind kind);
-/* 1 if log_take() handles frames of this kind. */
+/* 1 if log_on_frame() handles frames of this kind. */
 int frame_is_for_log(enum frame_kind kind);
 #endif
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -30,9 +30,9 @@
     struct bytes body;
 };
 
-/* What a member is. A MEMBERS entry that exchanges voters contains both sets: the voters after its commit (VOTES and
- * LOG_INCOMING_VOTER) and the voters before it (VOTES and VOTED); LOG_LEARNER is a learner.
- * Invariant: until that entry is known to be committed, elections, commits and reads need a majority of both sets. */
+/* What a member is. A MEMBERS entry that exchanges voters contains two sets: the voters after its commit (LOG_VOTER and
+ * LOG_INCOMING_VOTER) and the voters before it (LOG_VOTER and LOG_OUTGOING_VOTER). Invariant: until that entry is known
+ * to be committed, elections, commits, reads and leases need a majority of both sets. */
 enum log_membership { LOG_LEARNER, LOG_VOTER, LOG_OUTGOING_VOTER, LOG_INCOMING_VOTER };
 
 /* id: identity of the member's disk. addr: its address for frames. zone is owned. A learner receives entries but has
@@ -131,10 +131,11 @@
  *
  * next: index of the entry to send next. match: the member has all entries up to this index. acked_round: newest
  * heartbeat round that it acknowledged. heard_ms: time of its last reply. sync_ms: duration of its last sync.
- * base: index after which sending last restarted; entries max(base, match) + 1 to next - 1 are in flight. match_round:
- * round of the append whose reply set match. last_rewind_ms: when sending was last restarted for lack of replies.
- * chunks: as in struct log_appended. copying: index of the snapshot that is being sent to the member, 0: none. offset:
- * how many bytes of that snapshot it has. chunk_ms: when the last chunk was sent. */
+ * in_flight_base: index after which sending last restarted; the entries after max(in_flight_base, match) and before
+ * next are in flight. match_round: round of the append whose reply set match. last_rewind_ms: when sending was last
+ * restarted for lack of replies. chunks: as in struct log_appended. snapshot_sent_index: index of the snapshot that is
+ * being sent to the member, 0: none. offset: how many bytes of that snapshot it has. chunk_ms: when the last chunk was
+ * sent. */
 struct log_peer {
     int64_t id, next, match, acked_round, heard_ms, sync_ms;
     int64_t in_flight_base, match_round, last_rewind_ms, chunks, snapshot_sent_index, offset, chunk_ms;
@@ -232,7 +233,7 @@
 void log_on_timer(struct log *log);
 /* Sends new entries to the members, syncs them to the local disk, and commits what a majority has. */
 void log_flush(struct log *log);
-/* Handles one frame (frame_of_log()). ERROR_BAD_FRAME: it cannot be decoded; ERROR_DISK: the log is broken. */
+/* Handles one frame (frame_is_for_log()). ERROR_BAD_FRAME: it cannot be decoded; ERROR_DISK: the log is broken. */
 int log_on_frame(struct log *log, const struct frame *frame);
 /* As leader, appends an entry with a copy of op (NULL: empty). done, if not NULL, is called exactly once: with the
  * result once the entry is applied, or with an error, possibly during this call. */
@@ -274,7 +275,7 @@
 
 /* log_copy.c: replication */
 
-/* Becomes leader of the current term after a won election, and appends a blank entry. */
+/* Becomes leader of the current term after a won election, and appends an ENTRY_NOOP. */
 void log_become_leader(struct log *log);
 /* Sends each member the entries that it lacks. heartbeat: as a new heartbeat round, which is sent to all members. */
 void log_replicate(struct log *log, int heartbeat);
@@ -315,7 +316,7 @@
 /* Passes the vote of former_id, which may return, to the learner new_id. log_finish_exchange() completes the exchange.
  */
 int log_exchange(struct log *log, int64_t former_id, int64_t new_id);
-/* Removes the outgoing voter of a committed exchange. ERROR_NO_SUCH: there is no exchange to complete. */
+/* Removes the outgoing voter of a committed exchange. ERROR_NOT_FOUND: there is no exchange to complete. */
 int log_finish_exchange(struct log *log);
 /* Removes the member id (remove), or sets its kind (voter: enum log_membership), or adds it with a copy of zone. */
 int log_change_member(struct log *log, int64_t id, int64_t addr, const char *zone, int voter, int remove);
--- a/src/log/log_identity.h
+++ b/src/log/log_identity.h
@@ -19,6 +19,6 @@
  * previous file stays. */
 int log_save_schema(struct world *w, const char *name, const struct schema *schema, const void *from);
 /* Reads a file written by log_save_schema() into to, which must be zeroed; the caller frees its contents by
- * schema_free(). ERROR_NO_SUCH: there is no such file; ERROR_DISK or ERROR_BAD_FRAME: it is damaged. */
+ * schema_free(). ERROR_NOT_FOUND: there is no such file; ERROR_DISK or ERROR_BAD_FRAME: it is damaged. */
 int log_load_schema(struct world *w, const char *name, const struct schema *schema, void *to);
 #endif
--- a/tests/model/choices.cc
+++ b/tests/model/choices.cc
@@ -36,80 +36,80 @@
     return all;
 }
 
-void Cluster::add_member_choices(const Node &n, std::vector<Choice> &to) const
+void Cluster::add_member_choices(const Node &node, std::vector<Choice> &to) const
 {
-    const struct log *log = &n.log;
+    const struct log *log = &node.log;
     for (auto &other : nodes_) {
         const struct log_member *m = log_member(log, other->id);
         if (!m && other->up)
-            to.push_back({'M', n.number, 0, other->number});
-        if (!m || m->voter != LOG_LEARNER || other->number == n.number)
+            to.push_back({'M', node.number, 0, other->number});
+        if (!m || m->voter != LOG_LEARNER || other->number == node.number)
             continue;
         const struct log_peer *peer = log_peer(const_cast<struct log *>(log), other->id);
         if (!peer || peer->match < log->commit || !peer->match)
             continue;
-        to.push_back({'M', n.number, 1, other->number});
+        to.push_back({'M', node.number, 1, other->number});
         for (int64_t i = 0; i < log->members.n; i++) {
             const struct log_member *gone = &log->members.members[i];
             if (log_votes_after_change(gone) && gone->id != log->id)
-                to.push_back({'M', n.number, retired(gone->id) ? 3 : 2, other->number + 16 * (int)i});
+                to.push_back({'M', node.number, retired(gone->id) ? 3 : 2, other->number + 16 * (int)i});
         }
     }
-    to.push_back({'M', n.number, 4, 0});
+    to.push_back({'M', node.number, 4, 0});
     for (int64_t i = 0; i < log->members.n && log->members.n > 1; i++)
         if (!strchr(study_->choice_limits, 'm'))
-            to.push_back({'M', n.number, 5, (int)i});
+            to.push_back({'M', node.number, 5, (int)i});
 }
 
-void Cluster::add_node_choices(const Node &n, std::vector<Choice> &to) const
+void Cluster::add_node_choices(const Node &node, std::vector<Choice> &to) const
 {
     /* a crash or start of a node does not affect the others: possible only right after a step of that node */
-    bool own_turn = !n.controller_setup || (changed_nodes_ >> n.number & 1);
+    bool own_turn = !node.controller_setup || (changed_nodes_ >> node.number & 1);
     if (may_choose('G'))
-        to.push_back({'G', n.number, 0, 0});
-    if (!n.up && own_turn) {
-        to.push_back({'S', n.number, 0, 0});
-        if (may_choose('I') && n.has_disk()) /* not allowed without a disk (docs/operating-nodes.md) */
-            to.push_back({'I', n.number, 0, 0});
+        to.push_back({'G', node.number, 0, 0});
+    if (!node.up && own_turn) {
+        to.push_back({'S', node.number, 0, 0});
+        if (may_choose('I') && node.has_disk()) /* not allowed without a disk (docs/operating-nodes.md) */
+            to.push_back({'I', node.number, 0, 0});
         if (may_choose('E'))
-            to.push_back({'E', n.number, 0, 0});
+            to.push_back({'E', node.number, 0, 0});
     }
-    if (!n.up)
+    if (!node.up)
         return;
-    bool leads = n.votes() && n.log.role == LOG_LEADER, due = clock(n) >= n.log.election_due_ms;
+    bool leads = node.votes() && node.log.role == LOG_LEADER, due = clock(node) >= node.log.election_due_ms;
     if (may_choose('F'))
-        to.push_back({'F', n.number, 0, 0});
-    if (n.frozen)
+        to.push_back({'F', node.number, 0, 0});
+    if (node.frozen)
         return;
-    if (may_choose('T') && (n.controller_setup || leads || due))
-        to.push_back({'T', n.number, 0, 0});
-    if (may_choose('X') && (n.controller_setup || (!leads && !due)))
-        to.push_back({'X', n.number, 0, 0});
-    if (may_choose('B') && n.controller_setup && !n.controller.leaving)
-        to.push_back({'B', n.number, 0, 0});
+    if (may_choose('T') && (node.controller_setup || leads || due))
+        to.push_back({'T', node.number, 0, 0});
+    if (may_choose('X') && (node.controller_setup || (!leads && !due)))
+        to.push_back({'X', node.number, 0, 0});
+    if (may_choose('B') && node.controller_setup && !node.controller.leaving)
+        to.push_back({'B', node.number, 0, 0});
     for (int how = KILLED; how <= TORN_WRITE; how++) {
         if (may_choose('C') && own_turn)
-            to.push_back({'C', n.number, how, 0});
-        if (may_choose('A') && n.crash_at_sync < 0 && n.has_disk() &&
-            (!n.controller_setup || n.number == next_turn())) {
-            to.push_back({'A', n.number, how, 0});
-            to.push_back({'A', n.number, how + 4, 0});
+            to.push_back({'C', node.number, how, 0});
+        if (may_choose('A') && node.crash_at_sync < 0 && node.has_disk() &&
+            (!node.controller_setup || node.number == next_turn())) {
+            to.push_back({'A', node.number, how, 0});
+            to.push_back({'A', node.number, how + 4, 0});
         }
     }
-    if (may_choose('N') && n.votes() && n.log.applied > n.log.snapshot_index)
-        to.push_back({'N', n.number, 0, 0});
-    if (may_choose('H') && (leads || n.sync_deferred))
-        to.push_back({'H', n.number, 0, 0});
+    if (may_choose('N') && node.votes() && node.log.applied > node.log.snapshot_index)
+        to.push_back({'N', node.number, 0, 0});
+    if (may_choose('H') && (leads || node.sync_deferred))
+        to.push_back({'H', node.number, 0, 0});
     if (!leads)
         return;
     if (may_choose('P'))
-        to.push_back({'P', n.number, 0, 0});
+        to.push_back({'P', node.number, 0, 0});
     if (may_choose('R'))
-        to.push_back({'R', n.number, 0, 0});
+        to.push_back({'R', node.number, 0, 0});
     if (may_choose('O'))
-        to.push_back({'O', n.number, 0, 0});
+        to.push_back({'O', node.number, 0, 0});
     if (may_choose('M'))
-        add_member_choices(n, to);
+        add_member_choices(node, to);
 }
 
 std::vector<Choice> Cluster::choices() const
@@ -125,7 +125,7 @@
     if (oldest() < 0 && may_choose('W'))
         all.push_back({'W', 0, 0, 0});
     for (size_t i = 0; i < messages_.size(); i++)
-        if (messages_[i].held && !node(messages_[i].to).frozen && may_choose('L'))
+        if (messages_[i].held && !node_at(messages_[i].to).frozen && may_choose('L'))
             all.push_back({'L', (int)i, 0, 0});
     if (may_choose('Z'))
         all.push_back({'Z', 0, 0, 0});
@@ -135,8 +135,8 @@
         all.push_back({'Q', QUIET_ROUNDS, 0, 0});
     if (may_choose('Y'))
         all.push_back({'Y', LONG_QUIET_ROUNDS, 0, 0});
-    for (auto &n : nodes_)
-        add_node_choices(*n, all);
+    for (auto &node : nodes_)
+        add_node_choices(*node, all);
     return all;
 }
 
--- a/tests/model/model_cluster.cc
+++ b/tests/model/model_cluster.cc
@@ -12,21 +12,21 @@
 {
     current = this;
     for (int i = 0; i < study.n_nodes; i++) {
-        auto n = std::make_shared<Node>();
-        n->number = i;
-        n->controller_setup = study.controller_setup.seeds ? &study.controller_setup : nullptr;
-        n->segment_bytes = study.segment_bytes;
-        n->world.self = ADDR + ADDR_STEP * (uint64_t)i;
-        n->rate = study.rates.empty() ? 1000 : study.rates[(size_t)i];
+        auto node = std::make_shared<Node>();
+        node->number = i;
+        node->controller_setup = study.controller_setup.seeds ? &study.controller_setup : nullptr;
+        node->segment_bytes = study.segment_bytes;
+        node->world.self = ADDR + ADDR_STEP * (uint64_t)i;
+        node->rate = study.rates.empty() ? 1000 : study.rates[(size_t)i];
         making_identity_ = true;
-        if (n->has_disk())
-            log_identity(&n->world, CLUSTER, &n->id);
+        if (node->has_disk())
+            log_identity(&node->world, CLUSTER, &node->id);
         making_identity_ = false;
-        nodes_.push_back(n);
+        nodes_.push_back(node);
     }
     if (study.controller_setup.seeds)
-        for (auto &n : nodes_)
-            n->load_controller(true);
+        for (auto &node : nodes_)
+            node->load_controller(true);
     else
         load_logs();
     for (const Choice &c : choices_of(study.setup)) {
@@ -45,22 +45,22 @@
     std::vector<struct log_member> voters;
     char zone[] = "z";
     for (int i = 0; i < study_->voters; i++)
-        voters.push_back({node(i).id, (int64_t)node(i).world.self, LOG_VOTER, zone});
+        voters.push_back({node_at(i).id, (int64_t)node_at(i).world.self, LOG_VOTER, zone});
     struct log_members members = {voters.data(), study_->voters};
-    for (auto &n : nodes_) {
-        n->load();
-        if (n->number < study_->voters)
-            log_bootstrap(&n->log, &members);
+    for (auto &node : nodes_) {
+        node->load();
+        if (node->number < study_->voters)
+            log_bootstrap(&node->log, &members);
     }
 }
 
 Node &Cluster::mutable_node(int i)
 {
-    auto &n = nodes_[(size_t)i];
+    auto &node = nodes_[(size_t)i];
     changed_nodes_ |= 1u << i;
-    if (n.use_count() > 1)
-        n = std::make_shared<Node>(*n);
-    return *n;
+    if (node.use_count() > 1)
+        node = std::make_shared<Node>(*node);
+    return *node;
 }
 
 void Cluster::report_violation(const char *format, ...)
@@ -78,7 +78,7 @@
 {
     for (size_t i = 0; i < messages_.size(); i++) {
         const Message &m = messages_[i];
-        if (!m.held && !node(m.to).frozen && !((partition_ >> m.from ^ partition_ >> m.to) & 1))
+        if (!m.held && !node_at(m.to).frozen && !((partition_ >> m.from ^ partition_ >> m.to) & 1))
             return (int)i;
     }
     return -1;
@@ -92,9 +92,9 @@
 
 int Cluster::number_of(int64_t id) const
 {
-    for (auto &n : nodes_)
-        if (n->id == id)
-            return n->number;
+    for (auto &node : nodes_)
+        if (node->id == id)
+            return node->number;
     return -1;
 }
 
@@ -102,33 +102,33 @@
 
 /* --- effects of choices --------------------------------------------------------------- */
 
-void Cluster::crash(Node &n, Crash how)
+void Cluster::crash(Node &node, Crash how)
 {
-    n.unload();
-    n.crashing = n.frozen = n.sync_deferred = false;
-    n.crash_at_sync = -1;
-    n.disk.crash(how);
-    n.durable.known = false;
+    node.unload();
+    node.crashing = node.frozen = node.sync_deferred = false;
+    node.crash_at_sync = -1;
+    node.disk.crash(how);
+    node.durable.known = false;
 }
 
-void Cluster::start(Node &n, bool first_start)
+void Cluster::start(Node &node, bool first_start)
 {
     int64_t id = 0;
     making_identity_ = true;
-    int rc = n.has_disk() ? log_identity(&n.world, CLUSTER, &id) : ERROR_NONE;
+    int rc = node.has_disk() ? log_identity(&node.world, CLUSTER, &id) : ERROR_NONE;
     making_identity_ = false;
-    n.id = id;
-    if (n.controller_setup) {
-        if (rc || n.load_controller(first_start))
-            report_violation("node %d cannot read its own disk after a restart", n.number);
+    node.id = id;
+    if (node.controller_setup) {
+        if (rc || node.load_controller(first_start))
+            report_violation("node %d cannot read its own disk after a restart", node.number);
         return;
     }
     if (!rc)
-        rc = n.load();
+        rc = node.load();
     if (rc)
-        report_violation("node %d cannot read its own disk after a restart", n.number);
-    else if (n.log.members.n || log_last(&n.log) || n.log.term) /* as controller.c does */
-        n.log.no_vote_before_ms = clock(n) + ELECTION_MS;
+        report_violation("node %d cannot read its own disk after a restart", node.number);
+    else if (node.log.members.n || log_last(&node.log) || node.log.term) /* as controller.c does */
+        node.log.no_vote_before_ms = clock(node) + ELECTION_MS;
 }
 
 static void on_acknowledged(void *arg, int64_t op, int error, const struct bytes *)
@@ -141,19 +141,19 @@
     current->on_read((int)(intptr_t)arg, must_see, error);
 }
 
-void Cluster::change_members(Node &n, const Choice &choice)
+void Cluster::change_members(Node &node, const Choice &choice)
 {
-    const Node &other = node(choice.c & 15);
+    const Node &other = node_at(choice.c & 15);
     int64_t addr = (int64_t)other.world.self;
     int64_t at = choice.b == 5 ? choice.c : choice.c / 16;
-    int64_t gone = at < n.log.members.n ? n.log.members.members[at].id : 0;
+    int64_t gone = at < node.log.members.n ? node.log.members.members[at].id : 0;
     switch (choice.b) {
-    case 0: log_change_member(&n.log, other.id, addr, "z", LOG_LEARNER, 0); break;
-    case 1: log_change_member(&n.log, other.id, addr, "z", LOG_VOTER, 0); break;
-    case 2: log_exchange(&n.log, gone, other.id); break;
-    case 3: log_replace(&n.log, gone, other.id); break;
-    case 4: log_finish_exchange(&n.log); break;
-    default: log_change_member(&n.log, gone, 0, NULL, 0, 1);
+    case 0: log_change_member(&node.log, other.id, addr, "z", LOG_LEARNER, 0); break;
+    case 1: log_change_member(&node.log, other.id, addr, "z", LOG_VOTER, 0); break;
+    case 2: log_exchange(&node.log, gone, other.id); break;
+    case 3: log_replace(&node.log, gone, other.id); break;
+    case 4: log_finish_exchange(&node.log); break;
+    default: log_change_member(&node.log, gone, 0, NULL, 0, 1);
     }
 }
 
@@ -165,27 +165,27 @@
         messages_[at].held = true;
     else
         messages_.erase(messages_.begin() + (long)at);
-    Node &n = mutable_node(m.to);
-    if (!n.up)
+    Node &node = mutable_node(m.to);
+    if (!node.up)
         return;
     auto *bytes = reinterpret_cast<const uint8_t *>(m.bytes->data());
-    if (frame_parse(&frame, bytes, (int64_t)m.bytes->size(), CLUSTER) || n.take(&frame))
+    if (frame_parse(&frame, bytes, (int64_t)m.bytes->size(), CLUSTER) || node.take(&frame))
         report_violation("node %d cannot read a frame of node %d", m.to, m.from);
     else if (frame.kind == FRAME_APPENDED || frame.kind == FRAME_SNAPSHOT_CHUNK_ACK)
-        n.last_reply_ms[m.from] = clock(n);
-    end_turn(n);
+        node.last_reply_ms[m.from] = clock(node);
+    end_turn(node);
 }
 
 /* Ends the turn of a node: flushes its log as controller_flush() does, unless sync_deferred; crashes it if the crash is
  * due; and checks the invariants. */
-void Cluster::end_turn(Node &n)
+void Cluster::end_turn(Node &node)
 {
-    if (n.votes() && !n.sync_deferred)
-        log_flush(&n.log);
-    if (n.crashing)
-        crash(n, (Crash)(n.crash_at_sync & 3));
-    if (n.up)
-        check(n);
+    if (node.votes() && !node.sync_deferred)
+        log_flush(&node.log);
+    if (node.crashing)
+        crash(node, (Crash)(node.crash_at_sync & 3));
+    if (node.up)
+        check(node);
     check_leases();
 }
 
@@ -199,7 +199,7 @@
 {
     for (size_t i = 0; i < messages_.size() && violation.empty();) {
         const Message &m = messages_[i];
-        if (!m.at_once || node(m.to).frozen || ((partition_ >> m.from ^ partition_ >> m.to) & 1)) {
+        if (!m.at_once || node_at(m.to).frozen || ((partition_ >> m.from ^ partition_ >> m.to) & 1)) {
             i++;
             continue;
         }
@@ -219,23 +219,23 @@
 {
     now_ += (TIMER_MS + study_->n_nodes - 1) / study_->n_nodes;
     timer_turn_ = (timer_turn_ + 1) % study_->n_nodes;
-    Node &n = mutable_node(timer_turn_);
-    if (!n.up || n.frozen)
+    Node &node = mutable_node(timer_turn_);
+    if (!node.up || node.frozen)
         return;
-    search_leader(n);
-    n.on_timer();
-    end_turn(n);
+    search_leader(node);
+    node.on_timer();
+    end_turn(node);
 }
 
 /* Sets the leader, as the directory does by querying other controllers. */
-void Cluster::search_leader(Node &n)
+void Cluster::search_leader(Node &node)
 {
-    if (study_->controller_setup.frame_choices != MEMBERSHIP_FRAMES || directory_leader(&n.controller.directory))
+    if (study_->controller_setup.frame_choices != MEMBERSHIP_FRAMES || directory_leader(&node.controller.directory))
         return;
     for (auto &other : nodes_)
-        if (other->votes() && !other->frozen && !((partition_ >> n.number ^ partition_ >> other->number) & 1) &&
+        if (other->votes() && !other->frozen && !((partition_ >> node.number ^ partition_ >> other->number) & 1) &&
             log_has_lease(&other->log))
-            directory_learn_leader(&n.controller.directory, other->log.term, (int64_t)other->world.self);
+            directory_learn_leader(&node.controller.directory, other->log.term, (int64_t)other->world.self);
 }
 
 void Cluster::apply(const Choice &choice)
@@ -248,7 +248,7 @@
     step(choice);
     deliver_at_once();
     crash_unused =
-        study_->controller_setup.seeds && node(at).crash_at_sync >= 0 && (choice.kind == 'D' || choice.kind == 'W');
+        study_->controller_setup.seeds && node_at(at).crash_at_sync >= 0 && (choice.kind == 'D' || choice.kind == 'W');
 }
 
 void Cluster::step(const Choice &choice)
@@ -281,38 +281,40 @@
         partition_ ^= 1u << choice.a;
         return;
     }
-    Node &n = mutable_node(choice.a);
+    Node &node = mutable_node(choice.a);
     switch (choice.kind) {
-    case 'X': n.clock_offset += n.controller_setup ? ELECTION_MS : n.log.election_due_ms - clock(n); /* fallthrough */
-    case 'T': n.on_timer(); break;
-    case 'H': n.sync_deferred = !n.sync_deferred; break;
-    case 'F': n.frozen = !n.frozen; return;
+    case 'X':
+        node.clock_offset +=
+            node.controller_setup ? ELECTION_MS : node.log.election_due_ms - clock(node); /* fallthrough */
+    case 'T': node.on_timer(); break;
+    case 'H': node.sync_deferred = !node.sync_deferred; break;
+    case 'F': node.frozen = !node.frozen; return;
     case 'B':
-        n.controller.leaving = 1;
-        n.controller.leave_ms = clock(n);
-        n.on_timer();
+        node.controller.leaving = 1;
+        node.controller.leave_ms = clock(node);
+        node.on_timer();
         break;
     case 'P': {
         std::vector<uint8_t> op(study_->op_bytes);
         le_put(op.data(), (uint64_t)++ops_, 8);
         struct bytes body = {op.data(), (int64_t)op.size(), 0};
-        log_propose(&n.log, ENTRY_OP, &body, on_acknowledged, (void *)(intptr_t)n.number, ops_);
+        log_propose(&node.log, ENTRY_OP, &body, on_acknowledged, (void *)(intptr_t)node.number, ops_);
         break;
     }
-    case 'R': log_read(&n.log, on_read_done, (void *)(intptr_t)n.number, acked_); break;
-    case 'N': log_snapshot_save(&n.log); break;
-    case 'O': log_hand_over(&n.log); break;
-    case 'M': change_members(n, choice); break;
-    case 'A': n.crash_at_sync = choice.b; return;
-    case 'C': crash(n, (Crash)choice.b); return;
-    case 'I': start(n, true); break;
+    case 'R': log_read(&node.log, on_read_done, (void *)(intptr_t)node.number, acked_); break;
+    case 'N': log_snapshot_save(&node.log); break;
+    case 'O': log_hand_over(&node.log); break;
+    case 'M': change_members(node, choice); break;
+    case 'A': node.crash_at_sync = choice.b; return;
+    case 'C': crash(node, (Crash)choice.b); return;
+    case 'I': start(node, true); break;
     case 'E':
-        retired_.push_back(n.id);
-        n.disk = {};
-        n.durable.known = false; /* fallthrough */
-    default: start(n, false);
+        retired_.push_back(node.id);
+        node.disk = {};
+        node.durable.known = false; /* fallthrough */
+    default: start(node, false);
     }
-    end_turn(n);
+    end_turn(node);
 }
 
 /* --- summary and hash of a state ---------------------------------------------------------- */
@@ -331,13 +333,13 @@
 {
     std::string text;
     char part[80];
-    for (auto &n : nodes_) {
-        snprintf(part, sizeof part, "%d:%c%lld %lld/%lld%s  ", n->number, n->up ? "fpcL"[n->log.role] : '-',
-                 (long long)n->log.term, (long long)n->log.commit, (long long)(n->up ? log_last(&n->log) : 0),
-                 partition_ >> n->number & 1 ? "'" : "");
+    for (auto &node : nodes_) {
+        snprintf(part, sizeof part, "%d:%c%lld %lld/%lld%s  ", node->number, node->up ? "fpcL"[node->log.role] : '-',
+                 (long long)node->log.term, (long long)node->log.commit,
+                 (long long)(node->up ? log_last(&node->log) : 0), partition_ >> node->number & 1 ? "'" : "");
         text += part;
-        if (n->controller_setup && n->up)
-            text += bootstrap_text(n->controller);
+        if (node->controller_setup && node->up)
+            text += bootstrap_text(node->controller);
     }
     for (auto &m : messages_)
         text += " " + std::to_string(m.from) + (m.held ? "~" : ">") + std::to_string(m.to);
@@ -350,8 +352,8 @@
     h = hash_mix(h, (uint64_t)(ops_ * 1000 + identities_made_));
     for (int kind = 'A'; kind <= 'Z'; kind++)
         h = hash_mix(h, kind == 'D' || kind == 'S' ? 0 : (uint64_t)choices_used_[kind]);
-    for (auto &n : nodes_)
-        h = hash_mix(h, n->hash(clock(*n)));
+    for (auto &node : nodes_)
+        h = hash_mix(h, node->hash(clock(*node)));
     for (auto &m : messages_)
         h = hash_mix(m.hash, h + (uint64_t)(m.held + 2 * m.to + 32 * m.from));
     for (auto &c : commits_)
--- a/tests/model/model_cluster.h
+++ b/tests/model/model_cluster.h
@@ -171,9 +171,9 @@
     int64_t clock(const Node &node) const { return now_ * node.rate / 1000 + node.clock_offset; }
     uint64_t random() { return making_identity_ ? (uint64_t)++identities_made_ * 16000 : 0; }
     void on_send(Node &node, uint64_t to, const struct blob *frame);
-    void on_proposed(int node, int64_t op, int error);
-    void on_read(int node, int64_t must_see, int error);
-    void on_applied(int node, int64_t index, int64_t op);
+    void on_proposed(int number, int64_t op, int error);
+    void on_read(int number, int64_t must_see, int error);
+    void on_applied(int number, int64_t index, int64_t op);
     void report_violation(const char *format, ...) __attribute__((format(printf, 2, 3)));
 
   private:
@@ -190,44 +190,44 @@
         uint64_t hash;
     };
 
-    const Node &node(int i) const { return *nodes_[(size_t)i]; }
+    const Node &node_at(int i) const { return *nodes_[(size_t)i]; }
     Node &mutable_node(int i);
     void load_logs();
-    void start(Node &n, bool first_start);
-    void crash(Node &n, Crash how);
-    void end_turn(Node &n);
+    void start(Node &node, bool first_start);
+    void crash(Node &node, Crash how);
+    void end_turn(Node &node);
     void run_next_timer();
-    void search_leader(Node &n);
+    void search_leader(Node &node);
     void deliver_all();
     void deliver_at_once();
     int next_turn() const; /* the node that acts next unless an odd choice is made */
     void step(const Choice &choice);
     void deliver(size_t at, bool keep);
-    void change_members(Node &n, const Choice &choice);
+    void change_members(Node &node, const Choice &choice);
     void wait(int64_t ms);
-    void add_node_choices(const Node &n, std::vector<Choice> &to) const;
-    void add_member_choices(const Node &n, std::vector<Choice> &to) const;
+    void add_node_choices(const Node &node, std::vector<Choice> &to) const;
+    void add_member_choices(const Node &node, std::vector<Choice> &to) const;
     bool may_choose(char kind) const; /* the limit of this kind is not used up */
     int number_of(int64_t id) const;  /* the node that has this identity now; -1: none */
     bool retired(int64_t id) const;
 
-    void check(Node &n);
-    void check_entries(const Node &n);
-    void check_commits(const Node &n);
-    void check_quorum(const Node &n, int64_t index, int64_t term);
-    void check_leader(const Node &n);
+    void check(Node &node);
+    void check_entries(const Node &node);
+    void check_commits(const Node &node);
+    void check_quorum(const Node &node, int64_t index, int64_t term);
+    void check_leader(const Node &node);
     void check_leases();
-    void check_log_frame(Node &n, const struct frame *frame);
-    void check_controller_frame(Node &n, const struct frame *frame);
-    void check_ballot_owner(const Node &n, int64_t ballot);
-    void check_announced_list(const Node &n, const struct log_members &list);
-    void record_round(Node &n);
-    void check_vote_passed(const Node &n, int64_t id);
-    void check_declared_lost(const Node &n, int64_t id);
-    void check_membership(Node &n);
-    void check_stop_permit(const Node &n, int64_t leaver);
-    void check_acceptor(const Node &n);
-    void check_controller(const Node &n);
+    void check_log_frame(Node &node, const struct frame *frame);
+    void check_controller_frame(Node &node, const struct frame *frame);
+    void check_ballot_owner(const Node &node, int64_t ballot);
+    void check_announced_list(const Node &node, const struct log_members &list);
+    void record_round(Node &node);
+    void check_vote_passed(const Node &node, int64_t id);
+    void check_declared_lost(const Node &node, int64_t id);
+    void check_membership(Node &node);
+    void check_stop_permit(const Node &node, int64_t leaver);
+    void check_acceptor(const Node &node);
+    void check_controller(const Node &node);
     void record_vote(int64_t id, int64_t term, int64_t given_to);
 
     /* A list of first voters and the acceptors (a bit each) that accepted it under a ballot. */
--- a/tests/model/world.cc
+++ b/tests/model/world.cc
@@ -19,15 +19,15 @@
 void note(struct world *, int, const char *) {}
 void send(struct world *w, uint64_t to, struct blob *frame, int)
 {
-    Node &n = node_of(w);
-    if (!n.crashing && !n.is_reader)
-        current->on_send(n, to, frame);
+    Node &node = node_of(w);
+    if (!node.crashing && !node.is_reader)
+        current->on_send(node, to, frame);
 }
 
-File *file(Node &n, const char *name)
+File *file(Node &node, const char *name)
 {
-    auto at = n.disk.names.find(name);
-    return at == n.disk.names.end() ? nullptr : &n.disk.files[at->second];
+    auto at = node.disk.names.find(name);
+    return at == node.disk.names.end() ? nullptr : &node.disk.files[at->second];
 }
 
 int disk_list(struct world *w, void (*each)(void *, const char *), void *arg)
@@ -48,14 +48,14 @@
 
 int disk_add(struct world *w, const char *name, const void *at, int64_t len)
 {
-    Node &n = node_of(w);
-    if (n.crashing)
+    Node &node = node_of(w);
+    if (node.crashing)
         return 0;
-    if (!file(n, name)) {
-        n.disk.names[name] = ++n.disk.files_made;
-        n.disk.files[n.disk.files_made] = {};
+    if (!file(node, name)) {
+        node.disk.names[name] = ++node.disk.files_made;
+        node.disk.files[node.disk.files_made] = {};
     }
-    File *f = file(n, name);
+    File *f = file(node, name);
     f->data.append(static_cast<const char *>(at), (size_t)len);
     f->hash = hash_bytes(at, (size_t)len, f->hash);
     return 0;
@@ -75,75 +75,75 @@
 /* A node with crash_at_sync crashes here; its sends and writes in the rest of its turn have no effect. */
 int disk_sync(struct world *w, const char *name)
 {
-    Node &n = node_of(w);
-    File *f = file(n, name);
-    if (n.crashing)
+    Node &node = node_of(w);
+    File *f = file(node, name);
+    if (node.crashing)
         return 0;
-    if (n.crash_at_sync >= 0 && n.crash_at_sync < 4) {
-        n.crashing = true;
+    if (node.crash_at_sync >= 0 && node.crash_at_sync < 4) {
+        node.crashing = true;
         return 0;
     }
     if (!f)
         return ERROR_NOT_FOUND;
     f->synced = f->data.size();
-    n.durable.known = false;
-    n.crashing = n.crash_at_sync >= 4;
+    node.durable.known = false;
+    node.crashing = node.crash_at_sync >= 4;
     return 0;
 }
 
 int disk_sync_names(struct world *w)
 {
-    Node &n = node_of(w);
-    if (n.crashing)
+    Node &node = node_of(w);
+    if (node.crashing)
         return 0;
-    n.disk.durable = n.disk.names;
-    n.durable.known = false;
+    node.disk.durable = node.disk.names;
+    node.durable.known = false;
     return 0;
 }
 
 int disk_rename(struct world *w, const char *from, const char *to)
 {
-    Node &n = node_of(w);
-    if (n.crashing)
+    Node &node = node_of(w);
+    if (node.crashing)
         return 0;
-    auto at = n.disk.names.find(from);
-    if (at == n.disk.names.end())
+    auto at = node.disk.names.find(from);
+    if (at == node.disk.names.end())
         return ERROR_NOT_FOUND;
-    n.disk.names[to] = at->second;
-    n.disk.names.erase(from);
+    node.disk.names[to] = at->second;
+    node.disk.names.erase(from);
     return 0;
 }
 
 int disk_remove(struct world *w, const char *name)
 {
-    Node &n = node_of(w);
-    if (!n.crashing)
-        n.disk.names.erase(name);
+    Node &node = node_of(w);
+    if (!node.crashing)
+        node.disk.names.erase(name);
     return 0;
 }
 
 void apply(void *arg, int64_t index, const struct bytes *op, struct bytes *)
 {
-    Node &n = *static_cast<Node *>(arg);
+    Node &node = *static_cast<Node *>(arg);
     int64_t no = (int64_t)le_get(op->at, 8);
-    n.ops.push_back(no);
-    if (!n.is_reader)
-        current->on_applied(n.number, index, no);
+    node.ops.push_back(no);
+    if (!node.is_reader)
+        current->on_applied(node.number, index, no);
 }
 
 void snapshot(void *arg, struct bytes *to)
 {
-    Node &n = *static_cast<Node *>(arg);
+    Node &node = *static_cast<Node *>(arg);
     bytes_add(to, "S", 1);
-    bytes_add(to, n.ops.data(), (int64_t)(n.ops.size() * sizeof n.ops[0]));
+    bytes_add(to, node.ops.data(), (int64_t)(node.ops.size() * sizeof node.ops[0]));
 }
 
 int restore(void *arg, const struct bytes *from)
 {
-    Node &n = *static_cast<Node *>(arg);
-    n.ops.resize((size_t)(from->len - 1) / sizeof n.ops[0]);
-    if (!n.ops.empty())
-        memcpy(n.ops.data(), from->at + 1, n.ops.size() * sizeof n.ops[0]);
+    Node &node = *static_cast<Node *>(arg);
+    node.ops.resize((size_t)(from->len - 1) / sizeof node.ops[0]);
+    if (!node.ops.empty())
+        memcpy(node.ops.data(), from->at + 1, node.ops.size() * sizeof node.ops[0]);
     return 0;
 }
 
--- a/tests/unit/decoders_test.cc
+++ b/tests/unit/decoders_test.cc
@@ -142,10 +142,11 @@
             for (unsigned flips = random() % 3; flips; flips--)
                 bad[random() % bad.size()] = (char)(random() % 128);
             std::vector<char> out(schemas[k]->size);
-            validation_error f = {};
-            if (schema_from_text(schemas[k], out.data(), bad.data(), (int64_t)bad.size(), &f)) {
-                EXPECT_TRUE(f.error == ERROR_BAD_JSON || f.error == ERROR_BAD_FIELD || f.error == ERROR_TOO_LARGE);
-                EXPECT_STRNE(f.expected, "");
+            validation_error error = {};
+            if (schema_from_text(schemas[k], out.data(), bad.data(), (int64_t)bad.size(), &error)) {
+                EXPECT_TRUE(error.error == ERROR_BAD_JSON || error.error == ERROR_BAD_FIELD ||
+                            error.error == ERROR_TOO_LARGE);
+                EXPECT_STRNE(error.expected, "");
                 continue;
             }
             taken++;
@@ -177,33 +178,33 @@
 {
     std::mt19937 random(3);
     int taken = 0, rejected = 0;
-    config_tree c = {};
+    config_tree tree = {};
     for (int round = 0; round < 6000; round++) {
         std::string text = damaged(
             R"({"root":{"attemptsMax":5,"licenceMs":5000},"root/a":{"attemptsMax":4},"root/a/q":{"atLeastOnce":true}})",
             random);
         bytes before = {}, after = {};
-        validation_error f = {};
-        config_tree_snapshot(&c, &before);
-        int rc = config_tree_replace(&c, text.c_str(), &f);
-        config_tree_snapshot(&c, &after);
+        validation_error error = {};
+        config_tree_snapshot(&tree, &before);
+        int rc = config_tree_replace(&tree, text.c_str(), &error);
+        config_tree_snapshot(&tree, &after);
         if (rc) {
             rejected++;
             ASSERT_EQ(before.len, after.len) << text;
             ASSERT_EQ(memcmp(before.at, after.at, (size_t)before.len), 0) << text;
         } else {
             taken++;
-            ASSERT_EQ(config_tree_check(c.branches, c.n_branches, &f), ERROR_NONE) << text;
-            settings p;
-            config_tree_effective(&c, "root/a/q", &p);
-            ASSERT_GE(p.attempts_max, 1);
+            ASSERT_EQ(config_tree_check(tree.branches, tree.n_branches, &error), ERROR_NONE) << text;
+            settings effective;
+            config_tree_effective(&tree, "root/a/q", &effective);
+            ASSERT_GE(effective.attempts_max, 1);
         }
         bytes_free(&before);
         bytes_free(&after);
     }
     EXPECT_GT(taken, 100);
     EXPECT_GT(rejected, 100);
-    config_tree_end(&c);
+    config_tree_end(&tree);
 }
 
 TEST(Decoders, DamagedRunbooksAreParsedOrNameALine)
@@ -235,23 +236,23 @@
     const char *names[] = {"cluster", "seeds", "listen", "cores", "failPct", "logLevel", "memMb", "nonsense"};
     const char *values[] = {"abc", "127.0.0.1:80,10.0.0.1:9", "127.0.0.1:7000", "16", "-1", "info", "999999999999", ""};
     std::mt19937 random(4);
-    local l;
+    local settings_read;
     char why[400];
-    schema_defaults(&local_schema, &l);
+    schema_defaults(&local_schema, &settings_read);
     for (int round = 0; round < 6000; round++) {
         std::string name = damaged(names[random() % 8], random), value = values[random() % 8];
         if (!value.empty())
             value = damaged(value, random);
-        if (local_set(&l, name.c_str(), value.c_str(), "x:1", why, sizeof why)) {
+        if (local_set(&settings_read, name.c_str(), value.c_str(), "x:1", why, sizeof why)) {
             EXPECT_EQ(std::string(why).rfind("x:1: ", 0), 0u);
         }
-        local_check(&l, NEED_LISTEN, why, sizeof why);
-        ASSERT_GE(l.cores, 0);
-        ASSERT_LE(l.fail_pct, 100);
-        ASSERT_GE(l.fail_pct, 0);
-        ASSERT_LE(l.n_seeds, 8);
+        local_check(&settings_read, NEED_LISTEN, why, sizeof why);
+        ASSERT_GE(settings_read.cores, 0);
+        ASSERT_LE(settings_read.fail_pct, 100);
+        ASSERT_GE(settings_read.fail_pct, 0);
+        ASSERT_LE(settings_read.n_seeds, 8);
     }
-    local_free(&l);
+    local_free(&settings_read);
 }
 
 } // namespace
--- a/tests/unit/log_bytes_test.cc
+++ b/tests/unit/log_bytes_test.cc
@@ -58,13 +58,13 @@
 // newest entry.
 TEST(LogBytes, MemoryAndDiskAreBoundedAndNothingIsLost)
 {
-    LargeEntries p;
-    p.run(1000);
+    LargeEntries pair;
+    pair.run(1000);
     int64_t peak_memory = 0, peak_disk = 0;
     for (int i = 0; i < 200; i++) { // 50 MiB, in fewer entries than keep_entries
-        p.write();
-        p.run(20);
-        for (Node *node : {&p.leader, &p.member}) {
+        pair.write();
+        pair.run(20);
+        for (Node *node : {&pair.leader, &pair.member}) {
             peak_memory = std::max(peak_memory, entry_bytes(node->log));
             peak_disk = std::max(peak_disk, disk_bytes(*node));
         }
@@ -72,48 +72,48 @@
     EXPECT_LE(peak_memory, SNAPSHOT_BYTES + KEEP_BYTES + OP_BYTES);
     EXPECT_GE(peak_memory, SNAPSHOT_BYTES);
     EXPECT_LE(peak_disk, SNAPSHOT_BYTES + 2 * SEGMENT_BYTES + 2 * OP_BYTES);
-    p.run(1000);
-    EXPECT_EQ(p.member.state, p.leader.state);
-    EXPECT_EQ(p.member.events[EV_DIGEST_TAKEN], 1) << "an up-to-date member needed another snapshot";
+    pair.run(1000);
+    EXPECT_EQ(pair.member.state, pair.leader.state);
+    EXPECT_EQ(pair.member.events[EV_DIGEST_TAKEN], 1) << "an up-to-date member needed another snapshot";
     Node restarted(MEMBER);
     log_end(&restarted.log);
-    restarted.files = p.member.files;
+    restarted.files = pair.member.files;
     const struct log_machine machine = {&restarted, apply_checksum, Node::pack, Node::restore};
     log_start(&restarted.log, &restarted, 9, GROUP_JOBS, MEMBER, &machine);
     ASSERT_EQ(log_load(&restarted.log), 0);
     restarted.log.commit = log_last(&restarted.log);
     log_apply(&restarted.log);
-    EXPECT_EQ(restarted.state, p.leader.state);
+    EXPECT_EQ(restarted.state, pair.leader.state);
 }
 
 // For a slow member that still replies at most LAGGING_KEEP_BYTES are kept, and it reaches the same state.
 TEST(LogBytes, EntriesKeptForASlowMemberAreBounded)
 {
-    LargeEntries p;
-    p.run(1000);
+    LargeEntries pair;
+    pair.run(1000);
     int64_t peak_memory = 0;
     std::deque<std::string> delayed;
     for (int i = 0; i < 200; i++) { // it replies, but handles frames with a growing delay
-        p.leader.now += 20, p.member.now += 20;
-        p.write();
-        log_on_timer(&p.leader.log);
-        log_flush(&p.leader.log);
-        while (!p.leader.sent.empty())
-            delayed.push_back(p.leader.pop_sent());
+        pair.leader.now += 20, pair.member.now += 20;
+        pair.write();
+        log_on_timer(&pair.leader.log);
+        log_flush(&pair.leader.log);
+        while (!pair.leader.sent.empty())
+            delayed.push_back(pair.leader.pop_sent());
         if (i % 4 == 0 && !delayed.empty()) {
-            p.member.take(delayed.front());
+            pair.member.take(delayed.front());
             delayed.pop_front();
         }
-        while (!p.member.sent.empty())
-            p.leader.take(p.member.pop_sent());
-        peak_memory = std::max(peak_memory, entry_bytes(p.leader.log));
+        while (!pair.member.sent.empty())
+            pair.leader.take(pair.member.pop_sent());
+        peak_memory = std::max(peak_memory, entry_bytes(pair.leader.log));
     }
     EXPECT_LE(peak_memory, LAGGING_KEEP_BYTES + SNAPSHOT_BYTES + OP_BYTES);
     EXPECT_GT(peak_memory, KEEP_BYTES + SNAPSHOT_BYTES + OP_BYTES) << "nothing was kept for it";
     for (auto &frame : delayed)
-        p.member.take(frame);
-    p.run(8000);
-    EXPECT_EQ(p.member.state, p.leader.state);
-    EXPECT_EQ(p.member.log.commit, p.leader.log.commit);
-    EXPECT_LE(entry_bytes(p.leader.log), LAGGING_KEEP_BYTES + SNAPSHOT_BYTES + OP_BYTES);
+        pair.member.take(frame);
+    pair.run(8000);
+    EXPECT_EQ(pair.member.state, pair.leader.state);
+    EXPECT_EQ(pair.member.log.commit, pair.leader.log.commit);
+    EXPECT_LE(entry_bytes(pair.leader.log), LAGGING_KEEP_BYTES + SNAPSHOT_BYTES + OP_BYTES);
 }
--- a/tests/unit/log_removed_test.cc
+++ b/tests/unit/log_removed_test.cc
@@ -102,16 +102,16 @@
 // It asks for pre-votes before it raises its own term, and members that hear the leader do not reply.
 TEST(LogRemoved, GetsNoVoteWhileALeaderIsHeard)
 {
-    Cluster s;
-    int64_t term = s.leader.log.term, old_term = s.removed.log.term;
-    s.disconnected[THIRD] = false;
-    s.run(10000);
-    EXPECT_TRUE(log_is_voter(&s.removed.log, THIRD)); // according to its own log
-    EXPECT_GT(s.vote_requests, 5);
-    EXPECT_EQ(s.real_vote_requests, 0);
-    EXPECT_EQ(s.removed.log.term, old_term);
-    EXPECT_EQ(s.leader.log.role, LOG_LEADER);
-    for (Node *node : {&s.leader, &s.member, &s.added})
+    Cluster cluster;
+    int64_t term = cluster.leader.log.term, old_term = cluster.removed.log.term;
+    cluster.disconnected[THIRD] = false;
+    cluster.run(10000);
+    EXPECT_TRUE(log_is_voter(&cluster.removed.log, THIRD)); // according to its own log
+    EXPECT_GT(cluster.vote_requests, 5);
+    EXPECT_EQ(cluster.real_vote_requests, 0);
+    EXPECT_EQ(cluster.removed.log.term, old_term);
+    EXPECT_EQ(cluster.leader.log.role, LOG_LEADER);
+    for (Node *node : {&cluster.leader, &cluster.member, &cluster.added})
         EXPECT_EQ(node->log.term, term);
 }
 
@@ -121,16 +121,16 @@
 {
     int64_t terms[2];
     for (bool reconnect : {false, true}) {
-        Cluster s;
-        s.disconnected[THIRD] = !reconnect;
-        s.disconnected[LEADER] = true;
-        s.run(10000);
-        EXPECT_EQ(s.vote_requests > 0, reconnect);
-        EXPECT_EQ(s.real_vote_requests, 0);
-        EXPECT_NE(s.removed.log.role, LOG_LEADER);
-        EXPECT_TRUE(s.member.log.role == LOG_LEADER || s.added.log.role == LOG_LEADER);
-        terms[reconnect] = std::max(s.member.log.term, s.added.log.term);
-        EXPECT_LE(s.removed.log.term, terms[reconnect]);
+        Cluster cluster;
+        cluster.disconnected[THIRD] = !reconnect;
+        cluster.disconnected[LEADER] = true;
+        cluster.run(10000);
+        EXPECT_EQ(cluster.vote_requests > 0, reconnect);
+        EXPECT_EQ(cluster.real_vote_requests, 0);
+        EXPECT_NE(cluster.removed.log.role, LOG_LEADER);
+        EXPECT_TRUE(cluster.member.log.role == LOG_LEADER || cluster.added.log.role == LOG_LEADER);
+        terms[reconnect] = std::max(cluster.member.log.term, cluster.added.log.term);
+        EXPECT_LE(cluster.removed.log.term, terms[reconnect]);
     }
     EXPECT_EQ(terms[0], terms[1]);
 }
@@ -138,67 +138,67 @@
 // The same after log_replace(): members that have the change do not elect it.
 TEST(LogRemoved, IsNotElectedAfterAReplacement)
 {
-    Cluster s(true);
-    s.disconnected[THIRD] = false;
-    s.disconnected[LEADER] = true;
-    s.run(10000);
-    EXPECT_GT(s.vote_requests, 0);
-    EXPECT_EQ(s.real_vote_requests, 0);
-    EXPECT_NE(s.removed.log.role, LOG_LEADER);
-    EXPECT_TRUE(s.member.log.role == LOG_LEADER || s.added.log.role == LOG_LEADER);
+    Cluster cluster(true);
+    cluster.disconnected[THIRD] = false;
+    cluster.disconnected[LEADER] = true;
+    cluster.run(10000);
+    EXPECT_GT(cluster.vote_requests, 0);
+    EXPECT_EQ(cluster.real_vote_requests, 0);
+    EXPECT_NE(cluster.removed.log.role, LOG_LEADER);
+    EXPECT_TRUE(cluster.member.log.role == LOG_LEADER || cluster.added.log.role == LOG_LEADER);
 }
 
 // Even a real vote request with a higher term, which needs a majority of pre-votes, is ignored by members that hear a
 // leader. A member that hears none adopts the term, but does not grant the vote.
 TEST(LogRemoved, VoteRequestDoesNotDeposeTheLeader)
 {
-    Cluster s;
-    int64_t term = s.leader.log.term;
+    Cluster cluster;
+    int64_t term = cluster.leader.log.term;
     struct log_vote_request request = {};
     request.group = GROUP_JOBS, request.term = term + 5, request.from = THIRD, request.to = LEADER;
-    request.last_index = log_last(&s.removed.log);
-    request.last_term = log_term_at(&s.removed.log, request.last_index);
-    s.leader.take(vote_request(request));
+    request.last_index = log_last(&cluster.removed.log);
+    request.last_term = log_term_at(&cluster.removed.log, request.last_index);
+    cluster.leader.take(vote_request(request));
     request.to = MEMBER;
-    s.member.take(vote_request(request));
-    EXPECT_EQ(s.leader.log.role, LOG_LEADER);
-    EXPECT_EQ(s.leader.log.term, term);
-    EXPECT_EQ(s.member.log.term, term);
-    s.member.now += 2000; // no leader is heard any more
-    s.member.take(vote_request(request));
-    EXPECT_EQ(s.member.log.term, term + 5);
-    EXPECT_EQ(s.member.log.vote, 0);
+    cluster.member.take(vote_request(request));
+    EXPECT_EQ(cluster.leader.log.role, LOG_LEADER);
+    EXPECT_EQ(cluster.leader.log.term, term);
+    EXPECT_EQ(cluster.member.log.term, term);
+    cluster.member.now += 2000; // no leader is heard any more
+    cluster.member.take(vote_request(request));
+    EXPECT_EQ(cluster.member.log.term, term + 5);
+    EXPECT_EQ(cluster.member.log.vote, 0);
 }
 
 // An append that it sent as the leader of an earlier term is refused with the newer term and changes nothing.
 TEST(LogRemoved, StaleAppendChangesNothing)
 {
-    Cluster s;
-    int64_t last = log_last(&s.member.log), term = s.member.log.term;
+    Cluster cluster;
+    int64_t last = log_last(&cluster.member.log), term = cluster.member.log.term;
     struct log_append append = {};
     append.group = GROUP_JOBS, append.term = 1, append.from = THIRD, append.to = MEMBER, append.commit = last;
-    append.prev_index = log_last(&s.removed.log);
-    append.prev_term = log_term_at(&s.removed.log, append.prev_index);
+    append.prev_index = log_last(&cluster.removed.log);
+    append.prev_term = log_term_at(&cluster.removed.log, append.prev_index);
     struct bytes out = {};
     frame_build(&out, FRAME_APPEND, 9, (uint64_t)THIRD << 16 | 7000, &log_append_schema, &append);
-    s.member.sent.clear();
-    s.member.take(std::string((const char *)out.at, (size_t)out.len));
+    cluster.member.sent.clear();
+    cluster.member.take(std::string((const char *)out.at, (size_t)out.len));
     bytes_free(&out);
-    EXPECT_EQ(s.member.log.leader_id, LEADER);
-    EXPECT_EQ(log_last(&s.member.log), last);
-    EXPECT_EQ(s.member.log.term, term);
+    EXPECT_EQ(cluster.member.log.leader_id, LEADER);
+    EXPECT_EQ(log_last(&cluster.member.log), last);
+    EXPECT_EQ(cluster.member.log.term, term);
 }
 
 // A hand-over of an earlier term does not start an election.
 TEST(LogRemoved, StaleLeadNowIsIgnored)
 {
-    Cluster s;
-    struct log_lead_now now = {.group = GROUP_JOBS, .term = s.removed.log.term - 1, .from = LEADER, .to = THIRD};
+    Cluster cluster;
+    struct log_lead_now now = {.group = GROUP_JOBS, .term = cluster.removed.log.term - 1, .from = LEADER, .to = THIRD};
     struct bytes out = {};
     frame_build(&out, FRAME_LEAD_NOW, 9, (uint64_t)LEADER << 16 | 7000, &log_lead_now_schema, &now);
-    s.removed.sent.clear();
-    s.removed.take(std::string((const char *)out.at, (size_t)out.len));
+    cluster.removed.sent.clear();
+    cluster.removed.take(std::string((const char *)out.at, (size_t)out.len));
     bytes_free(&out);
-    EXPECT_TRUE(s.removed.sent.empty());
-    EXPECT_EQ(s.removed.log.role, LOG_FOLLOWER);
+    EXPECT_TRUE(cluster.removed.sent.empty());
+    EXPECT_EQ(cluster.removed.log.role, LOG_FOLLOWER);
 }
--- a/tests/unit/product_test.cc
+++ b/tests/unit/product_test.cc
@@ -38,12 +38,12 @@
 {
     std::string page = read("docs/settings.md");
     for (int i = 0; i < settings_schema.n; i++) {
-        const field *f = &settings_schema.fields[i];
+        const struct field *field = &settings_schema.fields[i];
         std::string default_value =
-            f->kind == F_BOOL ? (f->default_value ? "true" : "false") : std::to_string(f->default_value);
+            field->kind == F_BOOL ? (field->default_value ? "true" : "false") : std::to_string(field->default_value);
         std::string range =
-            f->kind == F_BOOL ? "true, false" : std::to_string(f->min) + " to " + std::to_string(f->max);
-        std::string row = std::string("| ") + f->name + " | " + default_value + " | " + range + " |";
+            field->kind == F_BOOL ? "true, false" : std::to_string(field->min) + " to " + std::to_string(field->max);
+        std::string row = std::string("| ") + field->name + " | " + default_value + " | " + range + " |";
         EXPECT_NE(page.find(row), std::string::npos) << row;
     }
 }
@@ -52,13 +52,13 @@
 {
     std::string page = read("docs/api.md");
     for (int p = 0; p > ERROR_LAST; p--) {
-        const struct error_response *a = error_response(p);
-        ASSERT_NE(a->name, nullptr) << p;
-        EXPECT_GE(a->status, 200);
-        if (a->retry_ms) {
-            EXPECT_TRUE(a->status == 429 || a->status == 503) << a->name;
+        const struct error_response *response = error_response(p);
+        ASSERT_NE(response->name, nullptr) << p;
+        EXPECT_GE(response->status, 200);
+        if (response->retry_ms) {
+            EXPECT_TRUE(response->status == 429 || response->status == 503) << response->name;
         }
-        std::string row = std::string("| ") + a->name + " | " + std::to_string(a->status) + " |";
+        std::string row = std::string("| ") + response->name + " | " + std::to_string(response->status) + " |";
         EXPECT_TRUE(!p || page.find(row) != std::string::npos) << row;
     }
     EXPECT_STREQ(error_response(-999)->name, "unknown");
@@ -66,35 +66,35 @@
 }
 
 struct Local {
-    local l = {};
+    local values = {};
     char why[400] = "";
-    Local() { schema_defaults(&local_schema, &l); }
-    ~Local() { local_free(&l); }
-    int set(const char *name, const char *value) { return local_set(&l, name, value, "here:1", why, sizeof why); }
+    Local() { schema_defaults(&local_schema, &values); }
+    ~Local() { local_free(&values); }
+    int set(const char *name, const char *value) { return local_set(&values, name, value, "here:1", why, sizeof why); }
 };
 
 TEST(Product, InvalidLocalSettingsAreNamed)
 {
-    Local t;
-    EXPECT_EQ(t.set("nonsense", "1"), ERROR_BAD_SETTING);
-    EXPECT_STREQ(t.why, "here:1: nonsense: expected a known setting");
-    EXPECT_EQ(t.set("cores", "many"), ERROR_BAD_SETTING);
-    EXPECT_STREQ(t.why, "here:1: cores: expected a whole number from 0 to 1048576");
-    EXPECT_EQ(t.set("cores", "-1"), ERROR_BAD_SETTING);
-    EXPECT_EQ(t.set("cores", "99999999999999999999"), ERROR_BAD_SETTING);
-    EXPECT_EQ(t.set("cores", "16"), ERROR_NONE);
-    EXPECT_EQ(local_check(&t.l, 0, t.why, sizeof t.why), ERROR_BAD_SETTING);
-    EXPECT_NE(std::string(t.why).find("seeds"), std::string::npos);
-    EXPECT_EQ(t.set("seeds", "127.0.0.1:1,127.0.0.1:2"), ERROR_NONE);
-    EXPECT_EQ(local_check(&t.l, 0, t.why, sizeof t.why), ERROR_NONE);
-    EXPECT_EQ(t.l.n_seeds, 2);
-    EXPECT_EQ(local_check(&t.l, NEED_LISTEN, t.why, sizeof t.why), ERROR_BAD_SETTING);
-    EXPECT_EQ(t.set("listen", "127.0.0.1:99999"), ERROR_NONE);
-    EXPECT_EQ(local_check(&t.l, NEED_LISTEN, t.why, sizeof t.why), ERROR_BAD_SETTING);
-    EXPECT_EQ(t.set("listen", "127.0.0.1:9999"), ERROR_NONE);
-    EXPECT_EQ(local_check(&t.l, NEED_LISTEN, t.why, sizeof t.why), ERROR_NONE);
-    EXPECT_EQ(t.set("logLevel", "loud"), ERROR_NONE);
-    EXPECT_EQ(local_check(&t.l, 0, t.why, sizeof t.why), ERROR_BAD_SETTING);
+    Local settings;
+    EXPECT_EQ(settings.set("nonsense", "1"), ERROR_BAD_SETTING);
+    EXPECT_STREQ(settings.why, "here:1: nonsense: expected a known setting");
+    EXPECT_EQ(settings.set("cores", "many"), ERROR_BAD_SETTING);
+    EXPECT_STREQ(settings.why, "here:1: cores: expected a whole number from 0 to 1048576");
+    EXPECT_EQ(settings.set("cores", "-1"), ERROR_BAD_SETTING);
+    EXPECT_EQ(settings.set("cores", "99999999999999999999"), ERROR_BAD_SETTING);
+    EXPECT_EQ(settings.set("cores", "16"), ERROR_NONE);
+    EXPECT_EQ(local_check(&settings.values, 0, settings.why, sizeof settings.why), ERROR_BAD_SETTING);
+    EXPECT_NE(std::string(settings.why).find("seeds"), std::string::npos);
+    EXPECT_EQ(settings.set("seeds", "127.0.0.1:1,127.0.0.1:2"), ERROR_NONE);
+    EXPECT_EQ(local_check(&settings.values, 0, settings.why, sizeof settings.why), ERROR_NONE);
+    EXPECT_EQ(settings.values.n_seeds, 2);
+    EXPECT_EQ(local_check(&settings.values, NEED_LISTEN, settings.why, sizeof settings.why), ERROR_BAD_SETTING);
+    EXPECT_EQ(settings.set("listen", "127.0.0.1:99999"), ERROR_NONE);
+    EXPECT_EQ(local_check(&settings.values, NEED_LISTEN, settings.why, sizeof settings.why), ERROR_BAD_SETTING);
+    EXPECT_EQ(settings.set("listen", "127.0.0.1:9999"), ERROR_NONE);
+    EXPECT_EQ(local_check(&settings.values, NEED_LISTEN, settings.why, sizeof settings.why), ERROR_NONE);
+    EXPECT_EQ(settings.set("logLevel", "loud"), ERROR_NONE);
+    EXPECT_EQ(local_check(&settings.values, 0, settings.why, sizeof settings.why), ERROR_BAD_SETTING);
 }
 
 } // namespace
--- a/tests/unit/schema_test.cc
+++ b/tests/unit/schema_test.cc
@@ -17,12 +17,12 @@
                     R"({"name":"a","tasks":[{"kind":"std","cores":2,"payload":"ms=5"}]},)"
                     R"({"name":"b","after":["a"],"gang":true,"rack":"one","tasks":[{"kind":"std"},{"kind":"std"}]}]})";
 
-int parse(const std::string &text, job_spec *spec, validation_error *f)
+int parse(const std::string &text, job_spec *spec, validation_error *error)
 {
     *spec = job_spec{};
-    *f = validation_error{};
-    int rc = schema_from_text(&job_spec_schema, spec, text.data(), (int64_t)text.size(), f);
-    return rc ? rc : spec_check(spec, f);
+    *error = validation_error{};
+    int rc = schema_from_text(&job_spec_schema, spec, text.data(), (int64_t)text.size(), error);
+    return rc ? rc : spec_check(spec, error);
 }
 
 std::string packed(const schema *s, const void *what)
@@ -37,15 +37,15 @@
 TEST(Schema, JobSurvivesJsonAndCbor)
 {
     job_spec spec, again = {};
-    validation_error f;
-    ASSERT_EQ(parse(kJob, &spec, &f), ERROR_NONE) << f.path;
+    validation_error error;
+    ASSERT_EQ(parse(kJob, &spec, &error), ERROR_NONE) << error.path;
     std::string bytes_of = packed(&job_spec_schema, &spec);
     ASSERT_EQ(schema_unpack(&job_spec_schema, &again, (const uint8_t *)bytes_of.data(), (int64_t)bytes_of.size()),
               ERROR_NONE);
     EXPECT_EQ(packed(&job_spec_schema, &again), bytes_of);
     char *text = schema_to_text(&job_spec_schema, &again);
     job_spec third;
-    ASSERT_EQ(parse(text, &third, &f), ERROR_NONE) << f.path << " " << text;
+    ASSERT_EQ(parse(text, &third, &error), ERROR_NONE) << error.path << " " << text;
     EXPECT_EQ(packed(&job_spec_schema, &third), bytes_of);
     EXPECT_EQ(third.steps[1].gang, 1);
     EXPECT_EQ(third.steps[0].tasks[0].cores, 2);
@@ -82,16 +82,16 @@
     };
     for (const InvalidJob &bad : cases) {
         job_spec spec;
-        validation_error f;
-        EXPECT_EQ(parse(bad.body, &spec, &f), bad.error) << bad.body;
-        EXPECT_STREQ(f.path, bad.path) << bad.body;
+        validation_error error;
+        EXPECT_EQ(parse(bad.body, &spec, &error), bad.error) << bad.body;
+        EXPECT_STREQ(error.path, bad.path) << bad.body;
         schema_free(&job_spec_schema, &spec);
     }
     job_spec spec;
-    validation_error f;
+    validation_error error;
     std::string big = R"({"key":"k","service":"s","queue":"q","steps":[{"name":"a","tasks":[{"kind":"c","payload":")" +
                       std::string(10241, 'x') + "\"}]}]}";
-    EXPECT_EQ(parse(big, &spec, &f), ERROR_TOO_LARGE);
+    EXPECT_EQ(parse(big, &spec, &error), ERROR_TOO_LARGE);
     schema_free(&job_spec_schema, &spec);
 }
 
@@ -99,8 +99,8 @@
 TEST(Schema, DamagedBytesNeverCrash)
 {
     job_spec spec;
-    validation_error f;
-    ASSERT_EQ(parse(kJob, &spec, &f), ERROR_NONE);
+    validation_error error;
+    ASSERT_EQ(parse(kJob, &spec, &error), ERROR_NONE);
     std::string good = packed(&job_spec_schema, &spec);
     schema_free(&job_spec_schema, &spec);
     std::mt19937 random(7);
@@ -130,20 +130,20 @@
 {
     log_lead_now now = {1, 2, 3, 4};
     bytes out = {};
-    frame f;
+    frame parsed;
     frame_build(&out, FRAME_LEAD_NOW, 77, 5, &log_lead_now_schema, &now);
-    ASSERT_EQ(frame_parse(&f, out.at, out.len, 77), ERROR_NONE);
-    EXPECT_EQ(f.kind, FRAME_LEAD_NOW);
-    EXPECT_EQ(f.from, 5u);
-    EXPECT_EQ(frame_parse(&f, out.at, out.len, 78), ERROR_BAD_FRAME);
-    EXPECT_EQ(frame_parse(&f, out.at, out.len - 1, 77), ERROR_BAD_FRAME);
+    ASSERT_EQ(frame_parse(&parsed, out.at, out.len, 77), ERROR_NONE);
+    EXPECT_EQ(parsed.kind, FRAME_LEAD_NOW);
+    EXPECT_EQ(parsed.from, 5u);
+    EXPECT_EQ(frame_parse(&parsed, out.at, out.len, 78), ERROR_BAD_FRAME);
+    EXPECT_EQ(frame_parse(&parsed, out.at, out.len - 1, 77), ERROR_BAD_FRAME);
     for (int64_t i = 0; i < out.len; i++) {
         if (i >= 8 && i < 16)
             continue; // the checksum does not cover the sender's address
         uint8_t was = out.at[i];
         out.at[i] ^= 0x41;
-        int rc = frame_parse(&f, out.at, out.len, 77);
-        EXPECT_TRUE(rc == ERROR_BAD_FRAME || f.kind != FRAME_LEAD_NOW) << i;
+        int rc = frame_parse(&parsed, out.at, out.len, 77);
+        EXPECT_TRUE(rc == ERROR_BAD_FRAME || parsed.kind != FRAME_LEAD_NOW) << i;
         out.at[i] = was;
     }
     bytes_free(&out);
