--- a/src/controller/bootstrap.c
+++ b/src/controller/bootstrap.c
@@ -71,24 +71,24 @@
 
 /* --- seeds ------------------------------------------------------------ */
 
-static void on_collect(struct controller *controller, const struct bootstrap_announcement *announced)
+static void on_announcement(struct controller *controller, const struct bootstrap_announcement *announced)
 {
-    struct bootstrap_candidate *at = NULL;
+    struct bootstrap_candidate *candidate = NULL;
     int64_t now_ms = world_ms(controller->w);
-    for (int64_t i = 0; i < controller->n_candidates && !at; i++)
+    for (int64_t i = 0; i < controller->n_candidates && !candidate; i++)
         if (controller->candidates[i].announced.addr == announced->addr)
-            at = &controller->candidates[i];
-    if (!at) {
+            candidate = &controller->candidates[i];
+    if (!candidate) {
         if (controller->n_candidates == CANDIDATES_MAX)
             return;
-        at = array_add(controller->candidates, controller->n_candidates);
+        candidate = array_add(controller->candidates, controller->n_candidates);
         controller->newest_candidate_ms = now_ms;
         if (!controller->first_candidate_ms)
             controller->first_candidate_ms = now_ms;
     }
-    schema_free(&bootstrap_announcement_schema, &at->announced);
-    schema_copy(&bootstrap_announcement_schema, &at->announced, announced);
-    at->heard_ms = now_ms;
+    schema_free(&bootstrap_announcement_schema, &candidate->announced);
+    schema_copy(&bootstrap_announcement_schema, &candidate->announced, announced);
+    candidate->heard_ms = now_ms;
 }
 
 /* Only candidates heard recently become voters: a silent one would have to be replaced at once. */
@@ -216,7 +216,7 @@
                                                    .members = controller->bootstrap_members};
         for (int64_t i = 0; i < controller->acceptor.n_seeds; i++) {
             if (controller->acceptor.seeds[i] == self)
-                on_collect(controller, &announced);
+                on_announcement(controller, &announced);
             else
                 controller_send(controller, controller->acceptor.seeds[i], FRAME_COLLECT,
                                 &bootstrap_announcement_schema, &announced);
@@ -240,7 +240,7 @@
         struct bootstrap_announcement announced = {0};
         if (controller->may_bootstrap &&
             !schema_unpack(&bootstrap_announcement_schema, &announced, frame->body, frame->len) && announced.zone)
-            on_collect(controller, &announced);
+            on_announcement(controller, &announced);
         schema_free(&bootstrap_announcement_schema, &announced);
         return;
     }
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -350,10 +350,10 @@
     return rc;
 }
 
-void controller_on_frame(struct controller *controller, const uint8_t *at, int64_t len)
+void controller_on_frame(struct controller *controller, const uint8_t *data, int64_t len)
 {
     struct frame frame;
-    int rc = frame_parse(&frame, at, len, controller->cluster);
+    int rc = frame_parse(&frame, data, len, controller->cluster);
     if (!rc && !directory_on_frame(&controller->directory, &frame)) {
         if (frame_is_for_log(frame.kind))
             rc = on_log_frame(controller, &frame);
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -37,8 +37,8 @@
 struct controller *controller_new(struct world *w, const struct controller_setup *setup);
 void controller_free(struct controller *controller);
 void controller_on_timer(struct controller *controller);
-/* Handles a frame of len bytes from another process. */
-void controller_on_frame(struct controller *controller, const uint8_t *at, int64_t len);
+/* Handles a frame of len bytes of data from another process. */
+void controller_on_frame(struct controller *controller, const uint8_t *data, int64_t len);
 /* Syncs and sends the log entries and messages that earlier calls have queued. */
 void controller_flush(struct controller *controller);
 /* Handles an HTTP request, which need not outlive the call. It is answered exactly once, through world.answer(slot). */
--- a/src/controller/members.c
+++ b/src/controller/members.c
@@ -21,21 +21,22 @@
 /* Records a request to join, at the leader. If the table is full, the oldest request is replaced. */
 void members_on_join(struct controller *controller, const struct join *join)
 {
-    struct join_request *at = NULL, *oldest = &controller->join_requests[0];
+    struct join_request *entry = NULL, *oldest = &controller->join_requests[0];
     if (!join->zone)
         return;
     for (int64_t i = 0; i < controller->n_join_requests; i++) {
         if (controller->join_requests[i].heard_ms < oldest->heard_ms)
             oldest = &controller->join_requests[i];
         if (controller->join_requests[i].join.addr == join->addr)
-            at = &controller->join_requests[i];
+            entry = &controller->join_requests[i];
     }
-    if (!at)
-        at = controller->n_join_requests < JOIN_REQUESTS_MAX ? &controller->join_requests[controller->n_join_requests++]
-                                                             : oldest;
-    schema_free(&join_schema, &at->join);
-    schema_copy(&join_schema, &at->join, join);
-    at->heard_ms = world_ms(controller->w);
+    if (!entry)
+        entry = controller->n_join_requests < JOIN_REQUESTS_MAX
+                    ? &controller->join_requests[controller->n_join_requests++]
+                    : oldest;
+    schema_free(&join_schema, &entry->join);
+    schema_copy(&join_schema, &entry->join, join);
+    entry->heard_ms = world_ms(controller->w);
 }
 
 /* Whether a process with another identity, which means another disk, has asked to join from the member's address since
--- a/src/controller/relay.c
+++ b/src/controller/relay.c
@@ -224,10 +224,10 @@
         on_response(controller, ticket / 2, (int64_t)controller->w->self, response);
         return;
     }
-    struct served_request *at = slab_at(&controller->served, ticket / 2);
-    if (!at)
+    struct served_request *entry = slab_at(&controller->served, ticket / 2);
+    if (!entry)
         return;
-    struct served_request served = *at;
+    struct served_request served = *entry;
     struct forwarded_response message = {.boot = served.boot, .ticket = served.ticket, .answer = *response};
     slab_free(&controller->served, ticket / 2);
     controller_send(controller, served.from, FRAME_RESPONSE, &forwarded_response_schema, &message);
