--- a/src/dispatch/plan.c
+++ b/src/dispatch/plan.c
@@ -16,7 +16,7 @@
 {
     plan_take_capacity(plan->round, candidate, entry_step(entry));
     plan->placements =
-        plan_array_reserve(plan->placements, &plan->round->cap_places, plan->n + 1, sizeof *plan->placements);
+        plan_array_reserve(plan->placements, &plan->round->cap_placements, plan->n + 1, sizeof *plan->placements);
     plan->placements[plan->n++] = (struct placement){.job = entry->job,
                                                      .repetition = entry->repetition,
                                                      .step = entry->step,
--- a/src/dispatch/plan_candidate.c
+++ b/src/dispatch/plan_candidate.c
@@ -42,21 +42,22 @@
 int64_t plan_candidate_capacity(const struct plan_round *round, int64_t candidate, const struct step_spec *step,
                                 int empty)
 {
-    const struct candidate *at = &round->in->candidates[candidate];
-    const struct plan_candidate *scratch = &round->candidates[candidate];
-    int64_t held = round->respect_reservations, cpu_milli = at->cpu_milli, memory_mb = at->memory_mb, gpus = at->gpus;
-    if (scratch->cost < 0)
+    const struct candidate *executor = &round->in->candidates[candidate];
+    const struct plan_candidate *rated = &round->candidates[candidate];
+    int64_t respect = round->respect_reservations, cpu_milli = executor->cpu_milli, memory_mb = executor->memory_mb,
+            gpus = executor->gpus;
+    if (rated->cost < 0)
         return 0;
     if (!empty) {
-        cpu_milli = at->cpu_free + scratch->freed_cpu - held * scratch->reserved_cpu;
-        memory_mb = at->memory_free + scratch->freed_memory - held * scratch->reserved_memory;
-        gpus = at->gpus_free + scratch->freed_gpus - held * scratch->reserved_gpus;
+        cpu_milli = executor->cpu_free + rated->freed_cpu - respect * rated->reserved_cpu;
+        memory_mb = executor->memory_free + rated->freed_memory - respect * rated->reserved_memory;
+        gpus = executor->gpus_free + rated->freed_gpus - respect * rated->reserved_gpus;
     }
     if (!fits(step, cpu_milli, memory_mb, gpus))
         return 0;
     int64_t n = fit_count(step, cpu_milli, memory_mb, gpus);
-    if (step->per_executor && n > step->per_executor - scratch->used)
-        n = step->per_executor > scratch->used ? step->per_executor - scratch->used : 0;
+    if (step->per_executor && n > step->per_executor - rated->used)
+        n = step->per_executor > rated->used ? step->per_executor - rated->used : 0;
     return n;
 }
 
@@ -99,9 +100,9 @@
     round->only_capacity = !step->per_executor;
     for (int64_t i = 0; i < round->in->n_candidates; i++) {
         const struct candidate *candidate = &round->in->candidates[i];
-        struct plan_candidate *scratch = &round->candidates[i];
-        scratch->used = 0;
-        scratch->cost = scratch->service == entry->service && candidate->open ? cost_of(round, candidate, step) : -1;
+        struct plan_candidate *rated = &round->candidates[i];
+        rated->used = 0;
+        rated->cost = rated->service == entry->service && candidate->open ? cost_of(round, candidate, step) : -1;
     }
     if (!step->per_executor)
         return;
@@ -143,11 +144,11 @@
     int64_t best = -1, best_cost = 0, best_free_share = 0;
     for (int64_t i = 0; i < round->in->n_candidates; i++) {
         const struct candidate *candidate = &round->in->candidates[i];
-        const struct plan_candidate *scratch = &round->candidates[i];
-        if (scratch->cost < 0 || candidate->cpu_free < step->cpu_milli)
+        const struct plan_candidate *rated = &round->candidates[i];
+        if (rated->cost < 0 || candidate->cpu_free < step->cpu_milli)
             continue;
         /* at equal cost, executors with GPUs are left to steps that request GPUs */
-        int64_t cost = scratch->cost / COST_STEP_PCT * 2 + (!step->gpus && candidate->gpus);
+        int64_t cost = rated->cost / COST_STEP_PCT * 2 + (!step->gpus && candidate->gpus);
         if ((best >= 0 && cost > best_cost) || !plan_candidate_capacity(round, i, step, 0) ||
             (rack && !plan_text_equal(candidate->rack, rack)))
             continue;
@@ -187,20 +188,20 @@
 
 void plan_take_capacity(struct plan_round *round, int64_t candidate, const struct step_spec *step)
 {
-    struct candidate *at = &round->in->candidates[candidate];
-    at->cpu_free -= step->cpu_milli;
-    at->memory_free -= step->memory_mb;
-    at->gpus_free -= step->gpus;
+    struct candidate *executor = &round->in->candidates[candidate];
+    executor->cpu_free -= step->cpu_milli;
+    executor->memory_free -= step->memory_mb;
+    executor->gpus_free -= step->gpus;
     round->candidates[candidate].used++;
     round->services[round->candidates[candidate].service].free_cpu -= step->cpu_milli;
 }
 
 void plan_hold_capacity(struct plan_round *round, int64_t candidate, const struct step_spec *step, int64_t n)
 {
-    struct plan_candidate *scratch = &round->candidates[candidate];
-    scratch->reserved_cpu += n * step->cpu_milli;
-    scratch->reserved_memory += n * step->memory_mb;
-    scratch->reserved_gpus += n * step->gpus;
+    struct plan_candidate *rated = &round->candidates[candidate];
+    rated->reserved_cpu += n * step->cpu_milli;
+    rated->reserved_memory += n * step->memory_mb;
+    rated->reserved_gpus += n * step->gpus;
 }
 
 void plan_reserve_capacity(struct plan_round *round, const struct plan_entry *entry)
--- a/src/dispatch/plan_round.c
+++ b/src/dispatch/plan_round.c
@@ -67,8 +67,9 @@
         round->queue_service[i] = service_of(round, record->queues[i].config.service, 0);
 }
 
-/* The target of a job: how many ms after its submission (or due time) it must end to be in time. Fills chain_ms with
- * the duration of the longest chain of steps from each step on. Both follow from the estimates of the steps. */
+/* The target of a job: how many ms after its submission (or due time) it must end to be in time. It follows from
+ * stretch_pct, target_ms and the longest chain of steps. Fills chain_ms with the estimated duration of the longest
+ * chain from each step on. */
 static int64_t job_target_ms(const struct record *record, const struct job *job, int64_t chain_ms[STEPS_MAX])
 {
     int64_t longest = 0;
--- a/src/dispatch/plan_round.h
+++ b/src/dispatch/plan_round.h
@@ -55,7 +55,7 @@
     int64_t n_services, n_entries, n_rows, n_busy;
     int64_t respect_reservations; /* the current entry must not use capacity that is reserved for others */
     int64_t only_capacity;        /* candidates were unsuitable for the last rated step only for lack of capacity */
-    int64_t cap_services, cap_candidates, cap_entries, cap_queues, cap_incarnations, cap_rows, cap_places;
+    int64_t cap_services, cap_candidates, cap_entries, cap_queues, cap_incarnations, cap_rows, cap_placements;
 };
 
 /* plan_round.c */
--- a/src/dispatch/plan_victims.c
+++ b/src/dispatch/plan_victims.c
@@ -120,14 +120,14 @@
 /* By candidate, then by loss, the smallest first. */
 static int compare_by_candidate_and_loss(const void *a, const void *b)
 {
-    const struct victim_option *x = a, *y = b;
-    if (x->candidate != y->candidate)
-        return x->candidate < y->candidate ? -1 : 1;
-    if (x->loss != y->loss)
-        return x->loss < y->loss ? -1 : 1;
-    if (x->job->index != y->job->index)
-        return x->job->index < y->job->index ? -1 : 1;
-    return x->row_index < y->row_index ? -1 : x->row_index > y->row_index;
+    const struct victim_option *left = a, *right = b;
+    if (left->candidate != right->candidate)
+        return left->candidate < right->candidate ? -1 : 1;
+    if (left->loss != right->loss)
+        return left->loss < right->loss ? -1 : 1;
+    if (left->job->index != right->job->index)
+        return left->job->index < right->job->index ? -1 : 1;
+    return left->row_index < right->row_index ? -1 : left->row_index > right->row_index;
 }
 
 static int may_preempt(const struct victim_search *search, const struct victim_option *option, int64_t priority,
@@ -160,33 +160,33 @@
 {
     const struct step_spec *step = entry_step(entry);
     int64_t priority = JOB_EFFECTIVE_RULE(search->round->in->record, entry->job, priority);
-    int64_t want = plan_candidate_capacity(search->round, candidate, step, 0) + 1, loss = 0, n = 0, n_taken = 0,
+    int64_t want = plan_candidate_capacity(search->round, candidate, step, 0) + 1, loss = 0, n = 0, n_picked = 0,
             enough = 0;
-    struct victim_option *taken[64];
+    struct victim_option *picked[64];
     for (int64_t i = search->round->candidates[candidate].mark; i >= 0 && i < search->n && !enough; i++) {
         struct victim_option *option = &search->items[i];
-        if (option->candidate != candidate || n_taken == COUNT_OF(taken))
+        if (option->candidate != candidate || n_picked == COUNT_OF(picked))
             break;
         if (!may_preempt(search, option, priority, gangs))
             continue;
         n += option_choose(search, option, 1);
-        taken[n_taken++] = option;
+        picked[n_picked++] = option;
         enough = plan_candidate_capacity(search->round, candidate, step, 0) >= want;
     }
-    for (int64_t i = n_taken - 1; i >= 0; i--) {
-        int64_t rows = option_choose(search, taken[i], -1);
+    for (int64_t i = n_picked - 1; i >= 0; i--) {
+        int64_t rows = option_choose(search, picked[i], -1);
         if (enough && plan_candidate_capacity(search->round, candidate, step, 0) >= want) {
             n -= rows;
-            taken[i] = NULL;
+            picked[i] = NULL;
         } else {
-            option_choose(search, taken[i], 1);
-            loss += taken[i]->loss;
+            option_choose(search, picked[i], 1);
+            loss += picked[i]->loss;
         }
     }
     enough = enough && n <= search->left;
-    for (int64_t i = 0; i < n_taken; i++)
-        if (taken[i] && !(enough && keep))
-            option_choose(search, taken[i], -1);
+    for (int64_t i = 0; i < n_picked; i++)
+        if (picked[i] && !(enough && keep))
+            option_choose(search, picked[i], -1);
     if (enough && keep)
         search->left -= n;
     return enough ? loss : -1;
--- a/tests/unit/plan_random_test.cc
+++ b/tests/unit/plan_random_test.cc
@@ -5,9 +5,9 @@
 {
 
 struct Random {
-    std::mt19937 g;
-    explicit Random(unsigned seed) : g(seed) {}
-    int64_t below(int64_t n) { return (int64_t)(g() % (uint64_t)n); }
+    std::mt19937 engine;
+    explicit Random(unsigned seed) : engine(seed) {}
+    int64_t below(int64_t n) { return (int64_t)(engine() % (uint64_t)n); }
     bool one_in(int64_t n) { return below(n) == 0; }
 };
 
@@ -66,13 +66,13 @@
     }
 }
 
-bool holds(const candidate &s, const step_spec &k, bool total)
+bool holds(const candidate &s, const step_spec &spec, bool total)
 {
-    bool labelled = !k.label;
+    bool labelled = !spec.label;
     for (int64_t i = 0; i < s.n_labels; i++)
-        labelled |= !strcmp(s.labels[i], k.label ? k.label : "");
-    return labelled && s.open && k.cpu_milli <= (total ? s.cpu_milli : s.cpu_free) &&
-           k.memory_mb <= (total ? s.memory_mb : s.memory_free) && k.gpus <= (total ? s.gpus : s.gpus_free);
+        labelled |= !strcmp(s.labels[i], spec.label ? spec.label : "");
+    return labelled && s.open && spec.cpu_milli <= (total ? s.cpu_milli : s.cpu_free) &&
+           spec.memory_mb <= (total ? s.memory_mb : s.memory_free) && spec.gpus <= (total ? s.gpus : s.gpus_free);
 }
 
 // Checks each placement, and all of them together against the candidates as they were before the round.
@@ -88,21 +88,21 @@
         job_row_position(j, at->row_index, &repetition, &step, &index);
         ASSERT_EQ(repetition, at->repetition);
         ASSERT_EQ(step, at->step);
-        const step_spec &k = j->spec.steps[step];
+        const step_spec &spec = j->spec.steps[step];
         EXPECT_FALSE(job_over(j)) << "a job that is over";
         EXPECT_TRUE(seen.insert({j, at->row_index}).second) << "a row twice";
         EXPECT_EQ(j->rows[at->row_index].state, ROW_WAITING);
         EXPECT_FALSE(t.busy.count({j, at->row_index})) << "a busy row";
         EXPECT_GT(at->attempt, j->rows[at->row_index].attempt);
         EXPECT_LE(job_due_ms(j, repetition), t.wall_ms + EARLY) << "before it is due";
-        for (int64_t d = 0; d < k.n_depends_on; d++)
-            for (int64_t n = 0; n < j->spec.steps[k.depends_on[d]].task_count; n++)
-                EXPECT_EQ(j->rows[repetition * j->tasks + j->first[k.depends_on[d]] + n].state, ROW_DONE)
+        for (int64_t d = 0; d < spec.n_depends_on; d++)
+            for (int64_t n = 0; n < j->spec.steps[spec.depends_on[d]].task_count; n++)
+                EXPECT_EQ(j->rows[repetition * j->tasks + j->first[spec.depends_on[d]] + n].state, ROW_DONE)
                     << "a dependency is not done";
         candidate &s = after[(size_t)at->candidate];
         EXPECT_STREQ(s.service, t.r.queues[j->queue].config.service);
-        EXPECT_TRUE(holds(s, k, true)) << "label, open or capacity";
-        s.cpu_free -= k.cpu_milli, s.memory_free -= k.memory_mb, s.gpus_free -= k.gpus;
+        EXPECT_TRUE(holds(s, spec, true)) << "label, open or capacity";
+        s.cpu_free -= spec.cpu_milli, s.memory_free -= spec.memory_mb, s.gpus_free -= spec.gpus;
         groups[{j, repetition, step}].push_back(at);
     }
     for (size_t i = 0; i < after.size(); i++) {
@@ -115,20 +115,21 @@
     }
     for (auto &[key, placements] : groups) {
         auto [j, repetition, step] = key;
-        const step_spec &k = j->spec.steps[step];
-        if (k.gang) {
-            EXPECT_EQ((int64_t)placements.size(), k.task_count) << "only part of a gang";
+        const step_spec &spec = j->spec.steps[step];
+        if (spec.gang) {
+            EXPECT_EQ((int64_t)placements.size(), spec.task_count) << "only part of a gang";
             for (const placement *at : placements)
                 EXPECT_EQ(at->attempt, placements[0]->attempt);
         }
         std::map<int64_t, int64_t> used;
-        for (int64_t n = 0; n < k.task_count; n++) {
-            const row &w = j->rows[repetition * j->tasks + j->first[step] + n];
-            if (w.state == ROW_PLACED)
-                used[w.incarnation]++;
+        for (int64_t n = 0; n < spec.task_count; n++) {
+            const row &other = j->rows[repetition * j->tasks + j->first[step] + n];
+            if (other.state == ROW_PLACED)
+                used[other.incarnation]++;
         }
         for (const placement *at : placements)
-            EXPECT_TRUE(++used[t.candidates[(size_t)at->candidate].incarnation_no] <= k.per_executor || !k.per_executor)
+            EXPECT_TRUE(++used[t.candidates[(size_t)at->candidate].incarnation_no] <= spec.per_executor ||
+                        !spec.per_executor)
                 << "more than per_executor on one executor";
     }
     EXPECT_TRUE(t.p.n <= t.max_placements || groups.size() == 1) << "more than the limit of the round";
@@ -145,16 +146,16 @@
         for (int64_t row_index = 0; row_index < j->repetitions * j->tasks && !job_over(j); row_index++) {
             int64_t repetition, step, index;
             job_row_position(j, row_index, &repetition, &step, &index);
-            const step_spec &k = j->spec.steps[step];
+            const step_spec &spec = j->spec.steps[step];
             if (j->rows[row_index].state != ROW_WAITING || placed.count({j, row_index}) ||
-                t.busy.count({j, row_index}) || k.gang || k.per_executor || !job_step_is_ready(j, repetition, step) ||
-                job_due_ms(j, repetition) > t.wall_ms)
+                t.busy.count({j, row_index}) || spec.gang || spec.per_executor ||
+                !job_step_is_ready(j, repetition, step) || job_due_ms(j, repetition) > t.wall_ms)
                 continue;
             left++;
             for (const candidate &s : t.candidates) {
                 bool stays = s.departs_ms == INT64_MAX;
                 bool other = strcmp(s.service, t.r.queues[j->queue].config.service) != 0;
-                EXPECT_FALSE(stays && !other && holds(s, k, false))
+                EXPECT_FALSE(stays && !other && holds(s, spec, false))
                     << "row " << row_index << " of job " << j->spec.id << " would fit";
             }
         }
@@ -213,16 +214,16 @@
         std::set<std::pair<job *, int64_t>> seen;
         EXPECT_LE((int64_t)v.size(), max_placements);
         int64_t least = INT64_MAX;
-        for (const victim &x : v) {
+        for (const victim &chosen : v) {
             int64_t repetition, step, index;
-            EXPECT_TRUE(seen.insert({x.job, x.row_index}).second);
-            EXPECT_EQ(x.job->rows[x.row_index].state, ROW_PLACED);
-            EXPECT_FALSE(job_over(x.job));
-            least = std::min(least, t.r.queues[x.job->queue].config.priority);
-            job_row_position(x.job, x.row_index, &repetition, &step, &index);
-            for (int64_t n = 0; x.job->spec.steps[step].gang && n < x.job->spec.steps[step].task_count; n++)
-                EXPECT_TRUE(std::count_if(v.begin(), v.end(), [&](const victim &y) {
-                    return y.job == x.job && y.row_index == x.row_index - index + n;
+            EXPECT_TRUE(seen.insert({chosen.job, chosen.row_index}).second);
+            EXPECT_EQ(chosen.job->rows[chosen.row_index].state, ROW_PLACED);
+            EXPECT_FALSE(job_over(chosen.job));
+            least = std::min(least, t.r.queues[chosen.job->queue].config.priority);
+            job_row_position(chosen.job, chosen.row_index, &repetition, &step, &index);
+            for (int64_t n = 0; chosen.job->spec.steps[step].gang && n < chosen.job->spec.steps[step].task_count; n++)
+                EXPECT_TRUE(std::count_if(v.begin(), v.end(), [&](const victim &member) {
+                    return member.job == chosen.job && member.row_index == chosen.row_index - index + n;
                 })) << "only part of a gang";
         }
         if (v.empty()) {
@@ -231,8 +232,8 @@
         }
         EXPECT_GT(least, 0);
         named++;
-        for (const victim &x : v)
-            t.move(x.job, x.row_index, ROW_WAITING);
+        for (const victim &chosen : v)
+            t.move(chosen.job, chosen.row_index, ROW_WAITING);
         t.round();
         int64_t helped = 0;
         for (int64_t i = 0; i < t.p.n; i++)
