--- a/tests/unit/record_model_test.cc
+++ b/tests/unit/record_model_test.cc
@@ -46,9 +46,9 @@
 
     explicit RandomOps(uint64_t seed) : random(seed) {}
     int64_t pick(int64_t n) { return (int64_t)(random() % (uint64_t)n); }
-    int64_t any_job() { return pick(40) - 3; }
+    int64_t random_job_id() { return pick(40) - 3; }
 
-    void some_config(Batch &b)
+    void add_random_config(Batch &b)
     {
         std::vector<Queue> list;
         for (const char *name : {"a", "b", "c", "d"})
@@ -59,20 +59,20 @@
         if (to >= 1)
             model.config(base, to, list);
     }
-    void some_job(Batch &b)
+    void add_random_job(Batch &b)
     {
-        int64_t id = any_job();
+        int64_t id = random_job_id();
         size_t spec = (size_t)pick((int64_t)specs.size());
         std::string queue(1, (char)('a' + pick(5)));
         b.job(now, id, specs[spec], queue);
         model.add(id, spec, queue, now);
     }
-    void some_place(Batch &b)
+    void add_random_place(Batch &b)
     {
         std::vector<run_ref> runs;
         std::string incarnation = "life-" + std::to_string(pick(12));
         for (int64_t n = 1 + pick(3); n > 0; n--) {
-            ModelJob *j = model.job(any_job());
+            ModelJob *j = model.job(random_job_id());
             if (!j || !j->has_rows)
                 continue;
             auto at = std::next(j->rows.begin(), pick((int64_t)j->rows.size()));
@@ -89,11 +89,11 @@
         b.place(now, incarnation, pick(5), runs);
         model.place(incarnation, runs, now);
     }
-    void some_ends(Batch &b)
+    void add_random_ends(Batch &b)
     {
         std::vector<End> ends;
         for (int64_t n = 1 + pick(4); n > 0; n--) {
-            ModelJob *j = model.job(any_job());
+            ModelJob *j = model.job(random_job_id());
             if (!j || !j->has_rows)
                 continue;
             auto at = std::next(j->rows.begin(), pick((int64_t)j->rows.size()));
@@ -106,22 +106,22 @@
         for (const End &e : ends)
             model.end(e, now);
     }
-    void some_op(Batch &b)
+    void add_random_op(Batch &b)
     {
         now += pick(5);
-        int64_t id = any_job(), kind = pick(100);
+        int64_t id = random_job_id(), kind = pick(100);
         if (kind < 3)
-            some_config(b);
+            add_random_config(b);
         else if (kind < 15)
-            some_job(b);
+            add_random_job(b);
         else if (kind < 18)
             b.cancel(now, id), model.cancel(id, now);
         else if (kind < 24)
             b.forget(now, {id, id + 1}), model.forget(id), model.forget(id + 1);
         else if (kind < 65)
-            some_place(b);
+            add_random_place(b);
         else
-            some_ends(b);
+            add_random_ends(b);
     }
 };
 
@@ -138,7 +138,7 @@
         for (int round = 0; round < 1200; round++) {
             Batch b;
             for (int64_t n = 1 + random_ops.pick(3); n > 0; n--)
-                random_ops.some_op(b);
+                random_ops.add_random_op(b);
             bytes packed = {};
             schema_pack(&record_batch_schema, &b.batch, &packed);
             record_result result = {};
