--- a/tests/sim/executor_test.cc
+++ b/tests/sim/executor_test.cc
@@ -210,7 +210,7 @@
         EXPECT_EQ(f.settle(load), 0);
         int64_t all = f.s.event_counts[EV_EXEC_START] - before, slow = 0;
         for (int i = 1; i <= 3; i++)
-            slow += f.executor(4 * i - 1)->core.executor.n_tombs + f.executor(4 * i - 1)->core.executor.n_ended;
+            slow += f.executor(4 * i - 1)->core.executor.n_tombstones + f.executor(4 * i - 1)->core.executor.n_ended;
         RecordProperty("slowShare", std::to_string(100 * slow / all));
         EXPECT_LT(slow * 100, all * 15); // 27 of a hundred by count
         EXPECT_GT(slow, 0);              // and still looked at now and then
