--- a/src/agent/agent_report.c
+++ b/src/agent/agent_report.c
@@ -27,7 +27,7 @@
         else if (work->state == WORK_REFUSED)
             report->refused[report->n_refused++] =
                 (struct run_refused){.job = run.job, .task = run.task, .attempt = run.attempt, .reason = work->reason};
-        else if (work->state == WORK_ABSENT)
+        else if (work->state == WORK_NEVER_RAN)
             report->ended[report->n_ended++] =
                 (struct run_ended){.job = run.job, .task = run.task, .attempt = run.attempt, .how = END_NEVER_RAN};
         else if (work->state != WORK_STARTED && work->state != WORK_CLOSED && !is_active)
--- a/src/agent/agent_state.h
+++ b/src/agent/agent_state.h
@@ -56,14 +56,14 @@
 
 /* Progress of an order to start or stop a run. */
 enum work_state {
-    WORK_START,   /* to be started, no response yet */
-    WORK_STARTED, /* start accepted: active until a poll sent later shows otherwise */
-    WORK_CHECK,   /* refused as outdated: a poll sent later shows whether the run ended there */
-    WORK_STOP,    /* to be stopped, no response yet */
-    WORK_STOPPED, /* stop accepted: waits for the run's end, or for a poll sent later that does not list the run */
-    WORK_REFUSED, /* refused, reported until acknowledged */
-    WORK_ABSENT,  /* never ran, reported as END_ABSENT until acknowledged */
-    WORK_CLOSED   /* acknowledged, kept for CLOSED_RETENTION_MS */
+    WORK_START,     /* to be started, no response yet */
+    WORK_STARTED,   /* start accepted: active until a poll sent later shows otherwise */
+    WORK_CHECK,     /* refused as outdated: a poll sent later shows whether the run ended there */
+    WORK_STOP,      /* to be stopped, no response yet */
+    WORK_STOPPED,   /* stop accepted: waits for the run's end, or for a poll sent later that does not list the run */
+    WORK_REFUSED,   /* refused, reported until acknowledged */
+    WORK_NEVER_RAN, /* never ran, reported as END_ABSENT until acknowledged */
+    WORK_CLOSED     /* acknowledged, kept for CLOSED_RETENTION_MS */
 };
 
 /* An order of the leader to start or stop one run. Invariants: there is one entry for each job, task and attempt; a
@@ -72,10 +72,10 @@
  * response. */
 struct work_item {
     struct run_start start;
-    int64_t state;         /* enum work_state */
-    int64_t reason;        /* WORK_REFUSED: enum start_refusal */
-    int64_t closed_absent; /* WORK_CLOSED: it was WORK_ABSENT before */
-    int64_t call_number;   /* number of the call in flight whose response settles it; 0: none */
+    int64_t state;            /* enum work_state */
+    int64_t reason;           /* WORK_REFUSED: enum start_refusal */
+    int64_t closed_never_ran; /* WORK_CLOSED: it was WORK_NEVER_RAN before */
+    int64_t call_number;      /* number of the call in flight whose response settles it; 0: none */
     int64_t start_uncertain, unavailable_retries, next_send_ms, retry_ms, response_number, response_ms, keep_until_ms;
     /* Orders in responses to heartbeats: whether the newest response carries it, and how many delivered ones did. */
     int64_t sent, delivered_count;
--- a/src/agent/agent_work_items.c
+++ b/src/agent/agent_work_items.c
@@ -45,7 +45,7 @@
 
 static void work_close(struct work_item *work, int64_t now)
 {
-    work->closed_absent = work->state == WORK_ABSENT;
+    work->closed_never_ran = work->state == WORK_NEVER_RAN;
     work->state = WORK_CLOSED;
     work->keep_until_ms = now + CLOSED_RETENTION_MS;
 }
@@ -53,7 +53,7 @@
 /* Handles an order for a run that is settled already: its outcome is reported once more, without a call. */
 static void work_reopen(struct agent *agent, struct work_item *work)
 {
-    work->state = work->closed_absent ? WORK_ABSENT : WORK_REFUSED;
+    work->state = work->closed_never_ran ? WORK_NEVER_RAN : WORK_REFUSED;
     agent->report_needed = 1;
 }
 
@@ -78,7 +78,7 @@
     if (work->state == WORK_CHECK)
         agent_work_refused(agent, work, REFUSED_OUTDATED);
     if (work->state == WORK_STOPPED) {
-        work->state = WORK_ABSENT;
+        work->state = WORK_NEVER_RAN;
         agent->report_needed = 1;
     }
     return work->state == WORK_STARTED;
@@ -169,7 +169,7 @@
             agent_work_stop(work, now);
         else if (is_pending(work))
             agent_work_drop(agent, work);
-        else if (work->state == WORK_REFUSED || work->state == WORK_ABSENT)
+        else if (work->state == WORK_REFUSED || work->state == WORK_NEVER_RAN)
             work_close(work, now);
     }
 }
@@ -197,9 +197,9 @@
     struct work_item *work = agent_work_find(agent, run->job, run->task, run->attempt);
     if (!work)
         work = work_add(agent, run->job, run->task, run->attempt, now);
-    if (work->state == WORK_STOP || work->state == WORK_STOPPED || work->state == WORK_ABSENT)
+    if (work->state == WORK_STOP || work->state == WORK_STOPPED || work->state == WORK_NEVER_RAN)
         return;
-    if (work->state == WORK_CLOSED && work->closed_absent)
+    if (work->state == WORK_CLOSED && work->closed_never_ran)
         work_reopen(agent, work);
     else
         agent_work_stop(work, now);
@@ -208,7 +208,7 @@
 void agent_end_acknowledged(struct agent *agent, const struct run_ref *run, int64_t now)
 {
     struct work_item *work = agent_work_find(agent, run->job, run->task, run->attempt);
-    if (work && (work->state == WORK_REFUSED || work->state == WORK_ABSENT))
+    if (work && (work->state == WORK_REFUSED || work->state == WORK_NEVER_RAN))
         work_close(work, now);
 }
 
--- a/src/executor/executor.c
+++ b/src/executor/executor.c
@@ -148,16 +148,16 @@
         return;
     executor->reporting = 0;
     json_t *json = status == 200 ? json_loadb(body, (size_t)len, 0, NULL) : NULL;
-    const char *executor_owner = json_string_value(json_object_get(json, "home"));
-    executor->home_addr = executor_owner ? (int64_t)addr_parse(executor_owner) : 0;
-    if (!executor_owner)
+    const char *owner = json_string_value(json_object_get(json, "home"));
+    executor->owner_addr = owner ? (int64_t)addr_parse(owner) : 0;
+    if (!owner)
         executor->next_report_ms = world_ms(executor->world) + REPORT_MS / 4;
     json_decref(json);
 }
 
 static void send_report(struct executor *executor, int64_t now_ms)
 {
-    int64_t to = executor->home_addr;
+    int64_t to = executor->owner_addr;
     if (!to && executor->n_seeds)
         to = executor->seeds[executor->next_seed++ % executor->n_seeds];
     char *body = state_text(executor);
@@ -322,7 +322,7 @@
     int64_t ticket_ms = orders->ticket <= world_ms(executor->world) ? orders->ticket : 0;
     if (orders->epoch > executor->state.epoch) {
         executor->state.epoch = orders->epoch;
-        executor->home_addr = orders->executor_owner ? (int64_t)addr_parse(orders->executor_owner) : 0;
+        executor->owner_addr = orders->executor_owner ? (int64_t)addr_parse(orders->executor_owner) : 0;
     }
     if (orders->incarnation != executor->state.incarnation)
         return;
--- a/src/executor/executor.h
+++ b/src/executor/executor.h
@@ -16,8 +16,9 @@
 typedef void exec_journal(void *arg, const struct exec_record *record);
 
 /* A task on this executor. lease_ms: when its lease expires, on the executor's clock. A lease counts from the ticket
- * that the executor issued and that the order carries. held: its capacity is reserved and it waits for a go.
- * Invariants: the capacity of a task is reserved until it has stopped; an attempt with a tombstone never starts. */
+ * that the executor issued and that the order carries. held: its capacity is reserved, and it waits for the go order of
+ * its gang. Invariants: the capacity of a task is reserved until it has stopped; an attempt with a tombstone never
+ * starts. */
 struct exec_work {
     struct exec_task task;
     int64_t end_ms, duration_ms, lease_ms, stop_ms, will_fail, stalls, held, since_ms;
@@ -28,7 +29,8 @@
     int64_t job, no, attempt, until_ms;
 };
 
-/* The executor. home_addr: the node that commands it, to which it reports; 0: unknown, it asks the seeds in turn. */
+/* The executor. owner_addr: its owner (src/executor_owner), which sends it orders and gets its reports; 0: unknown, it
+ * sends reports to the seeds in turn. */
 struct executor {
     struct world *world;
     struct exec_state state; /* its constant part and the counters; state_now() adds the rest */
@@ -39,7 +41,7 @@
     struct exec_tombstone *tombstones;
     int64_t n_tombstones;
     int64_t seeds[8], n_seeds, next_seed;
-    int64_t home_addr, next_report_ms, reporting, report_seq;
+    int64_t owner_addr, next_report_ms, reporting, report_seq;
     int64_t leave_at_ms;
     /* injected faults */
     int64_t fail_pct, stall_pct, slow_pct, stop_ms;
--- a/src/proc/main.c
+++ b/src/proc/main.c
@@ -16,7 +16,7 @@
     int needs;
 } roles[] = {
     {"keeper", "one of the three machines with a disk", role_keeper, NEED_LISTEN | NEED_HTTP | NEED_DATA},
-    {"node", "a machine that owns shards and commands executors", role_node, NEED_LISTEN | NEED_HTTP},
+    {"node", "a machine that owns shards and executors", role_node, NEED_LISTEN | NEED_HTTP},
     {"executor", "simulated executor", role_executor, NEED_HTTP | NEED_NAME},
     {"caller", "simulated caller", role_caller, 0},
 };
--- a/tests/unit/agent_heartbeat_orders_test.cc
+++ b/tests/unit/agent_heartbeat_orders_test.cc
@@ -128,7 +128,7 @@
     EXPECT_EQ(rig.how_ended(1), END_STOPPED);
 }
 
-TEST(AgentHeartbeatOrders, a_start_that_is_never_listed_ends_absent)
+TEST(AgentHeartbeatOrders, a_start_that_is_never_listed_never_ran)
 {
     HeartbeatRig rig;
     rig.settled();
@@ -147,7 +147,7 @@
     EXPECT_TRUE(rig.executor.starts.empty());
 }
 
-TEST(AgentHeartbeatOrders, absence_is_proven_only_by_delivered_responses)
+TEST(AgentHeartbeatOrders, only_delivered_responses_prove_that_a_run_never_ran)
 {
     HeartbeatRig rig;
     rig.settled();
--- a/tests/unit/agent_random_test.cc
+++ b/tests/unit/agent_random_test.cc
@@ -24,7 +24,7 @@
     };
     std::vector<Task> tasks{6};
     std::set<std::pair<int64_t, int64_t>> settled;
-    std::vector<struct run_ref> absent;
+    std::vector<struct run_ref> never_ran;
     struct SentStart {
         int64_t task, attempt;
         std::string incarnation;
@@ -60,16 +60,16 @@
         if (!report.present || !report.ready || report.epoch != rig.epoch)
             return;
         int64_t newest = 0;
-        absent.clear();
+        never_ran.clear();
         for (int64_t i = 0; i < report.n_ended; i++) {
             newest = std::max(newest, report.ended[i].seq);
             if (!report.ended[i].seq)
-                absent.push_back({1, report.ended[i].task, report.ended[i].attempt});
+                never_ran.push_back({1, report.ended[i].task, report.ended[i].attempt});
             settle_if_placed(report.ended[i].task, report.ended[i].attempt, report.executor.incarnation);
         }
         rig.seen = newest ? newest : rig.seen;
         for (int64_t i = 0; i < report.n_refused; i++) {
-            absent.push_back({1, report.refused[i].task, report.refused[i].attempt});
+            never_ran.push_back({1, report.refused[i].task, report.refused[i].attempt});
             settle_if_placed(report.refused[i].task, report.refused[i].attempt, report.executor.incarnation);
         }
     }
@@ -111,7 +111,7 @@
         rig.orders([&](struct agent_orders &message) {
             message.starts = starts.data(), message.n_starts = (int64_t)starts.size();
             message.stops = stops.data(), message.n_stops = (int64_t)stops.size();
-            message.ends_seen = absent.data(), message.n_ends_seen = (int64_t)absent.size();
+            message.ends_seen = never_ran.data(), message.n_ends_seen = (int64_t)never_ran.size();
         });
     }
     void settle_lapsed()
--- a/tests/unit/agent_test.cc
+++ b/tests/unit/agent_test.cc
@@ -206,7 +206,7 @@
     EXPECT_TRUE(rig.executor.starts.empty());
 }
 
-TEST(Agent, a_stop_of_a_run_that_never_started_is_reported_as_absent)
+TEST(Agent, a_stop_of_a_run_that_never_started_reports_that_it_never_ran)
 {
     Rig rig;
     rig.settled();
