--- a/src/node/follow.c
+++ b/src/node/follow.c
@@ -113,7 +113,7 @@
     if (updates->last_index > node->applied_index)
         node->applied_index = updates->last_index;
     if (node->applied_index < updates->commit)
-        node->updates_request_due_ms = 0; /* the reply was full: request the rest at once */
+        node->updates_request_due_ms = 0; /* the reply reached its limit: request the rest at once */
     else
         node->confirmed_ms = updates->sent_ms; /* admission counts from the request, not from the reply */
     apply_config_changes(node);
