--- a/src/node/api_views.c
+++ b/src/node/api_views.c
@@ -46,16 +46,14 @@
     static const char *const states[] = {"open", "silent", "leaving", "quarantine", "probation", "closed"};
     json_t *list = json_array();
     for (int64_t i = 0; i < node->n_executor_summaries; i++) {
-        const struct executor_summary *executor_summary = &node->executor_summaries[i];
-        const struct planned *drain =
-            config_tree_drain(&node->config_tree, executor_summary->executor, node_fleet_ms(node), 0);
-        json_t *item = json_pack(
-            "{s:s,s:s,s:s,s:s,s:o,s:I,s:I,s:I,s:I,s:I,s:I,s:I}", "executor", executor_summary->executor, "kind",
-            executor_summary->kind, "rack", executor_summary->rack, "state", states[executor_summary->state], "home",
-            addr_json(executor_summary->executor_owner), "epoch", (json_int_t)executor_summary->epoch, "incarnation",
-            (json_int_t)executor_summary->incarnation, "cores", (json_int_t)executor_summary->cores, "freeCores",
-            (json_int_t)executor_summary->free_cores, "slowPct", (json_int_t)executor_summary->slow_pct, "memMb",
-            (json_int_t)executor_summary->mem_mb, "freeMb", (json_int_t)executor_summary->free_mb);
+        const struct executor_summary *summary = &node->executor_summaries[i];
+        const struct planned *drain = config_tree_drain(&node->config_tree, summary->executor, node_fleet_ms(node), 0);
+        json_t *item = json_pack("{s:s,s:s,s:s,s:s,s:o,s:I,s:I,s:I,s:I,s:I,s:I,s:I}", "executor", summary->executor,
+                                 "kind", summary->kind, "rack", summary->rack, "state", states[summary->state], "home",
+                                 addr_json(summary->executor_owner), "epoch", (json_int_t)summary->epoch, "incarnation",
+                                 (json_int_t)summary->incarnation, "cores", (json_int_t)summary->cores, "freeCores",
+                                 (json_int_t)summary->free_cores, "slowPct", (json_int_t)summary->slow_pct, "memMb",
+                                 (json_int_t)summary->mem_mb, "freeMb", (json_int_t)summary->free_mb);
         if (drain)
             json_object_set_new(item, "drainedBy", json_string(drain->id));
         json_array_append_new(list, item);
