--- a/sim/cluster.c
+++ b/sim/cluster.c
@@ -9,73 +9,76 @@
 #include "agent/agent.h"
 #include "controller/controller.h"
 
-uint64_t cluster_random(struct cluster *c)
+uint64_t cluster_random(struct cluster *cluster)
 {
-    c->state += 0x9e3779b97f4a7c15ull;
-    return hash_mix(c->state, 0x2545f4914f6cdd1dull);
+    cluster->state += 0x9e3779b97f4a7c15ull;
+    return hash_mix(cluster->state, 0x2545f4914f6cdd1dull);
 }
 
-int64_t cluster_pick(struct cluster *c, int64_t n) { return n > 0 ? (int64_t)(cluster_random(c) % (uint64_t)n) : 0; }
-int64_t cluster_wall_ms(const struct cluster *c) { return CLUSTER_WALL_MS + c->now_us / 1000; }
+int64_t cluster_pick(struct cluster *cluster, int64_t n)
+{
+    return n > 0 ? (int64_t)(cluster_random(cluster) % (uint64_t)n) : 0;
+}
+int64_t cluster_wall_ms(const struct cluster *cluster) { return CLUSTER_WALL_MS + cluster->now_us / 1000; }
 
 /* --- the story ---------------------------------------------------------------- */
 
-void cluster_tell(struct cluster *c, int64_t job, const char *format, ...)
+void cluster_tell(struct cluster *cluster, int64_t job, const char *format, ...)
 {
     char text[400];
     va_list args;
     va_start(args, format);
     vsnprintf(text, sizeof text, format, args);
     va_end(args);
-    struct story_line *line = array_add(c->story, c->n_story);
-    line->at_us = c->now_us;
+    struct story_line *line = array_add(cluster->story, cluster->n_story);
+    line->at_us = cluster->now_us;
     line->job = job;
     line->text = must_dup(text);
-    if (c->trace)
-        fprintf(stderr, "%10.3f %s%s\n", (double)c->now_us / 1e6, job ? "  " : "", text);
+    if (cluster->trace)
+        fprintf(stderr, "%10.3f %s%s\n", (double)cluster->now_us / 1e6, job ? "  " : "", text);
 }
 
 /* The breaches, then all that happened to the cluster and to the job of the first. */
-char *cluster_story(const struct cluster *c)
+char *cluster_story(const struct cluster *cluster)
 {
     struct bytes to = {0};
-    bytes_printf(&to, "%lld breaches\n", (long long)c->n_breaches);
-    for (int64_t i = 0; i < c->n_breaches && i < 20; i++)
-        bytes_printf(&to, "  %s\n", c->breaches[i]);
-    for (int64_t i = 0; i < c->n_story; i++)
-        if (!c->story[i].job || c->story[i].job == c->breach_job)
-            bytes_printf(&to, "%10.3f %s%s\n", (double)c->story[i].at_us / 1e6, c->story[i].job ? "  " : "",
-                         c->story[i].text);
+    bytes_printf(&to, "%lld breaches\n", (long long)cluster->n_breaches);
+    for (int64_t i = 0; i < cluster->n_breaches && i < 20; i++)
+        bytes_printf(&to, "  %s\n", cluster->breaches[i]);
+    for (int64_t i = 0; i < cluster->n_story; i++)
+        if (!cluster->story[i].job || cluster->story[i].job == cluster->violation_job)
+            bytes_printf(&to, "%10.3f %s%s\n", (double)cluster->story[i].at_us / 1e6, cluster->story[i].job ? "  " : "",
+                         cluster->story[i].text);
     return (char *)to.at;
 }
 
 /* --- hosts -------------------------------------------------------------------- */
 
-struct host *cluster_add(struct cluster *c, enum host_kind kind, int with_disk, int zone)
+struct host *cluster_add(struct cluster *cluster, enum host_kind kind, int with_disk, int zone)
 {
     static struct world_calls calls;
-    struct host *h = must_alloc(sizeof *h);
+    struct host *host = must_alloc(sizeof *host);
     cluster_calls_net(&calls);
     cluster_calls_disk(&calls);
-    h->cluster = c;
-    h->kind = kind;
-    h->index = c->n;
-    h->with_disk = with_disk;
-    h->trouble_us = -CONTACT_MS * 1000LL;
-    h->base.calls = &calls;
-    h->base.self = (10ull << 40 | (uint64_t)zone << 32 | (uint64_t)(c->n + 1) << 24 | 1ull << 16) | 7000;
-    h->base.http_addr = h->base.self + 1000;
-    int64_t no = kind == HOST_CONTROLLER ? ++c->controllers : ++c->agents;
-    snprintf(h->name, sizeof h->name, "%s%d", kind == HOST_CONTROLLER ? with_disk ? "core" : "outer" : "agent",
+    host->cluster = cluster;
+    host->kind = kind;
+    host->index = cluster->n;
+    host->with_disk = with_disk;
+    host->trouble_us = -CONTACT_MS * 1000LL;
+    host->base.calls = &calls;
+    host->base.self = (10ull << 40 | (uint64_t)zone << 32 | (uint64_t)(cluster->n + 1) << 24 | 1ull << 16) | 7000;
+    host->base.http_addr = host->base.self + 1000;
+    int64_t no = kind == HOST_CONTROLLER ? ++cluster->controllers : ++cluster->agents;
+    snprintf(host->name, sizeof host->name, "%s%d", kind == HOST_CONTROLLER ? with_disk ? "core" : "outer" : "agent",
              (int)no);
-    snprintf(h->zone, sizeof h->zone, "z%d", zone);
-    snprintf(h->rack, sizeof h->rack, "z%d-%d", zone, (int)(no / 6) % 3);
+    snprintf(host->zone, sizeof host->zone, "z%d", zone);
+    snprintf(host->rack, sizeof host->rack, "z%d-%d", zone, (int)(no / 6) % 3);
     if (with_disk)
-        h->disk = cluster_disk_new(cluster_random(c));
+        host->disk = cluster_disk_new(cluster_random(cluster));
     if (kind == HOST_AGENT)
-        h->standin = standin_new(h, no - 1);
-    c->hosts[c->n++] = h;
-    return h;
+        host->standin = standin_new(host, no - 1);
+    cluster->hosts[cluster->n++] = host;
+    return host;
 }
 
 static const struct dispatch_settings dispatch_settings = {.lease_ms = LEASE_MS,
@@ -86,273 +89,278 @@
                                                            .restore_ms = RESTORE_MS};
 
 /* Random by host and generation: the seed's own sequence is that of the scenario. */
-static int64_t boot_now(struct host *h)
+static int64_t boot_now(struct host *host)
 {
-    return boot_of(h->base.calls->wall_ms(&h->base), hash_mix((uint64_t)h->base.self, (uint64_t)h->generation));
+    return boot_of(host->base.calls->wall_ms(&host->base),
+                   hash_mix((uint64_t)host->base.self, (uint64_t)host->generation));
 }
 
-static void boot_controller(struct host *h, int first_start)
+static void boot_controller(struct host *host, int first_start)
 {
-    struct cluster *c = h->cluster;
+    struct cluster *cluster = host->cluster;
     struct controller_setup setup = {.cluster = "sim",
-                                     .zone = h->zone,
-                                     .seeds = c->seeds,
-                                     .n_seeds = c->n_seeds,
-                                     .disk = h->with_disk,
+                                     .zone = host->zone,
+                                     .seeds = cluster->seeds,
+                                     .n_seeds = cluster->n_seeds,
+                                     .disk = host->with_disk,
                                      .first_start = first_start,
-                                     .machines_lost = c->machines_lost,
+                                     .machines_lost = cluster->machines_lost,
                                      .zones_lost = 0,
-                                     .boot = boot_now(h),
+                                     .boot = boot_now(host),
                                      .grace_ms = 6000,
                                      .dispatch = dispatch_settings,
-                                     .log = {.snapshot_every = c->log.snapshot_every,
-                                             .keep_entries = c->log.keep_entries,
-                                             .segment_bytes = c->log.segment_bytes},
+                                     .log = {.snapshot_every = cluster->log.snapshot_every,
+                                             .keep_entries = cluster->log.keep_entries,
+                                             .segment_bytes = cluster->log.segment_bytes},
                                      .codec = &cluster_api_codec};
-    h->controller = controller_new(&h->base, &setup);
-    if (!h->controller) {
-        cluster_tell(c, 0, "%s trusts its disk no more and ends", h->name);
-        h->up = 0;
+    host->controller = controller_new(&host->base, &setup);
+    if (!host->controller) {
+        cluster_tell(cluster, 0, "%s trusts its disk no more and ends", host->name);
+        host->up = 0;
     }
 }
 
-static void boot_agent(struct host *h)
+static void boot_agent(struct host *host)
 {
-    struct cluster *c = h->cluster;
+    struct cluster *cluster = host->cluster;
     struct agent_setup setup = {.cluster = "sim",
-                                .zone = h->zone,
-                                .seeds = c->seeds,
-                                .n_seeds = c->n_seeds,
-                                .boot = boot_now(h),
-                                .executor = (int64_t)h->base.self + 2000,
+                                .zone = host->zone,
+                                .seeds = cluster->seeds,
+                                .n_seeds = cluster->n_seeds,
+                                .boot = boot_now(host),
+                                .executor = (int64_t)host->base.self + 2000,
                                 .hold_max_ms = HOLD_MAX_MS,
                                 .stop_timeout_ms = STOP_MS,
                                 .grace_ms = 6000,
-                                .orders_by_heartbeat = c->orders_by_heartbeat,
+                                .orders_by_heartbeat = cluster->orders_by_heartbeat,
                                 .codec = &cluster_api_codec,
                                 .executor_codec = &cluster_executor_codec};
-    h->agent = agent_new(&h->base, &setup);
+    host->agent = agent_new(&host->base, &setup);
 }
 
-void host_trouble(struct host *h)
+void host_trouble(struct host *host)
 {
-    struct cluster *c = h->cluster;
-    h->trouble_us = c->trouble_us = c->now_us;
-    if (h->kind == HOST_CONTROLLER)
-        c->core_trouble_us = c->now_us;
+    struct cluster *cluster = host->cluster;
+    host->trouble_us = cluster->trouble_us = cluster->now_us;
+    if (host->kind == HOST_CONTROLLER)
+        cluster->last_controller_fault_us = cluster->now_us;
 }
 
-void cluster_core_trouble(struct cluster *c) { c->core_trouble_us = c->trouble_us = c->now_us; }
+void cluster_core_trouble(struct cluster *cluster)
+{
+    cluster->last_controller_fault_us = cluster->trouble_us = cluster->now_us;
+}
 
-void host_boot(struct host *h, int first_start)
+void host_boot(struct host *host, int first_start)
 {
-    struct cluster *c = h->cluster;
-    if (h->gone || h->up)
+    struct cluster *cluster = host->cluster;
+    if (host->gone || host->up)
         return;
-    h->generation++;
-    h->born_us = c->now_us;
-    h->up = 1;
-    h->frozen = h->leaving = h->thaw_us = 0;
-    h->busy_until_us = h->stall_us = h->flush_due = 0;
-    if (h->ever_up) {
-        cluster_tell(c, 0, "%s starts", h->name);
-        host_trouble(h);
+    host->generation++;
+    host->born_us = cluster->now_us;
+    host->up = 1;
+    host->frozen = host->leaving = host->thaw_us = 0;
+    host->busy_until_us = host->stall_us = host->flush_due = 0;
+    if (host->ever_up) {
+        cluster_tell(cluster, 0, "%s starts", host->name);
+        host_trouble(host);
     }
-    h->ever_up = 1;
-    if (h->kind == HOST_CONTROLLER)
-        boot_controller(h, first_start);
+    host->ever_up = 1;
+    if (host->kind == HOST_CONTROLLER)
+        boot_controller(host, first_start);
     else
-        boot_agent(h);
-    if (!h->up) /* it ended at once */
+        boot_agent(host);
+    if (!host->up) /* it ended at once */
         return;
-    h->busy_until_us = c->now_us + h->stall_us;
-    h->stall_us = 0;
+    host->busy_until_us = cluster->now_us + host->stall_us;
+    host->stall_us = 0;
     struct cluster_event *on_timer = must_alloc(sizeof *on_timer);
-    on_timer->kind = CEV_ON_TIMER;
-    on_timer->to = h;
-    on_timer->generation = h->generation;
-    cluster_push(c, on_timer, c->now_us + cluster_pick(c, CLUSTER_ON_TIMER_US));
+    on_timer->kind = CLUSTER_EVENT_TIMER;
+    on_timer->to = host;
+    on_timer->generation = host->generation;
+    cluster_push(cluster, on_timer, cluster->now_us + cluster_pick(cluster, CLUSTER_ON_TIMER_US));
 }
 
-void host_end(struct host *h)
+void host_end(struct host *host)
 {
-    if (h->controller)
-        controller_free(h->controller);
-    if (h->agent)
-        agent_free(h->agent);
-    h->controller = NULL;
-    h->agent = NULL;
+    if (host->controller)
+        controller_free(host->controller);
+    if (host->agent)
+        agent_free(host->agent);
+    host->controller = NULL;
+    host->agent = NULL;
 }
 
-void host_kill(struct host *h, int power)
+void host_kill(struct host *host, int power)
 {
-    if (h->up) {
-        cluster_tell(h->cluster, 0, "%s dies%s", h->name, power ? " with its power" : "");
-        h->up = 0;
-        h->generation++;
-        host_end(h);
+    if (host->up) {
+        cluster_tell(host->cluster, 0, "%s dies%s", host->name, power ? " with its power" : "");
+        host->up = 0;
+        host->generation++;
+        host_end(host);
     }
-    host_trouble(h);
-    if (power && h->disk)
-        cluster_disk_power_loss(h->disk);
+    host_trouble(host);
+    if (power && host->disk)
+        cluster_disk_power_loss(host->disk);
 }
 
-void host_restart(struct host *h)
+void host_restart(struct host *host)
 {
-    if (h->up)
-        host_kill(h, 0);
-    host_boot(h, 0);
+    if (host->up)
+        host_kill(host, 0);
+    host_boot(host, 0);
 }
 
-static void boot_again(struct cluster *c, void *arg, int64_t n)
+static void boot_again(struct cluster *cluster, void *arg, int64_t n)
 {
-    (void)c, (void)n;
+    (void)cluster, (void)n;
     host_boot(arg, 0);
 }
 
-static void leave_over(struct cluster *c, void *arg, int64_t n)
+static void finish_leaving(struct cluster *cluster, void *arg, int64_t n)
 {
-    struct host *h = arg;
-    if (!h->up || !h->leaving)
+    struct host *host = arg;
+    if (!host->up || !host->leaving)
         return;
-    int left = h->controller ? controller_left(h->controller) : agent_left(h->agent);
+    int left = host->controller ? controller_left(host->controller) : agent_left(host->agent);
     if (!left && n > 0) {
-        cluster_at(c, 50, leave_over, h, n - 50);
+        cluster_at(cluster, 50, finish_leaving, host, n - 50);
         return;
     }
     if (!left)
-        cluster_tell(c, 0, "%s has not left in time", h->name);
-    host_kill(h, 0);
-    cluster_at(c, 300, boot_again, h, 0);
+        cluster_tell(cluster, 0, "%s has not left in time", host->name);
+    host_kill(host, 0);
+    cluster_at(cluster, 300, boot_again, host, 0);
 }
 
-void host_leave(struct host *h)
+void host_leave(struct host *host)
 {
-    if (!h->up || h->leaving)
+    if (!host->up || host->leaving)
         return;
-    cluster_tell(h->cluster, 0, "%s is asked to stop", h->name);
-    host_trouble(h);
-    h->leaving = 1;
-    if (h->controller)
-        controller_leave(h->controller);
+    cluster_tell(host->cluster, 0, "%s is asked to stop", host->name);
+    host_trouble(host);
+    host->leaving = 1;
+    if (host->controller)
+        controller_leave(host->controller);
     else
-        agent_leave(h->agent);
-    cluster_at(h->cluster, 50, leave_over, h, 6000);
+        agent_leave(host->agent);
+    cluster_at(host->cluster, 50, finish_leaving, host, 6000);
 }
 
-void host_wipe(struct host *h)
+void host_wipe(struct host *host)
 {
-    cluster_tell(h->cluster, 0, "%s loses its disk", h->name);
-    if (h->disk)
-        cluster_disk_clear(h->disk);
+    cluster_tell(host->cluster, 0, "%s loses its disk", host->name);
+    if (host->disk)
+        cluster_disk_clear(host->disk);
 }
 
-void host_disk_copy(struct host *h)
+void host_disk_copy(struct host *host)
 {
-    if (!h->disk_copy)
-        h->disk_copy = cluster_disk_new(1);
-    cluster_disk_copy(h->disk_copy, h->disk);
+    if (!host->disk_copy)
+        host->disk_copy = cluster_disk_new(1);
+    cluster_disk_copy(host->disk_copy, host->disk);
 }
 
-void host_disk_rewind(struct host *h)
+void host_disk_rewind(struct host *host)
 {
-    cluster_tell(h->cluster, 0, "%s gets an old copy of its disk", h->name);
-    cluster_disk_copy(h->disk, h->disk_copy);
+    cluster_tell(host->cluster, 0, "%s gets an old copy of its disk", host->name);
+    cluster_disk_copy(host->disk, host->disk_copy);
 }
 
-static void thaw(struct cluster *c, void *arg, int64_t n)
+static void thaw(struct cluster *cluster, void *arg, int64_t n)
 {
-    struct host *h = arg;
+    struct host *host = arg;
     (void)n;
-    if (!h->frozen || c->now_us < h->thaw_us)
+    if (!host->frozen || cluster->now_us < host->thaw_us)
         return;
-    cluster_tell(c, 0, "%s thaws", h->name);
-    h->frozen = 0;
-    host_trouble(h);
+    cluster_tell(cluster, 0, "%s thaws", host->name);
+    host->frozen = 0;
+    host_trouble(host);
 }
 
-void host_freeze(struct host *h, int64_t for_ms)
+void host_freeze(struct host *host, int64_t for_ms)
 {
-    cluster_tell(h->cluster, 0, "%s freezes for %lld ms", h->name, (long long)for_ms);
-    h->frozen = 1;
-    int64_t thaw_us = h->cluster->now_us + for_ms * 1000;
-    h->thaw_us = thaw_us > h->thaw_us ? thaw_us : h->thaw_us;
-    host_trouble(h);
-    cluster_at(h->cluster, for_ms, thaw, h, 0);
+    cluster_tell(host->cluster, 0, "%s freezes for %lld ms", host->name, (long long)for_ms);
+    host->frozen = 1;
+    int64_t thaw_us = host->cluster->now_us + for_ms * 1000;
+    host->thaw_us = thaw_us > host->thaw_us ? thaw_us : host->thaw_us;
+    host_trouble(host);
+    cluster_at(host->cluster, for_ms, thaw, host, 0);
 }
 
-void host_skew(struct host *h, int64_t by_ms)
+void host_skew(struct host *host, int64_t by_ms)
 {
-    cluster_tell(h->cluster, 0, "time of day of %s jumps by %lld ms", h->name, (long long)by_ms);
-    h->cluster->clocks_jump = 1;
-    h->skew_ms += by_ms;
-    host_trouble(h);
+    cluster_tell(host->cluster, 0, "time of day of %s jumps by %lld ms", host->name, (long long)by_ms);
+    host->cluster->clocks_jump = 1;
+    host->skew_ms += by_ms;
+    host_trouble(host);
 }
 
 /* Reaches fewer of the core than all but one. */
-static int apart(const struct cluster *c, const struct host *h)
+static int is_partitioned(const struct cluster *cluster, const struct host *host)
 {
     int64_t reached = 0, running = 0;
-    for (int64_t i = 0; i < c->n; i++) {
-        const struct host *to = c->hosts[i];
-        if (to->kind != HOST_CONTROLLER || !to->with_disk || to->gone || to == h)
+    for (int64_t i = 0; i < cluster->n; i++) {
+        const struct host *to = cluster->hosts[i];
+        if (to->kind != HOST_CONTROLLER || !to->with_disk || to->gone || to == host)
             continue;
         running++;
-        reached += to->up && !c->cut[h->index][i] && !c->cut[i][h->index];
+        reached += to->up && !cluster->cut[host->index][i] && !cluster->cut[i][host->index];
     }
     return reached < running - 1 || reached == 0;
 }
 
-int cluster_in_touch(const struct cluster *c, const struct host *h)
+int cluster_is_reachable(const struct cluster *cluster, const struct host *host)
 {
-    return h->up && !h->frozen && !apart(c, h) && c->now_us - h->trouble_us > CONTACT_MS * 1000LL &&
-           c->now_us - c->core_trouble_us > CONTACT_MS * 1000LL;
+    return host->up && !host->frozen && !is_partitioned(cluster, host) &&
+           cluster->now_us - host->trouble_us > CONTACT_MS * 1000LL &&
+           cluster->now_us - cluster->last_controller_fault_us > CONTACT_MS * 1000LL;
 }
 
-uint64_t host_founders(const struct host *h)
+uint64_t host_founders(const struct host *host)
 {
-    return h->up && h->controller ? controller_bootstrap_hash(h->controller) : 0;
+    return host->up && host->controller ? controller_bootstrap_hash(host->controller) : 0;
 }
 
-uint64_t host_agreed(const struct host *h)
+uint64_t host_agreed(const struct host *host)
 {
-    return h->up && h->controller ? controller_chosen_hash(h->controller) : 0;
+    return host->up && host->controller ? controller_chosen_hash(host->controller) : 0;
 }
 
-struct host *cluster_leader(struct cluster *c)
+struct host *cluster_leader(struct cluster *cluster)
 {
-    for (int64_t i = 0; i < c->n; i++)
-        if (c->hosts[i]->up && c->hosts[i]->controller && controller_leads(c->hosts[i]->controller))
-            return c->hosts[i];
+    for (int64_t i = 0; i < cluster->n; i++)
+        if (cluster->hosts[i]->up && cluster->hosts[i]->controller && controller_leads(cluster->hosts[i]->controller))
+            return cluster->hosts[i];
     return NULL;
 }
 
-struct host *cluster_controller(struct cluster *c, int64_t n)
+struct host *cluster_controller(struct cluster *cluster, int64_t n)
 {
-    for (int64_t i = 0; i < c->n; i++)
-        if (c->hosts[i]->kind == HOST_CONTROLLER && !c->hosts[i]->gone && n-- == 0)
-            return c->hosts[i];
+    for (int64_t i = 0; i < cluster->n; i++)
+        if (cluster->hosts[i]->kind == HOST_CONTROLLER && !cluster->hosts[i]->gone && n-- == 0)
+            return cluster->hosts[i];
     return NULL;
 }
 
-struct host *cluster_any_controller(struct cluster *c)
+struct host *cluster_any_controller(struct cluster *cluster)
 {
     int64_t n = 0;
-    while (cluster_controller(c, n))
+    while (cluster_controller(cluster, n))
         n++;
-    return cluster_controller(c, cluster_pick(c, n));
+    return cluster_controller(cluster, cluster_pick(cluster, n));
 }
 
-struct host *cluster_replace(struct host *gone)
+struct host *cluster_replace(struct host *old)
 {
-    struct cluster *c = gone->cluster;
-    host_kill(gone, 1);
-    gone->gone = 1;
-    struct host *fresh = cluster_add(c, gone->kind, (int)gone->with_disk, gone->zone[1] - '0');
-    cluster_tell(c, 0, "%s stands in place of %s, empty", fresh->name, gone->name);
-    for (int64_t i = 0; i < c->n_seeds; i++)
-        if (c->seeds[i] == (int64_t)gone->base.self)
-            c->seeds[i] = (int64_t)fresh->base.self;
+    struct cluster *cluster = old->cluster;
+    host_kill(old, 1);
+    old->gone = 1;
+    struct host *fresh = cluster_add(cluster, old->kind, (int)old->with_disk, old->zone[1] - '0');
+    cluster_tell(cluster, 0, "%s stands in place of %s, empty", fresh->name, old->name);
+    for (int64_t i = 0; i < cluster->n_seeds; i++)
+        if (cluster->seeds[i] == (int64_t)old->base.self)
+            cluster->seeds[i] = (int64_t)fresh->base.self;
     fresh->ever_up = 1;
     host_boot(fresh, 0);
     return fresh;
--- a/sim/cluster.h
+++ b/sim/cluster.h
@@ -13,7 +13,7 @@
 
 enum { CLUSTER_ON_TIMER_US = 20000, STANDIN_ON_TIMER_US = 5000 };
 enum host_kind { HOST_CONTROLLER, HOST_AGENT };
-enum standin_end { RUN_DONE = 1, RUN_FAILED, RUN_STOPPED, RUN_LAPSED, RUN_BROKEN, RUN_ALONE };
+enum standin_end { RUN_DONE = 1, RUN_FAILED, RUN_STOPPED, RUN_LEASE_EXPIRED, RUN_GANG_BROKEN, RUN_GANG_TIMEOUT };
 
 /* Bounds the judge goes by, and what the cores are given. */
 enum {
@@ -71,33 +71,33 @@
 };
 /* An end of a run. noted: the executor was told that the leader knows it; lapsed: its lease ended before that. */
 struct seen_end {
-    int64_t at_us, attempt, executor, generation, seq, how, noted, lapsed;
+    int64_t at_us, attempt, executor, generation, seq, how, acknowledged, lease_expired;
 };
 /* One task, in one repetition of its job. */
-struct board_row {
+struct tracked_task {
     struct seen_start *starts;
     struct seen_end *ends;
-    int64_t n_starts, n_ends, saved_ms, told; /* told: breaches of it already in the report */
+    int64_t n_starts, n_ends, checkpoint_ms, reported; /* told: breaches of it already in the report */
 };
 /* A gang's run over all executors. */
-struct board_gang {
-    int64_t time, step, attempt, began_us, need_us, broken, over, started;
+struct tracked_gang {
+    int64_t repetition, step, attempt, began_us, required_us, broken, finished, started;
     char *checkpoint;
 };
 /* A job. Times are 0, or -1 for those of the first answers, until they come; shown: the newest state a caller saw;
  * hopeless: no executor can take it; poison: the task that always fails. */
-struct board_job {
-    int64_t id, serial, tasks, times, hopeless, poison, long_running, fail_pct;
+struct tracked_job {
+    int64_t id, serial, tasks_per_repetition, repetitions, unplaceable, failing_task, long_running, fail_pct;
     struct job_spec *spec;
-    int64_t *first; /* row of a step's first task in a time */
+    int64_t *first_row; /* row of a step's first task in a time */
     const char *host_name, *prefix, *service;
     char *body;
-    int64_t sent_us, accepted_us, tries, refusals, open, cancel_us, cancel_tries, cancel_ack_us, shown, shown_us,
-        missing;
-    int64_t still_us, still_told;
+    int64_t sent_us, accepted_us, tries, refusals, in_flight, cancel_us, cancel_tries, cancel_ack_us, seen_state,
+        seen_state_us, n_not_found;
+    int64_t no_progress_since_us, no_progress_reported;
     int64_t starts;
-    struct board_row *rows;
-    struct board_gang *gangs;
+    struct tracked_task *tracked_tasks;
+    struct tracked_gang *gangs;
     int64_t n_gangs;
 };
 
@@ -105,8 +105,9 @@
 
 /* A run on an executor. */
 struct standin_run {
-    struct board_job *job;
-    int64_t time, step, index, task, attempt, started_us, done_us, need_us, restore_us, saved_ms, fails_us;
+    struct tracked_job *job;
+    int64_t repetition, step, index, task, attempt, started_us, done_us, required_us, restore_us, checkpoint_ms,
+        fails_at_us;
     int64_t stopping_us, on_timer_us;
     char *checkpoint;
 };
@@ -121,13 +122,14 @@
 };
 /* A poll that waits for an end. */
 struct standin_poll {
-    int64_t call, due_us;
+    int64_t call, deadline_us;
 };
 /* Invariants: fence and seq never fall within an incarnation (generation); runs holds also
  * what is being stopped; up 0: nothing of it is left. */
 struct standin {
     struct host *host;
-    int64_t index, up, generation, born_us, offset_ms, slow_ppm, until_ms, fence, seq, last_on_timer_us, gone;
+    int64_t index, up, generation, born_us, clock_offset_ms, clock_slow_ppm, lease_until_ms, fence_epoch, seq,
+        last_on_timer_us, gone;
     char incarnation[32];
     const char *service, *rack, *label;
     int64_t checks_capacity, cpu_milli, memory_mb, gpus;
@@ -136,31 +138,32 @@
     struct standin_barred *barred;
     struct standin_poll *polls;
     int64_t n_runs, n_ended, n_barred, n_polls;
-    int64_t draining, drain_ack_us, leaves_us, return_us, beat_due_us, beat_seq, beat_sent_us;
-    int64_t slow_pct, hang_us, fail_us, sick_us, late_us, fault_us; /* faults until; fault_us: newest trouble's end */
+    int64_t draining, drain_ack_us, leaves_us, return_after_ms, next_heartbeat_us, heartbeat_seq, heartbeat_sent_us;
+    int64_t slow_pct, hang_us, fail_us, sick_us, late_us,
+        last_fault_us; /* faults until; last_fault_us: newest trouble's end */
 };
 
 /* --- events ---------------------------------------------------------------------------- */
 
 enum cluster_event_kind {
-    CEV_ON_TIMER,
-    CEV_STANDIN,
-    CEV_FRAME,
-    CEV_REQUEST,
-    CEV_ANSWER,
-    CEV_TIMEOUT,
-    CEV_FLUSH,
-    CEV_ACTION
+    CLUSTER_EVENT_TIMER,
+    CLUSTER_EVENT_STANDIN,
+    CLUSTER_EVENT_FRAME,
+    CLUSTER_EVENT_REQUEST,
+    CLUSTER_EVENT_RESPONSE,
+    CLUSTER_EVENT_TIMEOUT,
+    CLUSTER_EVENT_FLUSH,
+    CLUSTER_EVENT_ACTION
 };
-typedef void cluster_action(struct cluster *c, void *arg, int64_t n);
-typedef void cluster_answer(struct cluster *c, void *arg, int64_t tag, int status, const char *body);
+typedef void cluster_action(struct cluster *cluster, void *arg, int64_t n);
+typedef void cluster_on_response(struct cluster *cluster, void *arg, int64_t tag, int status, const char *body);
 
 struct cluster_event {
-    struct timed_event due; /* first */
+    struct timed_event timed; /* first */
     int64_t generation, call, n, entry, late;
-    /* Of a frame. lost: its connection was reset; read_us: it is read no sooner, though it came; resets: the connection
-     * back is reset once this was read. */
-    int64_t lost, read_us, resets;
+    /* Of a frame. lost: its connection was reset; read_after_us: it is read no sooner, though it came; resets: the
+     * connection back is reset once this was read. */
+    int64_t lost, read_after_us, reset_reply;
     enum cluster_event_kind kind;
     struct host *from, *to; /* from: of a frame that goes over a connection, else NULL */
     struct blob *frame;
@@ -172,11 +175,11 @@
 /* from NULL: from outside. standin: the executor is called or calls, not the core. */
 struct cluster_call {
     int64_t id, from_generation, tag;
-    int64_t answer_lost; /* its connection is reset in the middle of the answer */
+    int64_t reset_in_response; /* its connection is reset in the middle of the answer */
     struct host *from, *to;
     struct standin *standin;
     call_done *done;
-    cluster_answer *outside;
+    cluster_on_response *on_response;
     void *arg;
 };
 /* A line of the report on a failed run. */
@@ -201,10 +204,10 @@
     int64_t reset_pct, late_ms; /* frames lost with their connection; late by up to so much, in their order */
     struct cluster_call *calls;
     int64_t n_calls_open;
-    struct board_job **jobs;
+    struct tracked_job **jobs;
     int64_t n_jobs, load_until_us, load_every_us, mix, quiet;
     int64_t seeds[3], n_seeds;
-    int64_t core_trouble_us, trouble_us, clocks_jump, calm;
+    int64_t last_controller_fault_us, trouble_us, clocks_jump, calm;
     struct host *operators_use; /* all orders go there; NULL: to any node */
     struct op_change *changes;
     int64_t n_changes, acked_version, acked_us, read_version, answers_lost_pct;
@@ -213,71 +216,72 @@
     struct story_line *story;
     int64_t n_story;
     char **breaches;
-    int64_t n_breaches, breach_job, judged;
-    int64_t n_starts, n_ends[8], n_room_refused, n_late_orders, n_accepted, n_refused, n_shown_done, lost_core_ms;
+    int64_t n_breaches, violation_job, judged;
+    int64_t n_starts, n_ends[8], n_capacity_refused, n_late_orders, n_accepted, n_refused, n_shown_done, lost_core_ms;
     int trace;
     /* self-tests: answers in place of the cores; status, 0: silence */
-    int (*fake)(struct cluster *c, const char *method, const char *path, const char *body, char **answer);
+    int (*fake)(struct cluster *cluster, const char *method, const char *path, const char *body, char **answer);
 };
 
 #define CLUSTER_WALL_MS 1700000000000LL
 
 /* --- cluster.c, cluster_run.c ------------------------------------------------------------------------------ */
-void cluster_start(struct cluster *c, uint64_t seed, int disks, int diskless, int agents);
-void cluster_start_with(struct cluster *c, uint64_t seed, int disks, int diskless, int agents,
+void cluster_start(struct cluster *cluster, uint64_t seed, int disks, int diskless, int agents);
+void cluster_start_with(struct cluster *cluster, uint64_t seed, int disks, int diskless, int agents,
                         const struct cluster_log *log);
-void cluster_start_bearing(struct cluster *c, uint64_t seed, int machines_lost, int disks, int diskless, int agents);
+void cluster_start_bearing(struct cluster *cluster, uint64_t seed, int machines_lost, int disks, int diskless,
+                           int agents);
 /* A deployment; members that are 0 are as cluster_start() has them. */
 struct cluster_options {
     int disks, diskless, agents, machines_lost, orders_by_heartbeat;
     struct cluster_log log;
 };
-void cluster_start_as(struct cluster *c, uint64_t seed, const struct cluster_options *options);
-void cluster_end(struct cluster *c);
-void cluster_run(struct cluster *c, int64_t ms);
-uint64_t cluster_random(struct cluster *c);
-int64_t cluster_pick(struct cluster *c, int64_t n);
-int64_t cluster_wall_ms(const struct cluster *c);
-struct host *cluster_add(struct cluster *c, enum host_kind kind, int with_disk, int zone);
-void host_boot(struct host *h, int first_start);
-void host_kill(struct host *h, int power);
-void host_end(struct host *h); /* frees its core, and says nothing */
-void host_restart(struct host *h);
-void host_leave(struct host *h); /* asked to stop; starts again after it ended */
-void host_wipe(struct host *h);
-void host_disk_copy(struct host *h);   /* remembers what lasts on its disk now */
-void host_disk_rewind(struct host *h); /* its disk is again as it was then; only while it is down */
-void host_freeze(struct host *h, int64_t for_ms);
-void host_skew(struct host *h, int64_t by_ms);
-void host_trouble(struct host *h); /* the judge excuses it for a while */
+void cluster_start_as(struct cluster *cluster, uint64_t seed, const struct cluster_options *options);
+void cluster_end(struct cluster *cluster);
+void cluster_run(struct cluster *cluster, int64_t ms);
+uint64_t cluster_random(struct cluster *cluster);
+int64_t cluster_pick(struct cluster *cluster, int64_t n);
+int64_t cluster_wall_ms(const struct cluster *cluster);
+struct host *cluster_add(struct cluster *cluster, enum host_kind kind, int with_disk, int zone);
+void host_boot(struct host *host, int first_start);
+void host_kill(struct host *host, int power);
+void host_end(struct host *host); /* frees its core, and says nothing */
+void host_restart(struct host *host);
+void host_leave(struct host *host); /* asked to stop; starts again after it ended */
+void host_wipe(struct host *host);
+void host_disk_copy(struct host *host);   /* remembers what lasts on its disk now */
+void host_disk_rewind(struct host *host); /* its disk is again as it was then; only while it is down */
+void host_freeze(struct host *host, int64_t for_ms);
+void host_skew(struct host *host, int64_t by_ms);
+void host_trouble(struct host *host); /* the judge excuses it for a while */
 /* Tell lists of voters apart: that founded the log here, that the seeds agreed on as far as is known here; 0: none. */
-uint64_t host_founders(const struct host *h);
-uint64_t host_agreed(const struct host *h);
-struct host *cluster_leader(struct cluster *c);                /* NULL: none */
-struct host *cluster_controller(struct cluster *c, int64_t n); /* nth, NULL: none */
-struct host *cluster_any_controller(struct cluster *c);        /* any, also one that is down */
-struct host *cluster_replace(struct host *gone);               /* an empty one at another address */
-int cluster_in_touch(const struct cluster *c, const struct host *h);
-void cluster_core_trouble(struct cluster *c);
-void cluster_tell(struct cluster *c, int64_t job, const char *format, ...) __attribute__((format(printf, 3, 4)));
-char *cluster_story(const struct cluster *c); /* owned by the caller */
+uint64_t host_founders(const struct host *host);
+uint64_t host_agreed(const struct host *host);
+struct host *cluster_leader(struct cluster *cluster);                /* NULL: none */
+struct host *cluster_controller(struct cluster *cluster, int64_t n); /* nth, NULL: none */
+struct host *cluster_any_controller(struct cluster *cluster);        /* any, also one that is down */
+struct host *cluster_replace(struct host *gone);                     /* an empty one at another address */
+int cluster_is_reachable(const struct cluster *cluster, const struct host *host);
+void cluster_core_trouble(struct cluster *cluster);
+void cluster_tell(struct cluster *cluster, int64_t job, const char *format, ...) __attribute__((format(printf, 3, 4)));
+char *cluster_story(const struct cluster *cluster); /* owned by the caller */
 
 /* --- cluster_net.c ---------------------------------------------------------------------------- */
-void cluster_push(struct cluster *c, struct cluster_event *event, int64_t at_us);
-void cluster_deliver(struct cluster *c, struct cluster_event *event);
+void cluster_push(struct cluster *cluster, struct cluster_event *event, int64_t at_us);
+void cluster_deliver(struct cluster *cluster, struct cluster_event *event);
 void cluster_event_free(struct cluster_event *event);
-void cluster_at(struct cluster *c, int64_t in_ms, cluster_action *action, void *arg, int64_t n);
+void cluster_at(struct cluster *cluster, int64_t in_ms, cluster_action *action, void *arg, int64_t n);
 void cluster_calls_net(struct world_calls *calls);
 /* to NULL: outside of all hosts */
 struct cluster_event *cluster_event_new(enum cluster_event_kind kind, struct host *to);
 /* When something sent now arrives; what a process still does takes its time first. from NULL: from outside. */
-int64_t cluster_arrival(struct cluster *c, const struct host *from, const struct host *to);
+int64_t cluster_arrival(struct cluster *cluster, const struct host *from, const struct host *to);
 /* value of a header line, in a static buffer; NULL: not there */
 const char *header_find(const char *lines, const char *name);
 
 /* --- cluster_calls.c -------------------------------------------------------------------------- */
 void cluster_calls_http(struct world_calls *calls);
-void cluster_call_end(struct cluster *c, int64_t id, int status, const char *body);
+void cluster_call_end(struct cluster *cluster, int64_t id, int status, const char *body);
 /* An HTTP request to a host, from outside or (from not NULL) from the executor beside it. header: lines
  * "Name: value\n"; header and body may be NULL. answer gets arg and tag; status 0: no answer within wait_ms. */
 struct cluster_http_request {
@@ -286,13 +290,13 @@
     int64_t entry; /* enum entry */
     const char *method, *path, *header, *body;
     int64_t wait_ms;
-    cluster_answer *answer;
+    cluster_on_response *on_response;
     void *arg;
     int64_t tag;
 };
-void cluster_request(struct cluster *c, const struct cluster_http_request *http);
-void cluster_reply(struct cluster *c, int64_t call, int status, const char *body); /* by a stand-in */
-void cluster_reset_calls(struct cluster *c, struct host *to); /* all that are open there end without an answer */
+void cluster_request(struct cluster *cluster, const struct cluster_http_request *http);
+void cluster_reply(struct cluster *cluster, int64_t call, int status, const char *body); /* by a stand-in */
+void cluster_reset_calls(struct cluster *cluster, struct host *to); /* all that are open there end without an answer */
 
 /* --- cluster_disk.c ------------------------------------------------------------------------- */
 struct cluster_disk *cluster_disk_new(uint64_t seed);
@@ -305,89 +309,95 @@
 
 /* --- cluster_executor.c, cluster_runs.c ------------------------------------------------------- */
 struct standin *standin_new(struct host *host, int64_t index);
-void standin_free(struct standin *s);
-void standin_boot(struct standin *s);
-void standin_crash(struct standin *s, int64_t back_ms); /* a new incarnation starts after back_ms, < 0: never */
-void standin_drain(struct standin *s, int64_t back_ms);
-void standin_on_timer(struct standin *s);
-void standin_take(struct standin *s, int64_t call, const char *path, const char *header, const char *body, int late);
-int64_t standin_clock_ms(const struct standin *s);
-struct standin *cluster_standin(struct cluster *c, int64_t n);
+void standin_free(struct standin *standin);
+void standin_boot(struct standin *standin);
+void standin_crash(struct standin *standin, int64_t back_ms); /* a new incarnation starts after back_ms, < 0: never */
+void standin_drain(struct standin *standin, int64_t back_ms);
+void standin_on_timer(struct standin *standin);
+void standin_on_request(struct standin *standin, int64_t call, const char *path, const char *header, const char *body,
+                        int late);
+int64_t standin_clock_ms(const struct standin *standin);
+struct standin *cluster_standin(struct cluster *cluster, int64_t n);
 /* An order to start a task. saved: the checkpoint to begin from, "": none; late: it is carried out late. */
 struct standin_start {
-    struct board_job *job;
+    struct tracked_job *job;
     int64_t task, attempt;
     const char *text, *checkpoint;
     int late;
 };
-int standin_start(struct standin *s, const struct standin_start *order); /* returns whether there was room */
-struct standin_run *standin_run(struct standin *s, int64_t job, int64_t task);
-void standin_stop(struct standin *s, struct standin_run *run);
-void standin_finish(struct standin *s, struct standin_run *run, enum standin_end how);
-void standin_work(struct standin *s, int64_t passed_us);
-void standin_lapse(struct standin *s);
+int standin_start(struct standin *standin, const struct standin_start *order); /* returns whether there was room */
+struct standin_run *standin_run(struct standin *standin, int64_t job, int64_t task);
+void standin_stop(struct standin *standin, struct standin_run *run);
+void standin_finish(struct standin *standin, struct standin_run *run, enum standin_end how);
+void standin_advance(struct standin *standin, int64_t passed_us);
+void standin_expire_lease(struct standin *standin);
 /* cluster_beats.c */
-void standin_beat(struct standin *s);
-void standin_leave(struct standin *s);
+void standin_heartbeat(struct standin *standin);
+void standin_leave(struct standin *standin);
 /* cluster_executor.c, used by cluster_beats.c */
-json_t *standin_lists(const struct standin *s);
-void standin_hold(struct standin *s, int64_t until_ms); /* a lease is never shortened */
-void standin_seen(struct standin *s, int64_t seen);     /* forgets ends up to that number */
+json_t *standin_report(const struct standin *standin);
+void standin_extend_lease(struct standin *standin, int64_t lease_until_ms); /* a lease is never shortened */
+void standin_acknowledge_ends(struct standin *standin, int64_t seen);       /* forgets ends up to that number */
 /* Carries out an order to start or to stop. Returns the status of the answer; why: the reason in its body. */
-int standin_order_start(struct standin *s, const json_t *order, int late, const char **why);
-void standin_order_stop(struct standin *s, const json_t *order);
-void standin_go(struct standin *s, int64_t back_ms);
+int standin_order_start(struct standin *standin, const json_t *order, int late, const char **why);
+void standin_order_stop(struct standin *standin, const json_t *order);
+void standin_shut_down(struct standin *standin, int64_t back_ms);
 void run_free(struct standin_run *run);
-void standin_bar(struct standin *s, int64_t job, int64_t task, int64_t attempt);
-int64_t standin_barred(const struct standin *s, int64_t job, int64_t task);
-void standin_used(const struct standin *s, int64_t *cpu_milli, int64_t *memory_mb, int64_t *gpus);
+void standin_bar(struct standin *standin, int64_t job, int64_t task, int64_t attempt);
+int64_t standin_barred(const struct standin *standin, int64_t job, int64_t task);
+void standin_usage(const struct standin *standin, int64_t *cpu_milli, int64_t *memory_mb, int64_t *gpus);
 
 /* --- cluster_callers.c -------------------------------------------------------------------------- */
 enum job_schema {
     SCHEMA_ONE,
-    SCHEMA_STEPS,
+    SHAPE_STEPS,
     SCHEMA_GANG,
-    SCHEMA_LABEL,
-    SCHEMA_NEAR,
-    SCHEMA_APART,
-    SCHEMA_LASTING,
-    SCHEMA_TIMED,
+    SHAPE_LABEL,
+    SHAPE_PREFERRED_RACK,
+    SHAPE_PER_EXECUTOR_LIMIT,
+    SHAPE_LONG_RUNNING,
+    SHAPE_REPEATED,
     SCHEMA_SAVES,
-    SCHEMA_HOPELESS,
-    SCHEMA_POISON,
-    SCHEMA_RAW,
+    SHAPE_UNPLACEABLE,
+    SHAPE_FAILING_TASK,
+    SHAPE_RAW,
     SCHEMA_LARGE,
-    SCHEMA_TWICE,
+    SHAPE_DUPLICATES,
     SCHEMA_COUNT
 };
-struct board_job *callers_job(struct cluster *c, enum job_schema schema); /* made, not sent */
-void callers_send(struct cluster *c, struct board_job *job);
-void callers_load(struct cluster *c, int64_t per_s, int64_t for_ms);
-void callers_burst(struct cluster *c, int64_t jobs, enum job_schema schema);
-void callers_cancel(struct cluster *c, struct board_job *job);
-struct board_job *board_job(const struct cluster *c, int64_t id);
-struct board_row *board_row(const struct board_job *job, int64_t task); /* NULL: there is none such */
-struct board_gang *board_gang(struct board_job *job, int64_t time, int64_t step, int64_t attempt);
-int board_step_done(const struct board_job *job, int64_t time, int64_t step);
-void board_free(struct board_job *job);
-int64_t callers_unfinished(const struct cluster *c);
+struct tracked_job *callers_new_job(struct cluster *cluster, enum job_schema shape); /* made, not sent */
+void callers_submit(struct cluster *cluster, struct tracked_job *job);
+void callers_load(struct cluster *cluster, int64_t per_s, int64_t for_ms);
+void callers_burst(struct cluster *cluster, int64_t jobs, enum job_schema shape);
+void callers_cancel(struct cluster *cluster, struct tracked_job *job);
+struct tracked_job *tracked_job(const struct cluster *cluster, int64_t id);
+struct tracked_task *tracked_task(const struct tracked_job *job, int64_t task); /* NULL: there is none such */
+struct tracked_gang *tracked_gang(struct tracked_job *job, int64_t repetition, int64_t step, int64_t attempt);
+int tracked_step_done(const struct tracked_job *job, int64_t repetition, int64_t step);
+void tracked_job_free(struct tracked_job *job);
+int64_t callers_unfinished(const struct cluster *cluster);
 /* All faults end; everything must come to its end within CLOSE_MS. */
-void cluster_close(struct cluster *c);
+void cluster_close(struct cluster *cluster);
 
 /* --- cluster_oracle.c: every breach is a line -------------------------------------------------------- */
-void judge_say(struct cluster *c, int64_t job, const char *format, ...) __attribute__((format(printf, 3, 4)));
-void judge_begun(struct standin *s, struct standin_run *run, const char *text, const char *checkpoint, int late);
-void judge_ended(struct standin *s, const struct standin_run *run, enum standin_end how, int64_t seq);
-void judge_noted(struct standin *s, int64_t seen);
-void judge_lapsed(struct standin *s);
-void judge_shown(struct cluster *c, struct board_job *job, const char *state, const struct host *by);
-void judge_gone(struct cluster *c, struct board_job *job, const struct host *by); /* answered 410 */
-void judge_cancelled(struct cluster *c, struct board_job *job);
+void cluster_violation(struct cluster *cluster, int64_t job, const char *format, ...)
+    __attribute__((format(printf, 3, 4)));
+void cluster_oracle_on_start(struct standin *standin, struct standin_run *run, const char *text, const char *checkpoint,
+                             int late);
+void cluster_oracle_on_end(struct standin *standin, const struct standin_run *run, enum standin_end how, int64_t seq);
+void cluster_oracle_on_ends_acknowledged(struct standin *standin, int64_t seen);
+void cluster_oracle_on_lease_expired(struct standin *standin);
+void cluster_oracle_on_job_state(struct cluster *cluster, struct tracked_job *job, const char *state,
+                                 const struct host *by);
+void cluster_oracle_on_job_not_found(struct cluster *cluster, struct tracked_job *job,
+                                     const struct host *by); /* answered 410 */
+void cluster_oracle_on_cancel_acknowledged(struct cluster *cluster, struct tracked_job *job);
 /* Is it the answer to a request of this kind? member: what its body has to have, NULL: nothing at all. */
-void judge_answer(struct cluster *c, int64_t job, int status, const char *body, const char *member);
-void judge_over(struct cluster *c); /* at the end of a run */
-const char *end_name(int64_t how);
-void judge_still(struct cluster *c); /* cluster_still.c; asked again and again */
+void cluster_oracle_check_response(struct cluster *cluster, int64_t job, int status, const char *body,
+                                   const char *member);
+void cluster_oracle_check_end(struct cluster *cluster); /* at the end of a run */
+const char *standin_end_name(int64_t how);
+void cluster_oracle_check_progress(struct cluster *cluster); /* cluster_still.c; asked again and again */
 
 /* --- cluster_codec.c ---------------------------------------------------------------------------------- */
 struct executor_codec;
--- a/sim/cluster_beats.c
+++ b/sim/cluster_beats.c
@@ -6,14 +6,14 @@
 #include "sim/cluster.h"
 
 enum {
-    BEAT_WAIT_MS = 1000,        /* an answer that comes later is not taken */
-    BEAT_EVERY_MS = 1500,       /* of an executor that is called */
-    BEAT_RETRY_MS = 1000,       /* of that one, after a beat without an answer */
-    BEAT_AFTER_FAILURE_MS = 300 /* of one that takes its orders in the answers, after a beat without one */
+    HEARTBEAT_WAIT_MS = 1000,       /* an answer that comes later is not taken */
+    HEARTBEAT_INTERVAL_MS = 1500,   /* of an executor that is called */
+    HEARTBEAT_RETRY_MS = 1000,      /* of that one, after a beat without an answer */
+    HEARTBEAT_ORDERS_RETRY_MS = 300 /* of one that takes its orders in the answers, after a beat without one */
 };
 
 /* A heartbeat under way, of an executor that takes its orders in the answer. */
-struct beat_sent {
+struct heartbeat_call {
     struct standin *standin;
     int64_t generation, sent_us;
     char *orders;
@@ -23,122 +23,129 @@
 
 /* --- orders in answers --------------------------------------------------------------- */
 
-static void carry_out(struct standin *s, const json_t *orders, int late)
+static void apply_orders(struct standin *standin, const json_t *orders, int late)
 {
     size_t i;
     json_t *order;
     const char *why;
-    if (number(orders, "epoch") < s->fence || !json_object_get(orders, "epoch"))
+    if (number(orders, "epoch") < standin->fence_epoch || !json_object_get(orders, "epoch"))
         return;
-    s->fence = number(orders, "epoch");
-    standin_seen(s, number(orders, "seen"));
+    standin->fence_epoch = number(orders, "epoch");
+    standin_acknowledge_ends(standin, number(orders, "seen"));
     if (number(orders, "hold"))
-        standin_hold(s, standin_clock_ms(s) + number(orders, "hold"));
-    json_array_foreach(json_object_get(orders, "stops"), i, order) standin_order_stop(s, order);
-    json_array_foreach(json_object_get(orders, "starts"), i, order) if (standin_clock_ms(s) < s->until_ms)
-        standin_order_start(s, order, late, &why);
+        standin_extend_lease(standin, standin_clock_ms(standin) + number(orders, "hold"));
+    json_array_foreach(json_object_get(orders, "stops"), i, order) standin_order_stop(standin, order);
+    json_array_foreach(json_object_get(orders, "starts"), i,
+                       order) if (standin_clock_ms(standin) < standin->lease_until_ms)
+        standin_order_start(standin, order, late, &why);
 }
 
-static void take_orders(struct cluster *c, void *arg, int64_t late)
+static void on_orders(struct cluster *cluster, void *arg, int64_t late)
 {
-    struct beat_sent *sent = arg;
-    struct standin *s = sent->standin;
+    struct heartbeat_call *sent = arg;
+    struct standin *standin = sent->standin;
     json_t *orders = json_loads(sent->orders, 0, NULL);
-    if (orders && s->up && s->generation == sent->generation) {
-        c->n_late_orders += late;
-        carry_out(s, orders, (int)late);
-        s->beat_due_us = c->now_us + (json_object_get(orders, "retry") ? number(orders, "retry") : 50) * 1000;
+    if (orders && standin->up && standin->generation == sent->generation) {
+        cluster->n_late_orders += late;
+        apply_orders(standin, orders, (int)late);
+        standin->next_heartbeat_us =
+            cluster->now_us + (json_object_get(orders, "retry") ? number(orders, "retry") : 50) * 1000;
     }
     json_decref(orders);
     free(sent->orders);
     free(sent);
 }
 
-/* An answer is taken within BEAT_WAIT_MS after its heartbeat, at any time if the executor is late. */
-static void take_answer(struct cluster *c, struct standin *s, int64_t sent_us, const char *body)
+/* An answer is taken within HEARTBEAT_WAIT_MS after its heartbeat, at any time if the executor is late. */
+static void receive_orders(struct cluster *cluster, struct standin *standin, int64_t sent_us, const char *body)
 {
-    struct beat_sent *sent = must_alloc(sizeof *sent);
-    int64_t left_us = sent_us + BEAT_WAIT_MS * 1000LL - c->now_us;
-    int64_t late = c->now_us < s->late_us && cluster_pick(c, 2) == 0;
-    *sent = (struct beat_sent){.standin = s, .generation = s->generation, .sent_us = sent_us, .orders = must_dup(body)};
+    struct heartbeat_call *sent = must_alloc(sizeof *sent);
+    int64_t left_us = sent_us + HEARTBEAT_WAIT_MS * 1000LL - cluster->now_us;
+    int64_t late = cluster->now_us < standin->late_us && cluster_pick(cluster, 2) == 0;
+    *sent = (struct heartbeat_call){
+        .standin = standin, .generation = standin->generation, .sent_us = sent_us, .orders = must_dup(body)};
     if (late)
-        cluster_at(c, cluster_pick(c, left_us) / 1000, take_orders, sent, 1);
+        cluster_at(cluster, cluster_pick(cluster, left_us) / 1000, on_orders, sent, 1);
     else
-        take_orders(c, sent, 0);
+        on_orders(cluster, sent, 0);
 }
 
 /* --- heartbeats ---------------------------------------------------------------------- */
 
-static void drain_acknowledged(struct cluster *c, struct standin *s)
+static void on_drain_acknowledged(struct cluster *cluster, struct standin *standin)
 {
-    s->drain_ack_us = c->now_us;
-    s->leaves_us = c->now_us + (DRAIN_MS + 500 + cluster_pick(c, 2000)) * 1000;
-    cluster_tell(c, 0, "draining of %s is acknowledged", s->incarnation);
+    standin->drain_ack_us = cluster->now_us;
+    standin->leaves_us = cluster->now_us + (DRAIN_MS + 500 + cluster_pick(cluster, 2000)) * 1000;
+    cluster_tell(cluster, 0, "draining of %s is acknowledged", standin->incarnation);
 }
 
-static void beat_answered(struct cluster *c, void *arg, int64_t tag, int status, const char *body)
+static void on_heartbeat_response(struct cluster *cluster, void *arg, int64_t tag, int status, const char *body)
 {
-    struct standin *s = arg;
-    if (tag / 2 != s->generation || !s->up)
+    struct standin *standin = arg;
+    if (tag / 2 != standin->generation || !standin->up)
         return;
     if (status != 200) {
-        s->beat_due_us = c->now_us + (c->orders_by_heartbeat ? BEAT_AFTER_FAILURE_MS : BEAT_RETRY_MS) * 1000LL;
+        standin->next_heartbeat_us =
+            cluster->now_us + (cluster->orders_by_heartbeat ? HEARTBEAT_ORDERS_RETRY_MS : HEARTBEAT_RETRY_MS) * 1000LL;
         return;
     }
-    if (tag % 2 && s->drain_ack_us < 0)
-        drain_acknowledged(c, s);
-    if (c->orders_by_heartbeat)
-        take_answer(c, s, s->beat_sent_us, body);
+    if (tag % 2 && standin->drain_ack_us < 0)
+        on_drain_acknowledged(cluster, standin);
+    if (cluster->orders_by_heartbeat)
+        receive_orders(cluster, standin, standin->heartbeat_sent_us, body);
 }
 
-void standin_beat(struct standin *s)
+void standin_heartbeat(struct standin *standin)
 {
-    struct cluster *c = s->host->cluster;
-    int64_t left = s->draining && s->leaves_us ? (s->leaves_us - c->now_us) / 1000 : 0;
-    json_t *beat = c->orders_by_heartbeat ? standin_lists(s) : json_object();
-    json_t *state = json_pack("{s:s,s:I,s:s,s:s,s:s,s:[s,s],s:I,s:I,s:I,s:i,s:I,s:i}", "life", s->incarnation, "seq",
-                              (json_int_t)++s->beat_seq, "service", s->service, "zone", s->host->zone, "rack",
-                              s->host->rack, "labels", s->label, s->rack, "cpuMilli", (json_int_t)s->cpu_milli,
-                              "memoryMb", (json_int_t)s->memory_mb, "gpus", (json_int_t)s->gpus, "draining",
-                              s->draining ? 1 : 0, "departureMs", (json_int_t)(left > 0 ? left : 0), "warmupMs", 0);
-    json_object_update(beat, state);
-    char *body = json_dumps(beat, JSON_COMPACT);
-    s->beat_sent_us = c->now_us;
-    s->beat_due_us = c->now_us + BEAT_EVERY_MS * 1000LL;
-    cluster_request(c, &(struct cluster_http_request){.to = s->host,
-                                                      .from = s,
-                                                      .entry = ENTRY_OPERATORS,
-                                                      .method = "PUT",
-                                                      .path = "/beat",
-                                                      .body = body,
-                                                      .wait_ms = BEAT_WAIT_MS,
-                                                      .answer = beat_answered,
-                                                      .arg = s,
-                                                      .tag = s->generation * 2 + (s->draining ? 1 : 0)});
+    struct cluster *cluster = standin->host->cluster;
+    int64_t left = standin->draining && standin->leaves_us ? (standin->leaves_us - cluster->now_us) / 1000 : 0;
+    json_t *heartbeat = cluster->orders_by_heartbeat ? standin_report(standin) : json_object();
+    json_t *state = json_pack("{s:s,s:I,s:s,s:s,s:s,s:[s,s],s:I,s:I,s:I,s:i,s:I,s:i}", "life", standin->incarnation,
+                              "seq", (json_int_t)++standin->heartbeat_seq, "service", standin->service, "zone",
+                              standin->host->zone, "rack", standin->host->rack, "labels", standin->label, standin->rack,
+                              "cpuMilli", (json_int_t)standin->cpu_milli, "memoryMb", (json_int_t)standin->memory_mb,
+                              "gpus", (json_int_t)standin->gpus, "draining", standin->draining ? 1 : 0, "departureMs",
+                              (json_int_t)(left > 0 ? left : 0), "warmupMs", 0);
+    json_object_update(heartbeat, state);
+    char *body = json_dumps(heartbeat, JSON_COMPACT);
+    standin->heartbeat_sent_us = cluster->now_us;
+    standin->next_heartbeat_us = cluster->now_us + HEARTBEAT_INTERVAL_MS * 1000LL;
+    cluster_request(cluster,
+                    &(struct cluster_http_request){.to = standin->host,
+                                                   .from = standin,
+                                                   .entry = ENTRY_OPERATORS,
+                                                   .method = "PUT",
+                                                   .path = "/beat",
+                                                   .body = body,
+                                                   .wait_ms = HEARTBEAT_WAIT_MS,
+                                                   .on_response = on_heartbeat_response,
+                                                   .arg = standin,
+                                                   .tag = standin->generation * 2 + (standin->draining ? 1 : 0)});
     free(body);
     json_decref(state);
-    json_decref(beat);
+    json_decref(heartbeat);
 }
 
-static void left_answered(struct cluster *c, void *arg, int64_t tag, int status, const char *body)
+static void ignore_response(struct cluster *cluster, void *arg, int64_t tag, int status, const char *body)
 {
-    (void)c, (void)arg, (void)tag, (void)status, (void)body;
+    (void)cluster, (void)arg, (void)tag, (void)status, (void)body;
 }
 
-void standin_leave(struct standin *s)
+void standin_leave(struct standin *standin)
 {
-    struct cluster *c = s->host->cluster;
-    char *body = must_printf("{\"life\":\"%s\",\"seq\":%lld}", s->incarnation, (long long)++s->beat_seq);
-    cluster_request(c, &(struct cluster_http_request){.to = s->host,
-                                                      .from = s,
-                                                      .entry = ENTRY_OPERATORS,
-                                                      .method = "DELETE",
-                                                      .path = "/beat",
-                                                      .body = body,
-                                                      .wait_ms = BEAT_WAIT_MS,
-                                                      .answer = left_answered,
-                                                      .arg = s});
+    struct cluster *cluster = standin->host->cluster;
+    char *body =
+        must_printf("{\"life\":\"%s\",\"seq\":%lld}", standin->incarnation, (long long)++standin->heartbeat_seq);
+    cluster_request(cluster, &(struct cluster_http_request){.to = standin->host,
+                                                            .from = standin,
+                                                            .entry = ENTRY_OPERATORS,
+                                                            .method = "DELETE",
+                                                            .path = "/beat",
+                                                            .body = body,
+                                                            .wait_ms = HEARTBEAT_WAIT_MS,
+                                                            .on_response = ignore_response,
+                                                            .arg = standin});
     free(body);
-    cluster_tell(c, 0, "executor %s leaves", s->incarnation);
-    standin_go(s, s->return_us);
+    cluster_tell(cluster, 0, "executor %s leaves", standin->incarnation);
+    standin_shut_down(standin, standin->return_after_ms);
 }
--- a/sim/cluster_callers.c
+++ b/sim/cluster_callers.c
@@ -9,49 +9,50 @@
 #include "dispatch/messages.h"
 #include "sim/cluster.h"
 
-enum { TRIES_MAX = 5, WAIT_MS = 3000 };
+enum { SUBMIT_TRIES_MAX = 5, SUBMIT_WAIT_MS = 3000 };
 
 /* --- the board ---------------------------------------------------------------- */
 
-struct board_job *board_job(const struct cluster *c, int64_t id)
+struct tracked_job *tracked_job(const struct cluster *cluster, int64_t id)
 {
-    for (int64_t i = c->n_jobs - 1; i >= 0; i--)
-        if (c->jobs[i]->id == id)
-            return c->jobs[i];
+    for (int64_t i = cluster->n_jobs - 1; i >= 0; i--)
+        if (cluster->jobs[i]->id == id)
+            return cluster->jobs[i];
     return NULL;
 }
 
-struct board_row *board_row(const struct board_job *job, int64_t task)
+struct tracked_task *tracked_task(const struct tracked_job *job, int64_t task)
 {
-    int64_t time = task_repetition(task), step = task_step(task), index = task_index(task);
-    if (time < 0 || time >= job->times || step >= job->spec->n_steps || index >= job->spec->steps[step].task_count)
+    int64_t repetition = task_repetition(task), step = task_step(task), index = task_index(task);
+    if (repetition < 0 || repetition >= job->repetitions || step >= job->spec->n_steps ||
+        index >= job->spec->steps[step].task_count)
         return NULL;
-    return &job->rows[time * job->tasks + job->first[step] + index];
+    return &job->tracked_tasks[repetition * job->tasks_per_repetition + job->first_row[step] + index];
 }
 
-struct board_gang *board_gang(struct board_job *job, int64_t time, int64_t step, int64_t attempt)
+struct tracked_gang *tracked_gang(struct tracked_job *job, int64_t repetition, int64_t step, int64_t attempt)
 {
     if (!job->spec->steps[step].gang)
         return NULL;
     for (int64_t i = 0; i < job->n_gangs; i++)
-        if (job->gangs[i].time == time && job->gangs[i].step == step && job->gangs[i].attempt == attempt)
+        if (job->gangs[i].repetition == repetition && job->gangs[i].step == step && job->gangs[i].attempt == attempt)
             return &job->gangs[i];
-    struct board_gang *gang = array_add(job->gangs, job->n_gangs);
-    *gang = (struct board_gang){.time = time, .step = step, .attempt = attempt};
+    struct tracked_gang *gang = array_add(job->gangs, job->n_gangs);
+    *gang = (struct tracked_gang){.repetition = repetition, .step = step, .attempt = attempt};
     return gang;
 }
 
-void board_free(struct board_job *job)
+void tracked_job_free(struct tracked_job *job)
 {
-    for (int64_t i = 0; i < job->tasks * job->times; i++) {
-        free(job->rows[i].starts);
-        free(job->rows[i].ends);
+    for (int64_t i = 0; i < job->tasks_per_repetition * job->repetitions; i++) {
+        free(job->tracked_tasks[i].starts);
+        free(job->tracked_tasks[i].ends);
     }
     for (int64_t i = 0; i < job->n_gangs; i++)
         free(job->gangs[i].checkpoint);
     free(job->gangs);
-    free(job->rows);
-    free(job->first);
+    free(job->tracked_tasks);
+    free(job->first_row);
     free(job->body);
     schema_free(&submission_without_outlet_schema, job->spec);
     free(job->spec);
@@ -60,327 +61,337 @@
 
 /* --- schemas ------------------------------------------------------------------- */
 
-static struct step_spec *add_step(struct cluster *c, struct job_spec *spec, int64_t width, int64_t ms)
+static struct step_spec *add_step(struct cluster *cluster, struct job_spec *spec, int64_t width, int64_t ms)
 {
     struct step_spec *step = array_add(spec->steps, spec->n_steps);
     step->task_count = width;
-    step->cpu_milli = 500 + cluster_pick(c, 8) * 500;
-    step->memory_mb = 256 + cluster_pick(c, 8) * 512;
-    step->estimate_ms = ms / 2 + cluster_pick(c, ms);
+    step->cpu_milli = 500 + cluster_pick(cluster, 8) * 500;
+    step->memory_mb = 256 + cluster_pick(cluster, 8) * 512;
+    step->estimate_ms = ms / 2 + cluster_pick(cluster, ms);
     return step;
 }
 
-static void depends(struct step_spec *step, int64_t on) { *array_add(step->depends_on, step->n_depends_on) = on; }
+static void add_dependency(struct step_spec *step, int64_t on)
+{
+    *array_add(step->depends_on, step->n_depends_on) = on;
+}
 
-static void schema_steps(struct cluster *c, struct job_spec *spec)
+static void add_shape_steps(struct cluster *cluster, struct job_spec *spec)
 {
-    add_step(c, spec, 1 + cluster_pick(c, 4), 400);
-    add_step(c, spec, 1 + cluster_pick(c, 6), 800);
-    depends(add_step(c, spec, 1 + cluster_pick(c, 3), 500), 0);
-    struct step_spec *last = add_step(c, spec, 1, 300);
-    depends(last, 1);
-    depends(last, 2);
+    add_step(cluster, spec, 1 + cluster_pick(cluster, 4), 400);
+    add_step(cluster, spec, 1 + cluster_pick(cluster, 6), 800);
+    add_dependency(add_step(cluster, spec, 1 + cluster_pick(cluster, 3), 500), 0);
+    struct step_spec *last = add_step(cluster, spec, 1, 300);
+    add_dependency(last, 1);
+    add_dependency(last, 2);
 }
 
-static void schema_lone(struct cluster *c, struct board_job *job, enum job_schema schema)
+static void add_single_step(struct cluster *cluster, struct tracked_job *job, enum job_schema shape)
 {
     struct job_spec *spec = job->spec;
-    struct step_spec *step = add_step(c, spec, 1 + cluster_pick(c, 5), 600);
-    if (schema == SCHEMA_LABEL)
+    struct step_spec *step = add_step(cluster, spec, 1 + cluster_pick(cluster, 5), 600);
+    if (shape == SHAPE_LABEL)
         step->label = must_dup("large");
-    else if (schema == SCHEMA_NEAR)
-        step->rack = must_printf("z%lld-0", (long long)cluster_pick(c, 3));
-    else if (schema == SCHEMA_APART)
-        step->per_executor = 1 + cluster_pick(c, 2);
-    else if (schema == SCHEMA_SAVES) {
+    else if (shape == SHAPE_PREFERRED_RACK)
+        step->rack = must_printf("z%lld-0", (long long)cluster_pick(cluster, 3));
+    else if (shape == SHAPE_PER_EXECUTOR_LIMIT)
+        step->per_executor = 1 + cluster_pick(cluster, 2);
+    else if (shape == SCHEMA_SAVES) {
         step->checkpoints = 1;
         step->estimate_ms = 5000;
-    } else if (schema == SCHEMA_LARGE) {
+    } else if (shape == SCHEMA_LARGE) {
         step->cpu_milli = 9000;
         step->estimate_ms = 2500;
-    } else if (schema == SCHEMA_LASTING) {
-        step->task_count = 1 + cluster_pick(c, 2);
+    } else if (shape == SHAPE_LONG_RUNNING) {
+        step->task_count = 1 + cluster_pick(cluster, 2);
         step->long_running = job->long_running = 1;
         step->estimate_ms = 300;
-    } else if (schema == SCHEMA_TIMED) {
-        spec->repeats = 2 + cluster_pick(c, 3);
-        spec->start_ms = cluster_wall_ms(c) + 500 + cluster_pick(c, 2000);
-        spec->interval_ms = 700 + cluster_pick(c, 1500);
-    } else if (schema == SCHEMA_TWICE)
+    } else if (shape == SHAPE_REPEATED) {
+        spec->repeats = 2 + cluster_pick(cluster, 3);
+        spec->start_ms = cluster_wall_ms(cluster) + 500 + cluster_pick(cluster, 2000);
+        spec->interval_ms = 700 + cluster_pick(cluster, 1500);
+    } else if (shape == SHAPE_DUPLICATES)
         step->duplicates = 1;
-    else if (schema == SCHEMA_HOPELESS) {
+    else if (shape == SHAPE_UNPLACEABLE) {
         step->label = must_dup("none-such");
-        job->hopeless = 1;
-    } else if (schema == SCHEMA_POISON)
-        job->poison = task_of(0, 0, cluster_pick(c, step->task_count));
+        job->unplaceable = 1;
+    } else if (shape == SHAPE_FAILING_TASK)
+        job->failing_task = task_of(0, 0, cluster_pick(cluster, step->task_count));
 }
 
-struct board_job *callers_job(struct cluster *c, enum job_schema schema)
+struct tracked_job *callers_new_job(struct cluster *cluster, enum job_schema shape)
 {
     static const char *const prefixes[] = {"/fast/", "/mid/", "/slow/"};
-    struct board_job *job = must_alloc(sizeof *job);
+    struct tracked_job *job = must_alloc(sizeof *job);
     struct job_spec *spec = job->spec = must_alloc(sizeof *spec);
-    *array_add(c->jobs, c->n_jobs) = job;
-    job->id = spec->id = (int64_t)cluster_random(c);
-    job->serial = c->n_jobs;
-    job->poison = job->accepted_us = job->sent_us = job->cancel_ack_us = job->shown_us = -1;
+    *array_add(cluster->jobs, cluster->n_jobs) = job;
+    job->id = spec->id = (int64_t)cluster_random(cluster);
+    job->serial = cluster->n_jobs;
+    job->failing_task = job->accepted_us = job->sent_us = job->cancel_ack_us = job->seen_state_us = -1;
     job->host_name = "jobs.example";
-    job->prefix = schema == SCHEMA_RAW ? "/raw/" : schema == SCHEMA_LARGE ? "/slow/" : prefixes[cluster_pick(c, 3)];
-    job->service = schema == SCHEMA_RAW ? "raw" : "guarded";
-    job->fail_pct = schema == SCHEMA_LASTING ? 20 : cluster_pick(c, 3) == 0 ? 4 : 0;
+    job->prefix = shape == SHAPE_RAW ? "/raw/" : shape == SCHEMA_LARGE ? "/slow/" : prefixes[cluster_pick(cluster, 3)];
+    job->service = shape == SHAPE_RAW ? "raw" : "guarded";
+    job->fail_pct = shape == SHAPE_LONG_RUNNING ? 20 : cluster_pick(cluster, 3) == 0 ? 4 : 0;
     spec->text = must_printf("text of %llx", (unsigned long long)job->id);
-    if (schema == SCHEMA_STEPS)
-        schema_steps(c, spec);
-    else if (schema == SCHEMA_GANG) {
-        struct step_spec *step = add_step(c, spec, 2 + cluster_pick(c, 3), 1500);
+    if (shape == SHAPE_STEPS)
+        add_shape_steps(cluster, spec);
+    else if (shape == SCHEMA_GANG) {
+        struct step_spec *step = add_step(cluster, spec, 2 + cluster_pick(cluster, 3), 1500);
         step->gang = 1;
-        step->same_rack = cluster_pick(c, 2);
-        step->checkpoints = cluster_pick(c, 2);
+        step->same_rack = cluster_pick(cluster, 2);
+        step->checkpoints = cluster_pick(cluster, 2);
     } else
-        schema_lone(c, job, schema);
-    job->times = spec->repeats > 0 ? spec->repeats : 1;
+        add_single_step(cluster, job, shape);
+    job->repetitions = spec->repeats > 0 ? spec->repeats : 1;
     for (int64_t i = 0; i < spec->n_steps;) {
-        *array_add(job->first, i) = job->tasks;
-        job->tasks += spec->steps[i - 1].task_count;
+        *array_add(job->first_row, i) = job->tasks_per_repetition;
+        job->tasks_per_repetition += spec->steps[i - 1].task_count;
     }
-    job->rows = must_alloc(sizeof *job->rows * (size_t)(job->tasks * job->times));
+    job->tracked_tasks =
+        must_alloc(sizeof *job->tracked_tasks * (size_t)(job->tasks_per_repetition * job->repetitions));
     job->body = schema_to_text(&submission_without_outlet_schema, spec);
-    cluster_tell(c, job->id, "shape %d to %s: %s", (int)schema, job->prefix, job->body);
+    cluster_tell(cluster, job->id, "shape %d to %s: %s", (int)shape, job->prefix, job->body);
     return job;
 }
 
 /* --- handing in --------------------------------------------------------------- */
 
-static struct host *api(struct cluster *c)
+static struct host *pick_controller(struct cluster *cluster)
 {
-    struct host *h = cluster_any_controller(c);
-    for (int k = 0; k < 3 && h && !h->up; k++) /* the platform leaves out most that are down */
-        h = cluster_any_controller(c);
-    return h;
+    struct host *host = cluster_any_controller(cluster);
+    for (int k = 0; k < 3 && host && !host->up; k++) /* the platform leaves out most that are down */
+        host = cluster_any_controller(cluster);
+    return host;
 }
 
-static void request(struct cluster *c, struct board_job *job, const char *method, const char *body, int64_t wait_ms,
-                    cluster_answer *answer)
+static void send_request(struct cluster *cluster, struct tracked_job *job, const char *method, const char *body,
+                         int64_t wait_ms, cluster_on_response *answer)
 {
-    struct host *to = api(c);
+    struct host *to = pick_controller(cluster);
     char *path = must_printf("%s%016llx", job->prefix, (unsigned long long)job->id);
     char *header = must_printf("Host: %s\nWait-Ms: %lld\n", job->host_name, (long long)wait_ms);
-    cluster_request(c, &(struct cluster_http_request){.to = to,
-                                                      .entry = ENTRY_CALLERS,
-                                                      .method = method,
-                                                      .path = path,
-                                                      .header = header,
-                                                      .body = body,
-                                                      .wait_ms = wait_ms,
-                                                      .answer = answer,
-                                                      .arg = job,
-                                                      .tag = to->index});
+    cluster_request(cluster, &(struct cluster_http_request){.to = to,
+                                                            .entry = ENTRY_CALLERS,
+                                                            .method = method,
+                                                            .path = path,
+                                                            .header = header,
+                                                            .body = body,
+                                                            .wait_ms = wait_ms,
+                                                            .on_response = answer,
+                                                            .arg = job,
+                                                            .tag = to->index});
     free(path);
     free(header);
 }
 
-static void poll(struct cluster *c, void *arg, int64_t n);
+static void poll_state(struct cluster *cluster, void *arg, int64_t n);
 
-static int over(const struct board_job *job) { return job->shown == 3 || job->shown == 4 || job->shown == 5; }
+static int is_finished(const struct tracked_job *job)
+{
+    return job->seen_state == 3 || job->seen_state == 4 || job->seen_state == 5;
+}
 
 /* Takes an answer about a job's state. */
-static void shown(struct cluster *c, void *arg, int64_t tag, int status, const char *body)
+static void on_state_response(struct cluster *cluster, void *arg, int64_t tag, int status, const char *body)
 {
-    struct board_job *job = arg;
+    struct tracked_job *job = arg;
     json_t *answer = json_loads(body, 0, NULL);
     const char *state = json_string_value(json_object_get(answer, "state"));
-    judge_answer(c, job->id, status, body, "state");
+    cluster_oracle_check_response(cluster, job->id, status, body, "state");
     if (status == 200 && state)
-        judge_shown(c, job, state, c->hosts[tag]);
+        cluster_oracle_on_job_state(cluster, job, state, cluster->hosts[tag]);
     else if (status == 410)
-        judge_gone(c, job, c->hosts[tag]);
+        cluster_oracle_on_job_not_found(cluster, job, cluster->hosts[tag]);
     json_decref(answer);
-    if (!over(job))
-        cluster_at(c, 300 + cluster_pick(c, 700), poll, job, 0);
+    if (!is_finished(job))
+        cluster_at(cluster, 300 + cluster_pick(cluster, 700), poll_state, job, 0);
 }
 
-static void poll(struct cluster *c, void *arg, int64_t n)
+static void poll_state(struct cluster *cluster, void *arg, int64_t n)
 {
     (void)n;
-    request(c, arg, "GET", "", 1000, shown);
+    send_request(cluster, arg, "GET", "", 1000, on_state_response);
 }
 
-static void send_try(struct cluster *c, void *arg, int64_t n);
+static void submit(struct cluster *cluster, void *arg, int64_t n);
 
-static void tried(struct cluster *c, void *arg, int64_t tag, int status, const char *body)
+static void on_submit_response(struct cluster *cluster, void *arg, int64_t tag, int status, const char *body)
 {
-    struct board_job *job = arg;
+    struct tracked_job *job = arg;
     (void)tag;
-    judge_answer(c, job->id, status, body, NULL);
-    job->open--;
+    cluster_oracle_check_response(cluster, job->id, status, body, NULL);
+    job->in_flight--;
     if (status == 200) {
         if (job->accepted_us < 0) {
-            job->accepted_us = c->now_us;
-            c->n_accepted++;
-            cluster_tell(c, job->id, "job %llx accepted", (unsigned long long)job->id);
-            cluster_at(c, 200, poll, job, 0);
+            job->accepted_us = cluster->now_us;
+            cluster->n_accepted++;
+            cluster_tell(cluster, job->id, "job %llx accepted", (unsigned long long)job->id);
+            cluster_at(cluster, 200, poll_state, job, 0);
         }
         return;
     }
     if (status == 429 || status == 503 || status == 404 || status == 400) {
         job->refusals++;
         if (status == 404 || status == 400)
-            judge_say(c, job->id, "CONFIG: a job for a queue that is there is answered %d: %.100s", status, body);
+            cluster_violation(cluster, job->id, "CONFIG: a job for a queue that is there is answered %d: %.100s",
+                              status, body);
     }
-    cluster_tell(c, job->id, "job %llx: try %lld answered %d", (unsigned long long)job->id, (long long)job->tries,
+    cluster_tell(cluster, job->id, "job %llx: try %lld answered %d", (unsigned long long)job->id, (long long)job->tries,
                  status);
-    if (job->tries < TRIES_MAX)
-        cluster_at(c, 100 + cluster_pick(c, 300) * job->tries, send_try, job, 0);
+    if (job->tries < SUBMIT_TRIES_MAX)
+        cluster_at(cluster, 100 + cluster_pick(cluster, 300) * job->tries, submit, job, 0);
     else if (job->refusals == job->tries)
-        c->n_refused++;
+        cluster->n_refused++;
 }
 
-static void send_try(struct cluster *c, void *arg, int64_t n)
+static void submit(struct cluster *cluster, void *arg, int64_t n)
 {
-    struct board_job *job = arg;
+    struct tracked_job *job = arg;
     (void)n;
     if (job->sent_us < 0)
-        job->sent_us = c->now_us;
+        job->sent_us = cluster->now_us;
     job->tries++;
-    job->open++;
-    request(c, job, "POST", job->body, WAIT_MS, tried);
+    job->in_flight++;
+    send_request(cluster, job, "POST", job->body, SUBMIT_WAIT_MS, on_submit_response);
 }
 
-static void cancel_again(struct cluster *c, void *arg, int64_t n)
+static void retry_cancel(struct cluster *cluster, void *arg, int64_t n)
 {
     (void)n;
-    callers_cancel(c, arg);
+    callers_cancel(cluster, arg);
 }
 
-static void cancelled(struct cluster *c, void *arg, int64_t tag, int status, const char *body)
+static void on_cancel_response(struct cluster *cluster, void *arg, int64_t tag, int status, const char *body)
 {
-    struct board_job *job = arg;
-    judge_answer(c, job->id, status, body, NULL);
+    struct tracked_job *job = arg;
+    cluster_oracle_check_response(cluster, job->id, status, body, NULL);
     if (status == 200)
-        judge_cancelled(c, job);
-    else if (status == 410 && job->accepted_us >= 0 && job->shown_us < 0)
-        judge_gone(c, job, c->hosts[tag]);
+        cluster_oracle_on_cancel_acknowledged(cluster, job);
+    else if (status == 410 && job->accepted_us >= 0 && job->seen_state_us < 0)
+        cluster_oracle_on_job_not_found(cluster, job, cluster->hosts[tag]);
     else if (status != 410 && job->cancel_tries < 40)
-        cluster_at(c, 300, cancel_again, job, 0);
+        cluster_at(cluster, 300, retry_cancel, job, 0);
 }
 
-void callers_cancel(struct cluster *c, struct board_job *job)
+void callers_cancel(struct cluster *cluster, struct tracked_job *job)
 {
     if (!job->cancel_us) {
-        job->cancel_us = c->now_us;
-        cluster_tell(c, job->id, "job %llx: cancelling", (unsigned long long)job->id);
+        job->cancel_us = cluster->now_us;
+        cluster_tell(cluster, job->id, "job %llx: cancelling", (unsigned long long)job->id);
     }
     job->cancel_tries++;
-    request(c, job, "DELETE", "", 1000, cancelled);
+    send_request(cluster, job, "DELETE", "", 1000, on_cancel_response);
 }
 
-static void cancel_later(struct cluster *c, void *arg, int64_t n)
+static void cancel_later(struct cluster *cluster, void *arg, int64_t n)
 {
-    struct board_job *job = arg;
+    struct tracked_job *job = arg;
     (void)n;
-    if (job->accepted_us >= 0 && !over(job))
-        callers_cancel(c, job);
+    if (job->accepted_us >= 0 && !is_finished(job))
+        callers_cancel(cluster, job);
 }
 
-void callers_send(struct cluster *c, struct board_job *job)
+void callers_submit(struct cluster *cluster, struct tracked_job *job)
 {
-    send_try(c, job, 0);
-    if (cluster_pick(c, 12) == 0)
-        cluster_at(c, 200 + cluster_pick(c, 3000), cancel_later, job, 0);
+    submit(cluster, job, 0);
+    if (cluster_pick(cluster, 12) == 0)
+        cluster_at(cluster, 200 + cluster_pick(cluster, 3000), cancel_later, job, 0);
     if (job->long_running)
-        cluster_at(c, 6000 + cluster_pick(c, 6000), cancel_later, job, 0);
+        cluster_at(cluster, 6000 + cluster_pick(cluster, 6000), cancel_later, job, 0);
 }
 
 /* --- the load ------------------------------------------------------------------ */
 
-static void next_job(struct cluster *c, void *arg, int64_t n)
+static void next_job(struct cluster *cluster, void *arg, int64_t n)
 {
     (void)arg, (void)n;
-    if (c->now_us >= c->load_until_us)
+    if (cluster->now_us >= cluster->load_until_us)
         return;
-    callers_send(c, callers_job(c, (enum job_schema)cluster_pick(c, SCHEMA_COUNT)));
-    cluster_at(c, (c->load_every_us / 2 + cluster_pick(c, c->load_every_us)) / 1000, next_job, NULL, 0);
+    callers_submit(cluster, callers_new_job(cluster, (enum job_schema)cluster_pick(cluster, SCHEMA_COUNT)));
+    cluster_at(cluster, (cluster->load_every_us / 2 + cluster_pick(cluster, cluster->load_every_us)) / 1000, next_job,
+               NULL, 0);
 }
 
-void callers_load(struct cluster *c, int64_t per_s, int64_t for_ms)
+void callers_load(struct cluster *cluster, int64_t per_s, int64_t for_ms)
 {
-    c->load_until_us = c->now_us + for_ms * 1000;
-    c->load_every_us = 1000000 / per_s;
-    cluster_at(c, 1, next_job, NULL, 0);
+    cluster->load_until_us = cluster->now_us + for_ms * 1000;
+    cluster->load_every_us = 1000000 / per_s;
+    cluster_at(cluster, 1, next_job, NULL, 0);
 }
 
-void callers_burst(struct cluster *c, int64_t jobs, enum job_schema schema)
+void callers_burst(struct cluster *cluster, int64_t jobs, enum job_schema shape)
 {
-    cluster_tell(c, 0, "a burst of %lld jobs", (long long)jobs);
+    cluster_tell(cluster, 0, "a burst of %lld jobs", (long long)jobs);
     for (int64_t i = 0; i < jobs; i++)
-        callers_send(c, callers_job(c, schema));
+        callers_submit(cluster, callers_new_job(cluster, shape));
 }
 
 /* --- the end of a run -------------------------------------------------------------- */
 
-int64_t callers_unfinished(const struct cluster *c)
+int64_t callers_unfinished(const struct cluster *cluster)
 {
     int64_t n = 0;
-    for (int64_t i = 0; i < c->n_jobs; i++)
-        n += c->jobs[i]->open > 0 || (c->jobs[i]->accepted_us >= 0 && !over(c->jobs[i]));
+    for (int64_t i = 0; i < cluster->n_jobs; i++)
+        n += cluster->jobs[i]->in_flight > 0 || (cluster->jobs[i]->accepted_us >= 0 && !is_finished(cluster->jobs[i]));
     return n;
 }
 
 /* What nothing else would end. */
-static void cancel_endless(struct cluster *c)
+static void cancel_endless(struct cluster *cluster)
 {
-    for (int64_t i = 0; i < c->n_jobs; i++) {
-        struct board_job *job = c->jobs[i];
-        if ((job->long_running || job->hopeless) && job->accepted_us >= 0 && !over(job) && !job->cancel_us)
-            callers_cancel(c, job);
+    for (int64_t i = 0; i < cluster->n_jobs; i++) {
+        struct tracked_job *job = cluster->jobs[i];
+        if ((job->long_running || job->unplaceable) && job->accepted_us >= 0 && !is_finished(job) && !job->cancel_us)
+            callers_cancel(cluster, job);
     }
 }
 
-void cluster_close(struct cluster *c)
+void cluster_close(struct cluster *cluster)
 {
-    cluster_tell(c, 0, "all faults end");
-    c->load_until_us = c->now_us;
-    c->loss_pct = c->slow_link_ms = 0;
-    cluster_heal(c);
-    for (int64_t i = 0; i < c->n; i++) {
-        struct host *h = c->hosts[i];
-        if (h->skew_ms)
-            host_skew(h, -h->skew_ms);
-        if (!h->up)
-            host_boot(h, 0);
-        if (!h->standin)
+    cluster_tell(cluster, 0, "all faults end");
+    cluster->load_until_us = cluster->now_us;
+    cluster->loss_pct = cluster->slow_link_ms = 0;
+    cluster_heal(cluster);
+    for (int64_t i = 0; i < cluster->n; i++) {
+        struct host *host = cluster->hosts[i];
+        if (host->skew_ms)
+            host_skew(host, -host->skew_ms);
+        if (!host->up)
+            host_boot(host, 0);
+        if (!host->standin)
             continue;
-        struct standin *s = h->standin;
-        s->hang_us = s->fail_us = s->sick_us = s->late_us = 0;
-        s->slow_pct = 100;
-        s->gone = 0;
-        if (!s->up)
-            standin_boot(s);
+        struct standin *standin = host->standin;
+        standin->hang_us = standin->fail_us = standin->sick_us = standin->late_us = 0;
+        standin->slow_pct = 100;
+        standin->gone = 0;
+        if (!standin->up)
+            standin_boot(standin);
     }
-    int64_t last_due_ms = cluster_wall_ms(c);
-    for (int64_t i = 0; i < c->n_jobs; i++) {
-        const struct job_spec *spec = c->jobs[i]->spec;
-        int64_t due_ms = spec->start_ms + (spec->repeats - 1) * spec->interval_ms;
-        if (spec->repeats && due_ms > last_due_ms)
-            last_due_ms = due_ms;
+    int64_t last_start_ms = cluster_wall_ms(cluster);
+    for (int64_t i = 0; i < cluster->n_jobs; i++) {
+        const struct job_spec *spec = cluster->jobs[i]->spec;
+        int64_t start_ms = spec->start_ms + (spec->repeats - 1) * spec->interval_ms;
+        if (spec->repeats && start_ms > last_start_ms)
+            last_start_ms = start_ms;
     }
-    int64_t limit_ms = last_due_ms + CLOSE_MS;
-    while (callers_unfinished(c) && cluster_wall_ms(c) < limit_ms) {
-        cancel_endless(c);
-        judge_still(c);
-        cluster_run(c, 200);
+    int64_t limit_ms = last_start_ms + CLOSE_MS;
+    while (callers_unfinished(cluster) && cluster_wall_ms(cluster) < limit_ms) {
+        cancel_endless(cluster);
+        cluster_oracle_check_progress(cluster);
+        cluster_run(cluster, 200);
     }
-    for (int64_t i = 0; i < c->n_jobs; i++) {
-        const struct board_job *job = c->jobs[i];
-        if (job->accepted_us >= 0 && !over(job))
-            judge_say(c, job->id, "LIVENESS: job %llx (%s%s) is in state %lld %d ms after all faults ended",
-                      (unsigned long long)job->id, job->prefix, job->long_running ? ", lasting" : "",
-                      (long long)job->shown, CLOSE_MS);
+    for (int64_t i = 0; i < cluster->n_jobs; i++) {
+        const struct tracked_job *job = cluster->jobs[i];
+        if (job->accepted_us >= 0 && !is_finished(job))
+            cluster_violation(cluster, job->id,
+                              "LIVENESS: job %llx (%s%s) is in state %lld %d ms after all faults ended",
+                              (unsigned long long)job->id, job->prefix, job->long_running ? ", lasting" : "",
+                              (long long)job->seen_state, CLOSE_MS);
     }
-    for (int64_t i = 0; i < c->n_jobs; i++) /* what was shown is still shown */
-        if (over(c->jobs[i]) && c->now_us - c->jobs[i]->shown_us < 90000000)
-            request(c, c->jobs[i], "GET", "", 2000, shown);
-    cluster_run(c, 2500);
-    operator_last(c);
-    judge_over(c);
+    for (int64_t i = 0; i < cluster->n_jobs; i++) /* what was shown is still shown */
+        if (is_finished(cluster->jobs[i]) && cluster->now_us - cluster->jobs[i]->seen_state_us < 90000000)
+            send_request(cluster, cluster->jobs[i], "GET", "", 2000, on_state_response);
+    cluster_run(cluster, 2500);
+    operator_last(cluster);
+    cluster_oracle_check_end(cluster);
 }
--- a/sim/cluster_codec.c
+++ b/sim/cluster_codec.c
@@ -7,57 +7,57 @@
 #include "controller/codec.h"
 #include "sim/cluster.h"
 
-struct beat_body {
+struct heartbeat_body {
     char *incarnation, *service, *zone, *rack;
     char **labels;
     int64_t seq, n_labels, cpu_milli, memory_mb, gpus, draining, departure_ms, warmup_ms;
 };
-static const struct field beat_fields[] = {STR_NAMED(beat_body, incarnation, "life"),
-                                           STR(beat_body, service),
-                                           STR(beat_body, zone),
-                                           STR(beat_body, rack),
-                                           STRS(beat_body, labels, n_labels),
-                                           INT(beat_body, seq),
-                                           INT_NAMED(beat_body, cpu_milli, "cpuMilli"),
-                                           INT_NAMED(beat_body, memory_mb, "memoryMb"),
-                                           INT(beat_body, gpus),
-                                           INT(beat_body, draining),
-                                           INT_NAMED(beat_body, departure_ms, "departureMs"),
-                                           INT_NAMED(beat_body, warmup_ms, "warmupMs")};
-static SCHEMA(beat_schema, beat_body, beat_fields);
+static const struct field heartbeat_fields[] = {STR_NAMED(heartbeat_body, incarnation, "life"),
+                                                STR(heartbeat_body, service),
+                                                STR(heartbeat_body, zone),
+                                                STR(heartbeat_body, rack),
+                                                STRS(heartbeat_body, labels, n_labels),
+                                                INT(heartbeat_body, seq),
+                                                INT_NAMED(heartbeat_body, cpu_milli, "cpuMilli"),
+                                                INT_NAMED(heartbeat_body, memory_mb, "memoryMb"),
+                                                INT(heartbeat_body, gpus),
+                                                INT(heartbeat_body, draining),
+                                                INT_NAMED(heartbeat_body, departure_ms, "departureMs"),
+                                                INT_NAMED(heartbeat_body, warmup_ms, "warmupMs")};
+static SCHEMA(heartbeat_body_schema, heartbeat_body, heartbeat_fields);
 
 /* --- requests of callers, operators and executors ---------------------------------- */
 
-static int read_caller(struct api_request *request, const struct http_request *web,
+static int read_caller(struct api_request *request, const struct http_request *http,
                        struct validation_error *validation_error)
 {
-    const char *host = web->header(web, "Host"), *last = strrchr(web->path, '/');
+    const char *host = http->header(http, "Host"), *last = strrchr(http->path, '/');
     request->host = must_dup(host ? host : "");
-    request->path = must_dup(web->path);
-    const char *wait = web->header(web, "Wait-Ms");
+    request->path = must_dup(http->path);
+    const char *wait = http->header(http, "Wait-Ms");
     request->wait_ms = wait ? text_to_int64(wait) : 0;
-    if (!last || (!last[1] && strcmp(web->method, "GET")))
+    if (!last || (!last[1] && strcmp(http->method, "GET")))
         return ERROR_NOT_FOUND;
     int64_t job_id = (int64_t)strtoull(last + 1, NULL, 16);
     if (!last[1])
         api_request_make_count(request);
-    else if (!strcmp(web->method, "GET"))
+    else if (!strcmp(http->method, "GET"))
         api_request_make_state(request, job_id);
-    else if (!strcmp(web->method, "DELETE"))
+    else if (!strcmp(http->method, "DELETE"))
         api_request_make_cancel(request, job_id);
-    else if (strcmp(web->method, "POST"))
+    else if (strcmp(http->method, "POST"))
         return ERROR_BAD_METHOD;
     if (request->kind != REQUEST_NONE)
         return ERROR_NONE;
     struct job_spec *spec = api_request_make_job(request);
-    int rc = schema_from_text(&submission_without_outlet_schema, spec, web->body, web->len, validation_error);
+    int rc = schema_from_text(&submission_without_outlet_schema, spec, http->body, http->len, validation_error);
     spec->id = job_id;
     return rc;
 }
 
 static int64_t int_of(const json_t *from, const char *name) { return json_integer_value(json_object_get(from, name)); }
 
-static char *read_saved(const json_t *from)
+static char *read_checkpoint(const json_t *from)
 {
     const char *checkpoint = json_string_value(json_object_get(from, "saved"));
     return checkpoint && *checkpoint ? must_dup(checkpoint) : NULL;
@@ -74,7 +74,7 @@
                                 .task = int_of(one, "task"),
                                 .attempt = int_of(one, "attempt"),
                                 .percent = int_of(one, "percent"),
-                                .checkpoint = read_saved(one)};
+                                .checkpoint = read_checkpoint(one)};
     }
     json_array_foreach(ended, i, one)
     {
@@ -84,39 +84,40 @@
                                .task = int_of(one, "task"),
                                .attempt = int_of(one, "attempt"),
                                .how = int_of(one, "how"),
-                               .checkpoint = read_saved(one)};
+                               .checkpoint = read_checkpoint(one)};
     }
 }
 
 /* Takes out of a heartbeat what an executor that takes its orders by heartbeats reports: its clock and its lists. */
-static void take_account(struct heartbeat_report *account, json_t *beat)
+static void take_report(struct heartbeat_report *report, json_t *heartbeat)
 {
-    const json_t *clock = json_object_get(beat, "clock");
-    account->clock_ms = clock ? json_integer_value(clock) : -1;
-    read_lists(beat, &account->lists);
-    json_object_del(beat, "clock");
-    json_object_del(beat, "active");
-    json_object_del(beat, "ended");
+    const json_t *clock = json_object_get(heartbeat, "clock");
+    report->clock_ms = clock ? json_integer_value(clock) : -1;
+    read_lists(heartbeat, &report->lists);
+    json_object_del(heartbeat, "clock");
+    json_object_del(heartbeat, "active");
+    json_object_del(heartbeat, "ended");
 }
 
-static int read_beat(struct api_request *request, const struct http_request *web,
-                     struct validation_error *validation_error)
+static int read_heartbeat(struct api_request *request, const struct http_request *http,
+                          struct validation_error *validation_error)
 {
-    struct beat_body body = {0};
-    struct heartbeat_report account = {0};
-    json_t *beat = json_loadb(web->body ? web->body : "", (size_t)web->len, 0, NULL);
-    take_account(&account, beat);
-    int rc = beat ? schema_from_json(&beat_schema, &body, beat, 0, validation_error) : ERROR_BAD_JSON;
-    json_decref(beat);
+    struct heartbeat_body body = {0};
+    struct heartbeat_report report = {0};
+    json_t *heartbeat = json_loadb(http->body ? http->body : "", (size_t)http->len, 0, NULL);
+    take_report(&report, heartbeat);
+    int rc =
+        heartbeat ? schema_from_json(&heartbeat_body_schema, &body, heartbeat, 0, validation_error) : ERROR_BAD_JSON;
+    json_decref(heartbeat);
     if (rc) {
-        run_lists_free(&account.lists);
+        run_lists_free(&report.lists);
         return rc;
     }
     *api_request_make_beat(request) =
-        (struct executor_heartbeat){.kind = strcmp(web->method, "DELETE") ? HEARTBEAT_ALIVE : HEARTBEAT_LEAVING,
+        (struct executor_heartbeat){.kind = strcmp(http->method, "DELETE") ? HEARTBEAT_ALIVE : HEARTBEAT_LEAVING,
                                     .seq = body.seq,
                                     .address = must_dup(""),
-                                    .account = account,
+                                    .account = report,
                                     .state = {.incarnation = body.incarnation,
                                               .service = body.service,
                                               .zone = body.zone,
@@ -132,14 +133,14 @@
     return ERROR_NONE;
 }
 
-static int read_patch(struct config *config, const struct http_request *web)
+static int read_patch(struct config *config, const struct http_request *http)
 {
-    json_t *root = json_loadb(web->body ? web->body : "", (size_t)web->len, 0, NULL);
+    json_t *root = json_loadb(http->body ? http->body : "", (size_t)http->len, 0, NULL);
     config->version = json_integer_value(json_object_get(root, "version"));
     json_decref(root);
     if (config->version < 1)
         return ERROR_BAD_FIELD;
-    bytes_add(&config->raw, web->body, web->len);
+    bytes_add(&config->raw, http->body, http->len);
     return ERROR_NONE;
 }
 
@@ -190,40 +191,40 @@
     return rc;
 }
 
-static int read_config(struct api_request *request, const struct http_request *web,
+static int read_config(struct api_request *request, const struct http_request *http,
                        struct validation_error *validation_error)
 {
-    const char *base = web->header(web, "Base");
-    if (!strcmp(web->method, "PATCH")) {
+    const char *base = http->header(http, "Base");
+    if (!strcmp(http->method, "PATCH")) {
         struct config_change *patch = api_request_make_config_patch(request);
         patch->base = base ? text_to_int64(base) : 0;
-        return read_patch(&patch->config, web);
+        return read_patch(&patch->config, http);
     }
-    if (strcmp(web->method, "PUT")) {
+    if (strcmp(http->method, "PUT")) {
         api_request_make_config_get(request);
         return ERROR_NONE;
     }
     struct config_change *change = api_request_make_config_put(request);
     change->base = base ? text_to_int64(base) : 0;
-    int rc = schema_from_text(&config_schema, &change->config, web->body, web->len, validation_error);
+    int rc = schema_from_text(&config_schema, &change->config, http->body, http->len, validation_error);
     if (!rc)
-        bytes_add(&change->config.raw, web->body, web->len);
+        bytes_add(&change->config.raw, http->body, http->len);
     return rc;
 }
 
-static int api_read(struct api_request *request, const struct http_request *web,
+static int api_read(struct api_request *request, const struct http_request *http,
                     struct validation_error *validation_error)
 {
     int rc = ERROR_NOT_FOUND;
-    if (web->entry == ENTRY_READINESS) {
+    if (http->entry == ENTRY_READINESS) {
         api_request_make_ready(request);
         rc = ERROR_NONE;
-    } else if (web->entry == ENTRY_CALLERS)
-        rc = read_caller(request, web, validation_error);
-    else if (!strcmp(web->path, "/beat"))
-        rc = read_beat(request, web, validation_error);
-    else if (!strcmp(web->path, "/config"))
-        rc = read_config(request, web, validation_error);
+    } else if (http->entry == ENTRY_CALLERS)
+        rc = read_caller(request, http, validation_error);
+    else if (!strcmp(http->path, "/beat"))
+        rc = read_heartbeat(request, http, validation_error);
+    else if (!strcmp(http->path, "/config"))
+        rc = read_config(request, http, validation_error);
     if (rc) {
         schema_free(&api_request_schema, request);
         memset(request, 0, sizeof *request);
@@ -234,7 +235,7 @@
 }
 
 /* The body of a response without an error. */
-static char *body_of(const struct api_response *response)
+static char *response_body(const struct api_response *response)
 {
     static const char *const states[] = {"pending", "active", "done", "failed", "cancelled"};
     const struct bytes *text = NULL;
@@ -254,7 +255,7 @@
     /* given up on: it may be in force, so it must not read as a refusal */
     *status = response->error == ERROR_OUTCOME_UNKNOWN ? 504 : error_response((int)response->error)->status;
     *body = response->error ? must_printf("{\"problem\":\"%s\"}", error_response((int)response->error)->name)
-                            : body_of(response);
+                            : response_body(response);
 }
 
 const struct api_codec cluster_api_codec = {.read = api_read, .write = api_write, .patch_config = patch_config};
@@ -270,8 +271,8 @@
     json_decref(body);
 }
 
-static void say_start(struct executor_call *call, const char *incarnation, const struct run_start *start,
-                      int64_t expires_ms, int64_t epoch)
+static void encode_start(struct executor_call *call, const char *incarnation, const struct run_start *start,
+                         int64_t expires_ms, int64_t epoch)
 {
     call_fill(call, "/begin", incarnation,
               json_pack("{s:I,s:I,s:I,s:s,s:s,s:I,s:I}", "job", (json_int_t)start->job, "task", (json_int_t)start->task,
@@ -280,15 +281,15 @@
                         (json_int_t)epoch));
 }
 
-static void say_stop(struct executor_call *call, const char *incarnation, const struct run_ref *run, int64_t epoch)
+static void encode_stop(struct executor_call *call, const char *incarnation, const struct run_ref *run, int64_t epoch)
 {
     call_fill(call, "/end", incarnation,
               json_pack("{s:I,s:I,s:I,s:I}", "job", (json_int_t)run->job, "task", (json_int_t)run->task, "attempt",
                         (json_int_t)run->attempt, "epoch", (json_int_t)epoch));
 }
 
-static void say_poll(struct executor_call *call, const char *incarnation, int64_t epoch, int64_t seen,
-                     int64_t expires_ms, int64_t wait_ms)
+static void encode_poll(struct executor_call *call, const char *incarnation, int64_t epoch, int64_t seen,
+                        int64_t expires_ms, int64_t wait_ms)
 {
     call_fill(call, "/look", incarnation,
               json_pack("{s:I,s:I,s:I,s:I}", "epoch", (json_int_t)epoch, "seen", (json_int_t)seen, "until",
@@ -340,7 +341,7 @@
     return list;
 }
 
-static char *encode_beat_response(const struct heartbeat_orders *orders)
+static char *encode_heartbeat_response(const struct heartbeat_orders *orders)
 {
     json_t *body =
         json_pack("{s:I,s:I,s:I,s:I,s:o,s:o}", "epoch", (json_int_t)orders->epoch, "seen", (json_int_t)orders->seen,
@@ -351,8 +352,8 @@
     return text;
 }
 
-const struct executor_codec cluster_executor_codec = {.start = say_start,
-                                                      .stop = say_stop,
-                                                      .poll = say_poll,
+const struct executor_codec cluster_executor_codec = {.start = encode_start,
+                                                      .stop = encode_stop,
+                                                      .poll = encode_poll,
                                                       .read = executor_read,
-                                                      .heartbeat_response = encode_beat_response};
+                                                      .heartbeat_response = encode_heartbeat_response};
--- a/sim/cluster_disk.c
+++ b/sim/cluster_disk.c
@@ -13,8 +13,8 @@
 void cluster_disk_power_loss(struct cluster_disk *disk);
 void cluster_disk_stall(struct cluster_disk *disk, int64_t until_us);
 void cluster_calls_disk(struct world_calls *calls);
-struct cluster_disk *host_disk(struct world *w, int64_t *now_us);
-void host_stall(struct world *w, int64_t by_us);
+struct cluster_disk *host_disk(struct world *world, int64_t *now_us);
+void host_stall(struct world *world, int64_t by_us);
 
 struct cluster_disk {
     struct machine machine;
@@ -48,7 +48,7 @@
     free(disk);
 }
 
-static const struct world_calls *lent(void)
+static const struct world_calls *sim_disk_calls(void)
 {
     static struct world_calls calls;
     if (!calls.disk_list)
@@ -57,7 +57,7 @@
 }
 
 /* A call of a host's, made on its disk at its time; what it waits for is the host's to wait. */
-#define LENT(W, CALL)                                  \
+#define CALL_ON_DISK(W, CALL)                          \
     int64_t now_us;                                    \
     struct cluster_disk *disk = host_disk(W, &now_us); \
     if (!disk)                                         \
@@ -69,25 +69,34 @@
     host_stall(W, disk->machine.stall_us);             \
     return rc
 
-static int disk_list(struct world *w, void (*each)(void *arg, const char *name), void *arg)
+static int disk_list(struct world *world, void (*each)(void *arg, const char *name), void *arg)
 {
-    LENT(w, lent()->disk_list(to, each, arg));
+    CALL_ON_DISK(world, sim_disk_calls()->disk_list(to, each, arg));
 }
-static int disk_read(struct world *w, const char *name, struct bytes *into)
+static int disk_read(struct world *world, const char *name, struct bytes *into)
 {
-    LENT(w, lent()->disk_read(to, name, into));
+    CALL_ON_DISK(world, sim_disk_calls()->disk_read(to, name, into));
 }
-static int disk_add(struct world *w, const char *name, const void *at, int64_t len)
+static int disk_add(struct world *world, const char *name, const void *at, int64_t len)
 {
-    LENT(w, lent()->disk_add(to, name, at, len));
+    CALL_ON_DISK(world, sim_disk_calls()->disk_add(to, name, at, len));
 }
-static int disk_cut(struct world *w, const char *name, int64_t len) { LENT(w, lent()->disk_cut(to, name, len)); }
-static int disk_sync(struct world *w, const char *name) { LENT(w, lent()->disk_sync(to, name)); }
-static int disk_sync_names(struct world *w) { LENT(w, lent()->disk_sync_names(to)); }
-static int disk_rename(struct world *w, const char *from, const char *name)
+static int disk_cut(struct world *world, const char *name, int64_t len)
 {
-    LENT(w, lent()->disk_rename(to, from, name));
+    CALL_ON_DISK(world, sim_disk_calls()->disk_cut(to, name, len));
+}
+static int disk_sync(struct world *world, const char *name)
+{
+    CALL_ON_DISK(world, sim_disk_calls()->disk_sync(to, name));
+}
+static int disk_sync_names(struct world *world) { CALL_ON_DISK(world, sim_disk_calls()->disk_sync_names(to)); }
+static int disk_rename(struct world *world, const char *from, const char *name)
+{
+    CALL_ON_DISK(world, sim_disk_calls()->disk_rename(to, from, name));
+}
+static int disk_remove(struct world *world, const char *name)
+{
+    CALL_ON_DISK(world, sim_disk_calls()->disk_remove(to, name));
 }
-static int disk_remove(struct world *w, const char *name) { LENT(w, lent()->disk_remove(to, name)); }
 
 void cluster_calls_disk(struct world_calls *calls) { WORLD_TAKE_DISK(calls); }
--- a/sim/cluster_executor.c
+++ b/sim/cluster_executor.c
@@ -9,135 +9,138 @@
 struct standin *standin_new(struct host *host, int64_t index)
 {
     static const char *const labels[] = {"plain", "plain", "large"};
-    struct standin *s = must_alloc(sizeof *s);
-    s->host = host;
-    s->fault_us = -100000000;
-    s->index = index;
-    s->service = index % 4 == 3 ? "raw" : "guarded";
-    s->checks_capacity = index % 4 != 3;
-    s->rack = host->rack;
-    s->label = labels[index / 2 % 3];
-    s->cpu_milli = index / 2 % 3 == 2 ? 24000 : 16000;
-    s->memory_mb = s->cpu_milli * 2;
-    s->gpus = index % 5 == 0 ? 4 : 0;
-    return s;
+    struct standin *standin = must_alloc(sizeof *standin);
+    standin->host = host;
+    standin->last_fault_us = -100000000;
+    standin->index = index;
+    standin->service = index % 4 == 3 ? "raw" : "guarded";
+    standin->checks_capacity = index % 4 != 3;
+    standin->rack = host->rack;
+    standin->label = labels[index / 2 % 3];
+    standin->cpu_milli = index / 2 % 3 == 2 ? 24000 : 16000;
+    standin->memory_mb = standin->cpu_milli * 2;
+    standin->gpus = index % 5 == 0 ? 4 : 0;
+    return standin;
 }
 
-int64_t standin_clock_ms(const struct standin *s)
+int64_t standin_clock_ms(const struct standin *standin)
 {
-    int64_t passed_us = s->host->cluster->now_us - s->born_us;
-    return s->offset_ms + passed_us / 1000 * (1000000 - s->slow_ppm) / 1000000;
+    int64_t passed_us = standin->host->cluster->now_us - standin->born_us;
+    return standin->clock_offset_ms + passed_us / 1000 * (1000000 - standin->clock_slow_ppm) / 1000000;
 }
 
-static void forget(struct standin *s)
+static void free_state(struct standin *standin)
 {
-    for (int64_t i = 0; i < s->n_runs; i++)
-        run_free(&s->runs[i]);
-    for (int64_t i = 0; i < s->n_ended; i++)
-        free(s->ended[i].checkpoint);
-    free(s->runs);
-    free(s->ended);
-    free(s->barred);
-    free(s->polls);
-    s->runs = NULL;
-    s->ended = NULL;
-    s->barred = NULL;
-    s->polls = NULL;
-    s->n_runs = s->n_ended = s->n_barred = s->n_polls = 0;
+    for (int64_t i = 0; i < standin->n_runs; i++)
+        run_free(&standin->runs[i]);
+    for (int64_t i = 0; i < standin->n_ended; i++)
+        free(standin->ended[i].checkpoint);
+    free(standin->runs);
+    free(standin->ended);
+    free(standin->barred);
+    free(standin->polls);
+    standin->runs = NULL;
+    standin->ended = NULL;
+    standin->barred = NULL;
+    standin->polls = NULL;
+    standin->n_runs = standin->n_ended = standin->n_barred = standin->n_polls = 0;
 }
 
-void standin_free(struct standin *s)
+void standin_free(struct standin *standin)
 {
-    forget(s);
-    free(s);
+    free_state(standin);
+    free(standin);
 }
 
-void standin_boot(struct standin *s)
+void standin_boot(struct standin *standin)
 {
-    struct cluster *c = s->host->cluster;
-    if (s->up || s->gone)
+    struct cluster *cluster = standin->host->cluster;
+    if (standin->up || standin->gone)
         return;
-    s->generation++;
-    s->up = 1;
-    s->born_us = s->last_on_timer_us = c->now_us;
-    s->offset_ms = 1000 + cluster_pick(c, 1000000);
-    s->slow_ppm = cluster_pick(c, 20001);
-    s->until_ms = s->fence = s->seq = s->draining = s->leaves_us = s->beat_seq = s->return_us = 0;
-    s->slow_pct = 100;
-    s->drain_ack_us = -1;
-    s->hang_us = s->fail_us = s->sick_us = s->late_us = 0;
-    s->beat_due_us = c->now_us + cluster_pick(c, 300000);
-    snprintf(s->incarnation, sizeof s->incarnation, "x%lld-%lld", (long long)s->index, (long long)s->generation);
-    if (s->generation > 1)
-        cluster_tell(c, 0, "executor %s starts", s->incarnation);
+    standin->generation++;
+    standin->up = 1;
+    standin->born_us = standin->last_on_timer_us = cluster->now_us;
+    standin->clock_offset_ms = 1000 + cluster_pick(cluster, 1000000);
+    standin->clock_slow_ppm = cluster_pick(cluster, 20001);
+    standin->lease_until_ms = standin->fence_epoch = standin->seq = standin->draining = standin->leaves_us =
+        standin->heartbeat_seq = standin->return_after_ms = 0;
+    standin->slow_pct = 100;
+    standin->drain_ack_us = -1;
+    standin->hang_us = standin->fail_us = standin->sick_us = standin->late_us = 0;
+    standin->next_heartbeat_us = cluster->now_us + cluster_pick(cluster, 300000);
+    snprintf(standin->incarnation, sizeof standin->incarnation, "x%lld-%lld", (long long)standin->index,
+             (long long)standin->generation);
+    if (standin->generation > 1)
+        cluster_tell(cluster, 0, "executor %s starts", standin->incarnation);
     struct cluster_event *on_timer = must_alloc(sizeof *on_timer);
-    on_timer->kind = CEV_STANDIN;
-    on_timer->to = s->host;
-    on_timer->generation = s->generation;
-    cluster_push(c, on_timer, c->now_us + cluster_pick(c, STANDIN_ON_TIMER_US));
+    on_timer->kind = CLUSTER_EVENT_STANDIN;
+    on_timer->to = standin->host;
+    on_timer->generation = standin->generation;
+    cluster_push(cluster, on_timer, cluster->now_us + cluster_pick(cluster, STANDIN_ON_TIMER_US));
 }
 
-static void boot_again(struct cluster *c, void *arg, int64_t n)
+static void boot_again(struct cluster *cluster, void *arg, int64_t n)
 {
-    struct standin *s = arg;
-    (void)c;
-    if (s->generation == n)
-        standin_boot(s);
+    struct standin *standin = arg;
+    (void)cluster;
+    if (standin->generation == n)
+        standin_boot(standin);
 }
 
-void standin_go(struct standin *s, int64_t back_ms)
+void standin_shut_down(struct standin *standin, int64_t back_ms)
 {
-    struct cluster *c = s->host->cluster;
-    s->up = 0;
-    for (int64_t i = 0; i < s->n_runs; i++) { /* other members of its gangs notice */
-        struct standin_run *run = &s->runs[i];
-        struct board_gang *gang = board_gang(run->job, run->time, run->step, run->attempt);
+    struct cluster *cluster = standin->host->cluster;
+    standin->up = 0;
+    for (int64_t i = 0; i < standin->n_runs; i++) { /* other members of its gangs notice */
+        struct standin_run *run = &standin->runs[i];
+        struct tracked_gang *gang = tracked_gang(run->job, run->repetition, run->step, run->attempt);
         if (gang && gang->began_us)
             gang->broken = 1;
     }
-    s->fault_us = c->now_us;
-    forget(s);
+    standin->last_fault_us = cluster->now_us;
+    free_state(standin);
     if (back_ms >= 0)
-        cluster_at(c, back_ms, boot_again, s, s->generation);
+        cluster_at(cluster, back_ms, boot_again, standin, standin->generation);
     else
-        s->gone = 1;
+        standin->gone = 1;
 }
 
-void standin_crash(struct standin *s, int64_t back_ms)
+void standin_crash(struct standin *standin, int64_t back_ms)
 {
-    if (!s->up)
+    if (!standin->up)
         return;
-    cluster_tell(s->host->cluster, 0, "executor %s crashes", s->incarnation);
-    s->host->cluster->trouble_us = s->host->cluster->now_us;
-    standin_go(s, back_ms);
+    cluster_tell(standin->host->cluster, 0, "executor %s crashes", standin->incarnation);
+    standin->host->cluster->trouble_us = standin->host->cluster->now_us;
+    standin_shut_down(standin, back_ms);
 }
 
-void standin_drain(struct standin *s, int64_t back_ms)
+void standin_drain(struct standin *standin, int64_t back_ms)
 {
-    if (!s->up || s->draining)
+    if (!standin->up || standin->draining)
         return;
-    cluster_tell(s->host->cluster, 0, "executor %s drains", s->incarnation);
-    s->draining = 1;
-    s->return_us = back_ms;
-    s->leaves_us = s->host->cluster->now_us + 10000000; /* without an acknowledgement */
-    s->beat_due_us = s->host->cluster->now_us;
+    cluster_tell(standin->host->cluster, 0, "executor %s drains", standin->incarnation);
+    standin->draining = 1;
+    standin->return_after_ms = back_ms;
+    standin->leaves_us = standin->host->cluster->now_us + 10000000; /* without an acknowledgement */
+    standin->next_heartbeat_us = standin->host->cluster->now_us;
 }
 
 /* --- what it is asked --------------------------------------------------------------------- */
 
-json_t *standin_lists(const struct standin *s)
+json_t *standin_report(const struct standin *standin)
 {
-    json_t *answer = json_pack("{s:I}", "clock", (json_int_t)standin_clock_ms(s));
+    json_t *answer = json_pack("{s:I}", "clock", (json_int_t)standin_clock_ms(standin));
     json_t *active = json_array(), *ended = json_array();
-    for (int64_t i = 0; i < s->n_runs; i++) {
-        const struct standin_run *run = &s->runs[i];
-        json_array_append_new(active, json_pack("{s:I,s:I,s:I,s:I,s:s}", "job", (json_int_t)run->job->id, "task",
-                                                (json_int_t)run->task, "attempt", (json_int_t)run->attempt, "percent",
-                                                (json_int_t)(run->need_us ? run->done_us * 100 / run->need_us : 0),
-                                                "saved", run->checkpoint ? run->checkpoint : ""));
+    for (int64_t i = 0; i < standin->n_runs; i++) {
+        const struct standin_run *run = &standin->runs[i];
+        json_array_append_new(active,
+                              json_pack("{s:I,s:I,s:I,s:I,s:s}", "job", (json_int_t)run->job->id, "task",
+                                        (json_int_t)run->task, "attempt", (json_int_t)run->attempt, "percent",
+                                        (json_int_t)(run->required_us ? run->done_us * 100 / run->required_us : 0),
+                                        "saved", run->checkpoint ? run->checkpoint : ""));
     }
-    for (int64_t i = 0; i < s->n_ended && i < 500; i++) {
-        const struct standin_ended *end = &s->ended[i];
+    for (int64_t i = 0; i < standin->n_ended && i < 500; i++) {
+        const struct standin_ended *end = &standin->ended[i];
         json_array_append_new(ended, json_pack("{s:I,s:I,s:I,s:I,s:I,s:s}", "seq", (json_int_t)end->seq, "job",
                                                (json_int_t)end->job, "task", (json_int_t)end->task, "attempt",
                                                (json_int_t)end->attempt, "how", (json_int_t)end->how, "saved",
@@ -148,51 +151,52 @@
     return answer;
 }
 
-static void answer_lists(struct standin *s, int64_t call)
+static void answer_lists(struct standin *standin, int64_t call)
 {
-    json_t *answer = standin_lists(s);
+    json_t *answer = standin_report(standin);
     char *text = json_dumps(answer, JSON_COMPACT);
-    cluster_reply(s->host->cluster, call, 200, text);
+    cluster_reply(standin->host->cluster, call, 200, text);
     free(text);
     json_decref(answer);
 }
 
-static void say(struct standin *s, int64_t call, int status, const char *why)
+static void reply_status(struct standin *standin, int64_t call, int status, const char *why)
 {
-    char *body = must_printf("{\"clock\":%lld,\"why\":\"%s\"}", (long long)standin_clock_ms(s), why);
-    cluster_reply(s->host->cluster, call, status, body);
+    char *body = must_printf("{\"clock\":%lld,\"why\":\"%s\"}", (long long)standin_clock_ms(standin), why);
+    cluster_reply(standin->host->cluster, call, status, body);
     free(body);
 }
 
 static int64_t number(const json_t *body, const char *name) { return json_integer_value(json_object_get(body, name)); }
 
-void standin_hold(struct standin *s, int64_t until_ms)
+void standin_extend_lease(struct standin *standin, int64_t lease_until_ms)
 {
-    int64_t most_ms = standin_clock_ms(s) + HOLD_MAX_MS;
-    if (until_ms > most_ms)
-        until_ms = most_ms;
-    if (until_ms > s->until_ms)
-        s->until_ms = until_ms;
+    int64_t most_ms = standin_clock_ms(standin) + HOLD_MAX_MS;
+    if (lease_until_ms > most_ms)
+        lease_until_ms = most_ms;
+    if (lease_until_ms > standin->lease_until_ms)
+        standin->lease_until_ms = lease_until_ms;
 }
 
-int standin_order_start(struct standin *s, const json_t *order, int late, const char **why)
+int standin_order_start(struct standin *standin, const json_t *order, int late, const char **why)
 {
-    struct cluster *c = s->host->cluster;
+    struct cluster *cluster = standin->host->cluster;
     int64_t job_id = number(order, "job"), task = number(order, "task"), attempt = number(order, "attempt");
     const char *text = json_string_value(json_object_get(order, "text"));
     const char *checkpoint = json_string_value(json_object_get(order, "saved"));
-    struct standin_run *run = standin_run(s, job_id, task);
-    struct board_job *job = board_job(c, job_id);
+    struct standin_run *run = standin_run(standin, job_id, task);
+    struct tracked_job *job = tracked_job(cluster, job_id);
     *why = "";
     if (run && run->attempt == attempt)
         return 200;
-    if (attempt <= standin_barred(s, job_id, task)) {
+    if (attempt <= standin_barred(standin, job_id, task)) {
         *why = "old";
         return 409;
     }
-    if (!job || !board_row(job, task) || attempt < 1) {
-        judge_say(c, job_id, "UNASKED: %s is told to start what nobody sent: job %llx task %llx attempt %lld",
-                  s->incarnation, (unsigned long long)job_id, (unsigned long long)task, (long long)attempt);
+    if (!job || !tracked_task(job, task) || attempt < 1) {
+        cluster_violation(
+            cluster, job_id, "UNASKED: %s is told to start what nobody sent: job %llx task %llx attempt %lld",
+            standin->incarnation, (unsigned long long)job_id, (unsigned long long)task, (long long)attempt);
         return 400;
     }
     const struct standin_start start = {.job = job,
@@ -201,124 +205,125 @@
                                         .text = text ? text : "",
                                         .checkpoint = checkpoint ? checkpoint : "",
                                         .late = late};
-    if (!standin_start(s, &start)) {
-        c->n_room_refused++;
+    if (!standin_start(standin, &start)) {
+        cluster->n_capacity_refused++;
         *why = "room";
         return 409;
     }
     return 200;
 }
 
-static void take_begin(struct standin *s, int64_t call, const json_t *body, int late)
+static void on_start_request(struct standin *standin, int64_t call, const json_t *body, int late)
 {
-    int64_t until_ms = number(body, "until");
-    const struct standin_run *run = standin_run(s, number(body, "job"), number(body, "task"));
+    int64_t lease_until_ms = number(body, "until");
+    const struct standin_run *run = standin_run(standin, number(body, "job"), number(body, "task"));
     const char *why;
-    if (s->host->cluster->now_us < s->sick_us) {
-        say(s, call, 503, "sick");
+    if (standin->host->cluster->now_us < standin->sick_us) {
+        reply_status(standin, call, 503, "sick");
         return;
     }
-    if (until_ms <= standin_clock_ms(s) && !(run && run->attempt == number(body, "attempt"))) {
-        say(s, call, 409, "late");
+    if (lease_until_ms <= standin_clock_ms(standin) && !(run && run->attempt == number(body, "attempt"))) {
+        reply_status(standin, call, 409, "late");
         return;
     }
-    standin_hold(s, until_ms);
-    int status = standin_order_start(s, body, late, &why);
-    say(s, call, status, why);
+    standin_extend_lease(standin, lease_until_ms);
+    int status = standin_order_start(standin, body, late, &why);
+    reply_status(standin, call, status, why);
 }
 
-void standin_seen(struct standin *s, int64_t seen)
+void standin_acknowledge_ends(struct standin *standin, int64_t seen)
 {
     int64_t kept = 0;
-    judge_noted(s, seen);
-    for (int64_t i = 0; i < s->n_ended; i++) {
-        if (s->ended[i].seq <= seen)
-            free(s->ended[i].checkpoint);
+    cluster_oracle_on_ends_acknowledged(standin, seen);
+    for (int64_t i = 0; i < standin->n_ended; i++) {
+        if (standin->ended[i].seq <= seen)
+            free(standin->ended[i].checkpoint);
         else
-            s->ended[kept++] = s->ended[i];
+            standin->ended[kept++] = standin->ended[i];
     }
-    s->n_ended = kept;
+    standin->n_ended = kept;
 }
 
-static void take_poll(struct standin *s, int64_t call, const json_t *body)
+static void on_poll_request(struct standin *standin, int64_t call, const json_t *body)
 {
-    struct cluster *c = s->host->cluster;
+    struct cluster *cluster = standin->host->cluster;
     int64_t wait_ms = number(body, "wait");
     if (number(body, "until"))
-        standin_hold(s, number(body, "until"));
-    standin_seen(s, number(body, "seen"));
-    if (wait_ms <= 0 || s->n_ended) {
-        answer_lists(s, call);
+        standin_extend_lease(standin, number(body, "until"));
+    standin_acknowledge_ends(standin, number(body, "seen"));
+    if (wait_ms <= 0 || standin->n_ended) {
+        answer_lists(standin, call);
         return;
     }
-    struct standin_poll *poll = array_add(s->polls, s->n_polls);
+    struct standin_poll *poll = array_add(standin->polls, standin->n_polls);
     poll->call = call;
-    poll->due_us = c->now_us + (wait_ms < 2000 ? wait_ms : 2000) * 1000;
+    poll->deadline_us = cluster->now_us + (wait_ms < 2000 ? wait_ms : 2000) * 1000;
 }
 
-void standin_order_stop(struct standin *s, const json_t *order)
+void standin_order_stop(struct standin *standin, const json_t *order)
 {
     int64_t job = number(order, "job"), task = number(order, "task"), attempt = number(order, "attempt");
-    struct standin_run *run = standin_run(s, job, task);
+    struct standin_run *run = standin_run(standin, job, task);
     if (run && run->attempt == attempt)
-        standin_stop(s, run);
+        standin_stop(standin, run);
     else
-        standin_bar(s, job, task, attempt);
+        standin_bar(standin, job, task, attempt);
 }
 
-static void take_end(struct standin *s, int64_t call, const json_t *body)
+static void on_stop_request(struct standin *standin, int64_t call, const json_t *body)
 {
-    standin_order_stop(s, body);
-    say(s, call, 200, "");
+    standin_order_stop(standin, body);
+    reply_status(standin, call, 200, "");
 }
 
-void standin_take(struct standin *s, int64_t call, const char *path, const char *header, const char *text, int late)
+void standin_on_request(struct standin *standin, int64_t call, const char *path, const char *header, const char *text,
+                        int late)
 {
     const char *incarnation = header_find(header, "Life");
     json_t *body = json_loads(text, 0, NULL);
     if (late)
-        s->host->cluster->n_late_orders++;
-    if (incarnation && strcmp(incarnation, s->incarnation))
-        say(s, call, 421, "life");
+        standin->host->cluster->n_late_orders++;
+    if (incarnation && strcmp(incarnation, standin->incarnation))
+        reply_status(standin, call, 421, "life");
     else if (!body)
-        say(s, call, 400, "");
-    else if (number(body, "epoch") < s->fence)
-        say(s, call, 409, "epoch");
+        reply_status(standin, call, 400, "");
+    else if (number(body, "epoch") < standin->fence_epoch)
+        reply_status(standin, call, 409, "epoch");
     else {
-        s->fence = number(body, "epoch");
+        standin->fence_epoch = number(body, "epoch");
         if (!strcmp(path, "/begin"))
-            take_begin(s, call, body, late);
+            on_start_request(standin, call, body, late);
         else if (!strcmp(path, "/end"))
-            take_end(s, call, body);
+            on_stop_request(standin, call, body);
         else if (!strcmp(path, "/look"))
-            take_poll(s, call, body);
+            on_poll_request(standin, call, body);
         else
-            say(s, call, 404, "");
+            reply_status(standin, call, 404, "");
     }
     json_decref(body);
 }
 
-void standin_on_timer(struct standin *s)
+void standin_on_timer(struct standin *standin)
 {
-    struct cluster *c = s->host->cluster;
-    int64_t passed_us = c->now_us - s->last_on_timer_us;
-    s->last_on_timer_us = c->now_us;
-    if (s->draining && c->now_us >= s->leaves_us) {
-        standin_leave(s);
+    struct cluster *cluster = standin->host->cluster;
+    int64_t passed_us = cluster->now_us - standin->last_on_timer_us;
+    standin->last_on_timer_us = cluster->now_us;
+    if (standin->draining && cluster->now_us >= standin->leaves_us) {
+        standin_leave(standin);
         return;
     }
-    if (c->now_us < s->hang_us || c->now_us < s->fail_us || c->now_us < s->sick_us || c->now_us < s->late_us ||
-        s->slow_pct != 100)
-        s->fault_us = c->now_us;
-    if (standin_clock_ms(s) >= s->until_ms)
-        standin_lapse(s);
-    if (c->now_us >= s->hang_us)
-        standin_work(s, passed_us * 100 / s->slow_pct);
-    if (c->now_us >= s->hang_us && c->now_us >= s->beat_due_us)
-        standin_beat(s);
-    for (int64_t i = s->n_polls - 1; i >= 0; i--)
-        if (s->n_ended || c->now_us >= s->polls[i].due_us) {
-            answer_lists(s, s->polls[i].call);
-            s->polls[i] = s->polls[--s->n_polls];
+    if (cluster->now_us < standin->hang_us || cluster->now_us < standin->fail_us ||
+        cluster->now_us < standin->sick_us || cluster->now_us < standin->late_us || standin->slow_pct != 100)
+        standin->last_fault_us = cluster->now_us;
+    if (standin_clock_ms(standin) >= standin->lease_until_ms)
+        standin_expire_lease(standin);
+    if (cluster->now_us >= standin->hang_us)
+        standin_advance(standin, passed_us * 100 / standin->slow_pct);
+    if (cluster->now_us >= standin->hang_us && cluster->now_us >= standin->next_heartbeat_us)
+        standin_heartbeat(standin);
+    for (int64_t i = standin->n_polls - 1; i >= 0; i--)
+        if (standin->n_ended || cluster->now_us >= standin->polls[i].deadline_us) {
+            answer_lists(standin, standin->polls[i].call);
+            standin->polls[i] = standin->polls[--standin->n_polls];
         }
 }
--- a/sim/cluster_link.c
+++ b/sim/cluster_link.c
@@ -7,7 +7,7 @@
 #include "sim/cluster.h"
 
 /* What a link of bounded width adds: a frame begins when those before it are through. */
-int64_t link_through(struct host *from, struct host *to, int64_t bytes)
+int64_t link_transfer_us(struct host *from, struct host *to, int64_t bytes)
 {
     int64_t now_us = from->cluster->now_us + from->stall_us, at_us = now_us;
     if (from == to || (!from->link_kbit_s && !to->link_kbit_s))
@@ -24,27 +24,27 @@
 
 void link_reset(struct host *from, struct host *to)
 {
-    struct cluster *c = from->cluster;
-    for (int64_t i = 0; i < c->events.n; i++) {
-        struct cluster_event *event = (struct cluster_event *)c->events.heap[i];
-        if (event->kind != CEV_FRAME || event->from != from || event->to != to)
+    struct cluster *cluster = from->cluster;
+    for (int64_t i = 0; i < cluster->events.n; i++) {
+        struct cluster_event *event = (struct cluster_event *)cluster->events.heap[i];
+        if (event->kind != CLUSTER_EVENT_FRAME || event->from != from || event->to != to)
             continue;
-        if (c->links.stale_ms && cluster_pick(c, 2))
-            event->read_us = c->now_us + cluster_pick(c, c->links.stale_ms * 1000);
+        if (cluster->links.stale_ms && cluster_pick(cluster, 2))
+            event->read_after_us = cluster->now_us + cluster_pick(cluster, cluster->links.stale_ms * 1000);
         else
             event->lost = 1;
     }
-    c->links.reconnect_us[from->index][to->index] = c->now_us + RECONNECT_MS * 1000LL;
-    c->links.last_us[from->index][to->index] = 0;
-    c->links.stalled_us[from->index][to->index] = 0;
+    cluster->links.reconnect_us[from->index][to->index] = cluster->now_us + RECONNECT_MS * 1000LL;
+    cluster->links.last_us[from->index][to->index] = 0;
+    cluster->links.stalled_us[from->index][to->index] = 0;
 }
 
-int link_strikes(struct cluster *c, enum reset_hop hop, enum reset_point point)
+int link_reset_occurs(struct cluster *cluster, enum reset_hop hop, enum reset_point point)
 {
-    int64_t pct = c->links.reset_pct[hop][point];
-    if (!pct || cluster_pick(c, 100) >= pct)
+    int64_t pct = cluster->links.reset_pct[hop][point];
+    if (!pct || cluster_pick(cluster, 100) >= pct)
         return 0;
-    c->links.n_resets[hop][point]++;
+    cluster->links.n_resets[hop][point]++;
     return 1;
 }
 
@@ -63,35 +63,35 @@
     }
 }
 
-int link_loses(struct host *from, struct host *to, int64_t kind, struct cluster_event *event)
+int link_loses_frame(struct host *from, struct host *to, int64_t kind, struct cluster_event *event)
 {
-    struct cluster *c = from->cluster;
+    struct cluster *cluster = from->cluster;
     int is_answer;
     enum reset_hop hop = hop_of(kind, &is_answer);
     if (from == to)
         return 0;
-    if (c->now_us < c->links.reconnect_us[from->index][to->index])
+    if (cluster->now_us < cluster->links.reconnect_us[from->index][to->index])
         return 1;
     if (hop == HOP_COUNT)
         return 0;
-    if (link_strikes(c, hop, is_answer ? RESET_IN_ANSWER : RESET_BEFORE_READ)) {
+    if (link_reset_occurs(cluster, hop, is_answer ? RESET_IN_ANSWER : RESET_BEFORE_READ)) {
         link_reset(from, to);
         return 1;
     }
-    event->resets = !is_answer && link_strikes(c, hop, RESET_BEFORE_ANSWER);
+    event->reset_reply = !is_answer && link_reset_occurs(cluster, hop, RESET_BEFORE_ANSWER);
     return 0;
 }
 
-void host_reset(struct host *h)
+void host_reset(struct host *host)
 {
-    struct cluster *c = h->cluster;
-    for (int64_t i = 0; i < c->n; i++)
-        if (c->hosts[i] != h) {
-            link_reset(h, c->hosts[i]);
-            link_reset(c->hosts[i], h);
+    struct cluster *cluster = host->cluster;
+    for (int64_t i = 0; i < cluster->n; i++)
+        if (cluster->hosts[i] != host) {
+            link_reset(host, cluster->hosts[i]);
+            link_reset(cluster->hosts[i], host);
         }
-    cluster_reset_calls(c, h);
-    host_trouble(h);
+    cluster_reset_calls(cluster, host);
+    host_trouble(host);
 }
 
 /* --- stalls -------------------------------------------------------------------------- */
@@ -121,33 +121,33 @@
         host_cut_as(b, a, LINK_SILENT);
 }
 
-void host_cut_off(struct host *h)
+void host_cut_off(struct host *host)
 {
-    struct cluster *c = h->cluster;
-    cluster_tell(c, 0, "%s is cut off", h->name);
-    for (int64_t i = 0; i < c->n; i++)
-        if (c->hosts[i] != h)
-            c->cut[h->index][i] = c->cut[i][h->index] = LINK_SILENT;
-    host_trouble(h);
+    struct cluster *cluster = host->cluster;
+    cluster_tell(cluster, 0, "%s is cut off", host->name);
+    for (int64_t i = 0; i < cluster->n; i++)
+        if (cluster->hosts[i] != host)
+            cluster->cut[host->index][i] = cluster->cut[i][host->index] = LINK_SILENT;
+    host_trouble(host);
 }
 
-void cluster_heal(struct cluster *c)
+void cluster_heal(struct cluster *cluster)
 {
-    cluster_tell(c, 0, "all links heal");
-    for (int64_t i = 0; i < c->n; i++)
-        if (cluster_is_cut(c, c->hosts[i]))
-            host_trouble(c->hosts[i]);
-    for (int64_t i = 0; i < c->n; i++)
-        for (int64_t k = 0; k < c->n; k++)
-            if (c->cut[i][k] == LINK_REFUSED)
-                c->links.reconnect_us[i][k] = c->now_us + RECONNECT_MS * 1000LL;
-    memset(c->cut, 0, sizeof c->cut);
+    cluster_tell(cluster, 0, "all links heal");
+    for (int64_t i = 0; i < cluster->n; i++)
+        if (cluster_is_cut(cluster, cluster->hosts[i]))
+            host_trouble(cluster->hosts[i]);
+    for (int64_t i = 0; i < cluster->n; i++)
+        for (int64_t k = 0; k < cluster->n; k++)
+            if (cluster->cut[i][k] == LINK_REFUSED)
+                cluster->links.reconnect_us[i][k] = cluster->now_us + RECONNECT_MS * 1000LL;
+    memset(cluster->cut, 0, sizeof cluster->cut);
 }
 
-int cluster_is_cut(const struct cluster *c, const struct host *h)
+int cluster_is_cut(const struct cluster *cluster, const struct host *host)
 {
-    for (int64_t i = 0; i < c->n; i++)
-        if (c->cut[h->index][i] || c->cut[i][h->index])
+    for (int64_t i = 0; i < cluster->n; i++)
+        if (cluster->cut[host->index][i] || cluster->cut[i][host->index])
             return 1;
     return 0;
 }
--- a/sim/cluster_link.h
+++ b/sim/cluster_link.h
@@ -32,22 +32,22 @@
 struct cluster_event;
 struct host;
 
-int64_t link_through(struct host *from, struct host *to, int64_t bytes); /* us that narrow links add */
+int64_t link_transfer_us(struct host *from, struct host *to, int64_t bytes); /* us that narrow links add */
 /* Whether a frame of this kind (base/frame.h) is lost with its connection; may reset that, or mark event so that the
  * one back is reset. */
-int link_loses(struct host *from, struct host *to, int64_t kind, struct cluster_event *event);
+int link_loses_frame(struct host *from, struct host *to, int64_t kind, struct cluster_event *event);
 /* Resets the connection from one host to another: what is on its way is lost (but see stale_ms), and what is sent
  * before it is open again. */
 void link_reset(struct host *from, struct host *to);
 /* The connection stands still: what is on it or sent within for_ms arrives after that. Datagrams go on. */
 void link_stall(struct host *from, struct host *to, int64_t for_ms);
 /* Whether the connection of a call over this hop is reset at this point. */
-int link_strikes(struct cluster *c, enum reset_hop hop, enum reset_point point);
+int link_reset_occurs(struct cluster *cluster, enum reset_hop hop, enum reset_point point);
 
 void host_cut(struct host *a, struct host *b, int one_way);
-void host_cut_off(struct host *h);
+void host_cut_off(struct host *host);
 void host_cut_as(struct host *from, struct host *to, enum link_cut how); /* one way */
-void host_reset(struct host *h);                                         /* all its connections, and all calls to it */
-void cluster_heal(struct cluster *c);
-int cluster_is_cut(const struct cluster *c, const struct host *h);
+void host_reset(struct host *host);                                      /* all its connections, and all calls to it */
+void cluster_heal(struct cluster *cluster);
+int cluster_is_cut(const struct cluster *cluster, const struct host *host);
 #endif
--- a/sim/cluster_net.c
+++ b/sim/cluster_net.c
@@ -9,12 +9,12 @@
 #include "controller/controller.h"
 #include "sim/cluster.h"
 
-static struct host *host_of(struct world *w) { return (struct host *)w; }
-static int64_t later(int64_t a, int64_t b) { return a > b ? a : b; }
+static struct host *host_of(struct world *world) { return (struct host *)world; }
+static int64_t later_of(int64_t a, int64_t b) { return a > b ? a : b; }
 
-void cluster_push(struct cluster *c, struct cluster_event *event, int64_t at_us)
+void cluster_push(struct cluster *cluster, struct cluster_event *event, int64_t at_us)
 {
-    event_queue_push(&c->events, &event->due, later(at_us, c->now_us));
+    event_queue_push(&cluster->events, &event->timed, later_of(at_us, cluster->now_us));
 }
 
 void cluster_event_free(struct cluster_event *event)
@@ -36,53 +36,53 @@
     return event;
 }
 
-void cluster_at(struct cluster *c, int64_t in_ms, cluster_action *action, void *arg, int64_t n)
+void cluster_at(struct cluster *cluster, int64_t in_ms, cluster_action *action, void *arg, int64_t n)
 {
-    struct cluster_event *event = cluster_event_new(CEV_ACTION, NULL);
+    struct cluster_event *event = cluster_event_new(CLUSTER_EVENT_ACTION, NULL);
     event->action = action;
     event->arg = arg;
     event->n = n;
-    cluster_push(c, event, c->now_us + in_ms * 1000);
+    cluster_push(cluster, event, cluster->now_us + in_ms * 1000);
 }
 
 enum { FRAME_KIND_AT = 3 }; /* where a frame's head has its kind */
 
 /* --- frames ----------------------------------------------------------------------- */
 
-int64_t cluster_arrival(struct cluster *c, const struct host *from, const struct host *to)
+int64_t cluster_arrival(struct cluster *cluster, const struct host *from, const struct host *to)
 {
-    int64_t at_us = c->now_us + (from ? from->stall_us : 0) + 100 + cluster_pick(c, 300);
+    int64_t at_us = cluster->now_us + (from ? from->stall_us : 0) + 100 + cluster_pick(cluster, 300);
     if (from && to && strcmp(from->zone, to->zone))
         at_us += 900;
     if (!from)
         at_us += 3000; /* from outside */
-    return at_us + (from != to ? c->slow_link_ms * 1000 : 0);
+    return at_us + (from != to ? cluster->slow_link_ms * 1000 : 0);
 }
 
-static void net_send(struct world *w, uint64_t addr, struct blob *frame, int lossy)
+static void net_send(struct world *world, uint64_t addr, struct blob *frame, int lossy)
 {
-    struct host *from = host_of(w), *to = NULL;
-    struct cluster *c = from->cluster;
-    for (int64_t i = 0; i < c->n; i++)
-        if (c->hosts[i]->base.self == addr)
-            to = c->hosts[i];
-    if (!to || c->cut[from->index][to->index] || (lossy && cluster_pick(c, 100) < c->loss_pct) ||
-        (c->reset_pct && cluster_pick(c, 100) < c->reset_pct))
+    struct host *from = host_of(world), *to = NULL;
+    struct cluster *cluster = from->cluster;
+    for (int64_t i = 0; i < cluster->n; i++)
+        if (cluster->hosts[i]->base.self == addr)
+            to = cluster->hosts[i];
+    if (!to || cluster->cut[from->index][to->index] || (lossy && cluster_pick(cluster, 100) < cluster->loss_pct) ||
+        (cluster->reset_pct && cluster_pick(cluster, 100) < cluster->reset_pct))
         return;
-    struct cluster_event *event = cluster_event_new(CEV_FRAME, to);
-    if (!lossy && link_loses(from, to, frame->bytes.at[FRAME_KIND_AT], event)) {
+    struct cluster_event *event = cluster_event_new(CLUSTER_EVENT_FRAME, to);
+    if (!lossy && link_loses_frame(from, to, frame->bytes.at[FRAME_KIND_AT], event)) {
         cluster_event_free(event);
         return;
     }
     event->frame = blob_hold(frame);
-    int64_t late_us = c->late_ms ? cluster_pick(c, c->late_ms * 1000) : 0;
-    int64_t at_us = cluster_arrival(c, from, to) + link_through(from, to, frame->bytes.len) + late_us;
-    int64_t *last_us = &c->links.last_us[from->index][to->index];
+    int64_t late_us = cluster->late_ms ? cluster_pick(cluster, cluster->late_ms * 1000) : 0;
+    int64_t at_us = cluster_arrival(cluster, from, to) + link_transfer_us(from, to, frame->bytes.len) + late_us;
+    int64_t *last_us = &cluster->links.last_us[from->index][to->index];
     if (!lossy) {
         event->from = from;
-        at_us = *last_us = later(later(at_us, *last_us + 1), c->links.stalled_us[from->index][to->index]);
+        at_us = *last_us = later_of(later_of(at_us, *last_us + 1), cluster->links.stalled_us[from->index][to->index]);
     }
-    cluster_push(c, event, at_us);
+    cluster_push(cluster, event, at_us);
 }
 
 /* --- delivery --------------------------------------------------------------------- */
@@ -105,148 +105,148 @@
 }
 
 /* Answers in place of the cores, as a test wants. */
-static void fake_answer(struct cluster *c, const struct cluster_event *event)
+static void fake_answer(struct cluster *cluster, const struct cluster_event *event)
 {
     char *answer = NULL;
-    int status = c->fake(c, event->method, event->path, event->body, &answer);
-    cluster_reply(c, event->call, status, answer ? answer : "{}");
+    int status = cluster->fake(cluster, event->method, event->path, event->body, &answer);
+    cluster_reply(cluster, event->call, status, answer ? answer : "{}");
     free(answer);
 }
 
-static void to_host(struct cluster *c, struct host *h, struct cluster_event *event)
+static void deliver_to_core(struct cluster *cluster, struct host *host, struct cluster_event *event)
 {
-    if (c->fake) {
-        if (event->kind == CEV_REQUEST)
-            fake_answer(c, event);
+    if (cluster->fake) {
+        if (event->kind == CLUSTER_EVENT_REQUEST)
+            fake_answer(cluster, event);
         return;
     }
-    struct http_request web = {.entry = event->entry,
-                               .method = event->method,
-                               .path = event->path,
-                               .body = event->body,
-                               .len = event->body ? (int64_t)strlen(event->body) : 0,
-                               .header = web_header,
-                               .arg = event->header};
-    if (event->kind == CEV_ON_TIMER)
-        h->controller ? controller_on_timer(h->controller) : agent_on_timer(h->agent);
-    else if (event->kind == CEV_FRAME && h->controller)
-        controller_on_frame(h->controller, event->frame->bytes.at, event->frame->bytes.len);
-    else if (event->kind == CEV_FRAME)
-        agent_on_frame(h->agent, event->frame->bytes.at, event->frame->bytes.len);
-    else if (event->kind == CEV_REQUEST)
-        h->controller ? controller_request(h->controller, event->call, &web)
-                      : agent_request(h->agent, event->call, &web);
-    else if (event->kind == CEV_ANSWER)
-        cluster_call_end(c, event->call, event->status, event->body);
-    else if (event->kind == CEV_TIMEOUT)
-        cluster_call_end(c, event->call, 0, "");
-    else if (event->kind == CEV_FLUSH) {
-        h->flush_due = 0;
-        h->controller ? controller_flush(h->controller) : agent_flush(h->agent);
+    struct http_request http = {.entry = event->entry,
+                                .method = event->method,
+                                .path = event->path,
+                                .body = event->body,
+                                .len = event->body ? (int64_t)strlen(event->body) : 0,
+                                .header = web_header,
+                                .arg = event->header};
+    if (event->kind == CLUSTER_EVENT_TIMER)
+        host->controller ? controller_on_timer(host->controller) : agent_on_timer(host->agent);
+    else if (event->kind == CLUSTER_EVENT_FRAME && host->controller)
+        controller_on_frame(host->controller, event->frame->bytes.at, event->frame->bytes.len);
+    else if (event->kind == CLUSTER_EVENT_FRAME)
+        agent_on_frame(host->agent, event->frame->bytes.at, event->frame->bytes.len);
+    else if (event->kind == CLUSTER_EVENT_REQUEST)
+        host->controller ? controller_request(host->controller, event->call, &http)
+                         : agent_request(host->agent, event->call, &http);
+    else if (event->kind == CLUSTER_EVENT_RESPONSE)
+        cluster_call_end(cluster, event->call, event->status, event->body);
+    else if (event->kind == CLUSTER_EVENT_TIMEOUT)
+        cluster_call_end(cluster, event->call, 0, "");
+    else if (event->kind == CLUSTER_EVENT_FLUSH) {
+        host->flush_due = 0;
+        host->controller ? controller_flush(host->controller) : agent_flush(host->agent);
     }
-    if (h->flush_due || event->kind == CEV_FLUSH)
+    if (host->flush_due || event->kind == CLUSTER_EVENT_FLUSH)
         return;
     /* as in the processes: once a round of the loop, behind all that has arrived by now */
-    h->flush_due = 1;
-    cluster_push(c, cluster_event_new(CEV_FLUSH, h), c->now_us);
+    host->flush_due = 1;
+    cluster_push(cluster, cluster_event_new(CLUSTER_EVENT_FLUSH, host), cluster->now_us);
 }
 
 /* Events that are not a core's; 1: done with. */
-static int outside(struct cluster *c, struct cluster_event *event)
+static int deliver_outside_cores(struct cluster *cluster, struct cluster_event *event)
 {
-    struct host *h = event->to;
-    if (event->kind == CEV_ACTION)
-        event->action(c, event->arg, event->n);
-    else if (event->kind == CEV_STANDIN && event->call) {
-        if (h->standin->up && h->standin->generation == event->generation)
-            standin_take(h->standin, event->call, event->path, event->header, event->body, (int)event->late);
-    } else if (event->kind == CEV_STANDIN) {
-        if (h->standin->up && h->standin->generation == event->generation) {
-            standin_on_timer(h->standin);
-            cluster_push(c, event, c->now_us + STANDIN_ON_TIMER_US);
+    struct host *host = event->to;
+    if (event->kind == CLUSTER_EVENT_ACTION)
+        event->action(cluster, event->arg, event->n);
+    else if (event->kind == CLUSTER_EVENT_STANDIN && event->call) {
+        if (host->standin->up && host->standin->generation == event->generation)
+            standin_on_request(host->standin, event->call, event->path, event->header, event->body, (int)event->late);
+    } else if (event->kind == CLUSTER_EVENT_STANDIN) {
+        if (host->standin->up && host->standin->generation == event->generation) {
+            standin_on_timer(host->standin);
+            cluster_push(cluster, event, cluster->now_us + STANDIN_ON_TIMER_US);
             return 1;
         }
-    } else if (!h && event->kind == CEV_ANSWER)
-        cluster_call_end(c, event->call, event->status, event->body);
-    else if (!h)
-        cluster_call_end(c, event->call, 0, "");
+    } else if (!host && event->kind == CLUSTER_EVENT_RESPONSE)
+        cluster_call_end(cluster, event->call, event->status, event->body);
+    else if (!host)
+        cluster_call_end(cluster, event->call, 0, "");
     else
         return 0;
     cluster_event_free(event);
     return 1;
 }
 
-void cluster_deliver(struct cluster *c, struct cluster_event *event)
+void cluster_deliver(struct cluster *cluster, struct cluster_event *event)
 {
-    struct host *h = event->to;
+    struct host *host = event->to;
     if (event->lost) {
         cluster_event_free(event);
         return;
     }
-    if (event->read_us > c->now_us) {
-        cluster_push(c, event, event->read_us);
+    if (event->read_after_us > cluster->now_us) {
+        cluster_push(cluster, event, event->read_after_us);
         return;
     }
-    if (outside(c, event))
+    if (deliver_outside_cores(cluster, event))
         return;
-    if (!h->up || h->generation != event->generation) {
-        if (event->kind == CEV_REQUEST) /* a dead port resets */
-            cluster_reply(c, event->call, 0, "");
+    if (!host->up || host->generation != event->generation) {
+        if (event->kind == CLUSTER_EVENT_REQUEST) /* a dead port resets */
+            cluster_reply(cluster, event->call, 0, "");
         cluster_event_free(event);
         return;
     }
-    if (h->frozen || h->busy_until_us > c->now_us) {
-        cluster_push(c, event, later(h->frozen ? h->thaw_us : 0, h->busy_until_us));
+    if (host->frozen || host->busy_until_us > cluster->now_us) {
+        cluster_push(cluster, event, later_of(host->frozen ? host->thaw_us : 0, host->busy_until_us));
         return;
     }
-    h->stall_us = 0;
-    to_host(c, h, event);
-    if (event->resets)
-        link_reset(h, event->from);
-    h->busy_until_us = c->now_us + h->stall_us;
-    h->stall_us = 0;
-    if (event->kind == CEV_ON_TIMER && h->up)
-        cluster_push(c, event, c->now_us + CLUSTER_ON_TIMER_US);
+    host->stall_us = 0;
+    deliver_to_core(cluster, host, event);
+    if (event->reset_reply)
+        link_reset(host, event->from);
+    host->busy_until_us = cluster->now_us + host->stall_us;
+    host->stall_us = 0;
+    if (event->kind == CLUSTER_EVENT_TIMER && host->up)
+        cluster_push(cluster, event, cluster->now_us + CLUSTER_ON_TIMER_US);
     else
         cluster_event_free(event);
 }
 
 /* --- clocks, notes, what the disks need --------------------------------------------- */
 
-static int64_t mono_ms(struct world *w)
+static int64_t mono_ms(struct world *world)
 {
-    struct host *h = host_of(w);
-    return (h->cluster->now_us + h->stall_us) / 1000 + 100000 + h->index * 7919;
+    struct host *host = host_of(world);
+    return (host->cluster->now_us + host->stall_us) / 1000 + 100000 + host->index * 7919;
 }
 
-static int64_t wall_ms(struct world *w)
+static int64_t wall_ms(struct world *world)
 {
-    struct host *h = host_of(w);
-    return cluster_wall_ms(h->cluster) + h->stall_us / 1000 + h->skew_ms;
+    struct host *host = host_of(world);
+    return cluster_wall_ms(host->cluster) + host->stall_us / 1000 + host->skew_ms;
 }
 
-static uint64_t random_u64(struct world *w) { return cluster_random(host_of(w)->cluster); }
+static uint64_t random_u64(struct world *world) { return cluster_random(host_of(world)->cluster); }
 
-static void note(struct world *w, int event, const char *text)
+static void note(struct world *world, int event, const char *text)
 {
-    struct host *h = host_of(w);
+    struct host *host = host_of(world);
     const struct event_kind *kind = event_kind(event);
     if (kind)
-        h->cluster->n_events[event]++;
-    if (kind && (h->cluster->trace > 1 || kind->level > LEVEL_DEBUG))
-        cluster_tell(h->cluster, 0, "%-8s %s: %s", h->name, kind->text, text);
+        host->cluster->n_events[event]++;
+    if (kind && (host->cluster->trace > 1 || kind->level > LEVEL_DEBUG))
+        cluster_tell(host->cluster, 0, "%-8s %s: %s", host->name, kind->text, text);
 }
 
-struct cluster_disk *host_disk(struct world *w, int64_t *now_us);
-void host_stall(struct world *w, int64_t by_us);
+struct cluster_disk *host_disk(struct world *world, int64_t *now_us);
+void host_stall(struct world *world, int64_t by_us);
 
-struct cluster_disk *host_disk(struct world *w, int64_t *now_us)
+struct cluster_disk *host_disk(struct world *world, int64_t *now_us)
 {
-    *now_us = host_of(w)->cluster->now_us + host_of(w)->stall_us;
-    return host_of(w)->disk;
+    *now_us = host_of(world)->cluster->now_us + host_of(world)->stall_us;
+    return host_of(world)->disk;
 }
 
-void host_stall(struct world *w, int64_t by_us) { host_of(w)->stall_us += by_us; }
+void host_stall(struct world *world, int64_t by_us) { host_of(world)->stall_us += by_us; }
 
 void cluster_calls_net(struct world_calls *calls)
 {
--- a/sim/cluster_oracle.c
+++ b/sim/cluster_oracle.c
@@ -12,31 +12,31 @@
 typedef unsigned long long ull;
 
 /* Breaches of a row that are in the report already. */
-enum { TOLD_TWICE = 1, TOLD_BUDGET = 2 };
+enum { REPORTED_TWICE = 1, REPORTED_BUDGET = 2 };
 
-const char *end_name(int64_t how)
+const char *standin_end_name(int64_t how)
 {
     static const char *const names[] = {"?", "done", "failed", "stopped", "lapsed", "broken", "alone"};
-    return names[how >= 1 && how <= RUN_ALONE ? how : 0];
+    return names[how >= 1 && how <= RUN_GANG_TIMEOUT ? how : 0];
 }
 
-void judge_say(struct cluster *c, int64_t job, const char *format, ...)
+void cluster_violation(struct cluster *cluster, int64_t job, const char *format, ...)
 {
     char text[400];
     va_list args;
     va_start(args, format);
     vsnprintf(text, sizeof text, format, args);
     va_end(args);
-    *array_add(c->breaches, c->n_breaches) = must_printf("%.3f %s", (double)c->now_us / 1e6, text);
-    if (c->n_breaches == 1 || !c->breach_job)
-        c->breach_job = job;
-    cluster_tell(c, job, "BREACH %s", text);
+    *array_add(cluster->breaches, cluster->n_breaches) = must_printf("%.3f %s", (double)cluster->now_us / 1e6, text);
+    if (cluster->n_breaches == 1 || !cluster->violation_job)
+        cluster->violation_job = job;
+    cluster_tell(cluster, job, "BREACH %s", text);
 }
 
 /* --- a task's history ------------------------------------------------------------ */
 
 /* A gang's members end done together, so one such end that was noted counts for all. */
-static int counts_for(const struct board_job *job, int64_t task, const struct seen_end *end, int64_t end_task)
+static int end_applies_to(const struct tracked_job *job, int64_t task, const struct seen_end *end, int64_t end_task)
 {
     const struct step_spec *step = &job->spec->steps[task_step(task)];
     return task == end_task || (step->gang && end->how == RUN_DONE);
@@ -44,22 +44,22 @@
 
 /* Judges a start of task against the noted ends of other, which is task itself or a member of its gang. Returns how
  * many of these ends were failures of task. */
-static int64_t judge_start_after(struct cluster *c, struct board_job *job, int64_t task, const struct seen_start *start,
-                                 int64_t other)
+static int64_t check_start_after_ends(struct cluster *cluster, struct tracked_job *job, int64_t task,
+                                      const struct seen_start *start, int64_t other)
 {
-    struct board_row *row = board_row(job, task);
-    const struct board_row *ends = board_row(job, other);
+    struct tracked_task *row = tracked_task(job, task);
+    const struct tracked_task *ends = tracked_task(job, other);
     int64_t failed = 0;
     for (int64_t e = 0; e < ends->n_ends; e++) {
         const struct seen_end *end = &ends->ends[e];
-        if (!end->noted || end->at_us > start->at_us || !counts_for(job, task, end, other))
+        if (!end->acknowledged || end->at_us > start->at_us || !end_applies_to(job, task, end, other))
             continue;
         failed += end->how == RUN_FAILED && other == task;
-        if (end->how != RUN_DONE || (row->told & TOLD_TWICE))
+        if (end->how != RUN_DONE || (row->reported & REPORTED_TWICE))
             continue;
-        row->told |= TOLD_TWICE;
-        judge_say(
-            c, job->id,
+        row->reported |= REPORTED_TWICE;
+        cluster_violation(
+            cluster, job->id,
             "TWICE: task %llx of job %llx starts (attempt %lld) after its end as done (attempt %lld at %.3f) that "
             "was noted",
             (ull)task, (ull)job->id, (long long)start->attempt, (long long)end->attempt, (double)end->at_us / 1e6);
@@ -68,28 +68,28 @@
 }
 
 /* Judges the starts of a task anew against the ends noted by now. */
-static void judge_starts(struct cluster *c, struct board_job *job, int64_t task)
+static void check_starts(struct cluster *cluster, struct tracked_job *job, int64_t task)
 {
     const struct step_spec *step = &job->spec->steps[task_step(task)];
-    struct board_row *row = board_row(job, task);
+    struct tracked_task *row = tracked_task(job, task);
     int64_t from = step->gang ? 0 : task_index(task), to = step->gang ? step->task_count : from + 1;
-    c->judged++;
+    cluster->judged++;
     if (step->duplicates || step->long_running)
         return;
     for (int64_t i = 0; i < row->n_starts; i++) {
         int64_t failed = 0;
         for (int64_t k = from; k < to; k++)
-            failed +=
-                judge_start_after(c, job, task, &row->starts[i], task_of(task_repetition(task), task_step(task), k));
-        if (failed < ATTEMPTS_MAX || (row->told & TOLD_BUDGET))
+            failed += check_start_after_ends(cluster, job, task, &row->starts[i],
+                                             task_of(task_repetition(task), task_step(task), k));
+        if (failed < ATTEMPTS_MAX || (row->reported & REPORTED_BUDGET))
             continue;
-        row->told |= TOLD_BUDGET;
-        judge_say(c, job->id, "BUDGET: task %llx of job %llx starts after %lld failures", (ull)task, (ull)job->id,
-                  (long long)failed);
+        row->reported |= REPORTED_BUDGET;
+        cluster_violation(cluster, job->id, "BUDGET: task %llx of job %llx starts after %lld failures", (ull)task,
+                          (ull)job->id, (long long)failed);
     }
 }
 
-static int ended_done(const struct board_row *row)
+static int has_done_end(const struct tracked_task *row)
 {
     for (int64_t i = 0; i < row->n_ends; i++)
         if (row->ends[i].how == RUN_DONE)
@@ -97,11 +97,11 @@
     return 0;
 }
 
-int board_step_done(const struct board_job *job, int64_t time, int64_t step)
+int tracked_step_done(const struct tracked_job *job, int64_t repetition, int64_t step)
 {
     int all = 1, any = 0;
     for (int64_t k = 0; k < job->spec->steps[step].task_count; k++) {
-        int done = ended_done(board_row(job, task_of(time, step, k)));
+        int done = has_done_end(tracked_task(job, task_of(repetition, step, k)));
         all &= done;
         any |= done;
     }
@@ -110,58 +110,63 @@
 
 /* --- starts ------------------------------------------------------------------------ */
 
-static void judge_twice(struct standin *s, const struct standin_run *run)
+static void check_running_once(struct standin *standin, const struct standin_run *run)
 {
-    struct cluster *c = s->host->cluster;
+    struct cluster *cluster = standin->host->cluster;
     struct standin *other;
     if (run->job->spec->steps[run->step].duplicates)
         return;
-    for (int64_t k = 0; (other = cluster_standin(c, k)); k++)
+    for (int64_t k = 0; (other = cluster_standin(cluster, k)); k++)
         for (int64_t i = 0; other->up && i < other->n_runs; i++)
             if (&other->runs[i] != run && other->runs[i].job == run->job && other->runs[i].task == run->task)
-                judge_say(c, run->job->id, "TWICE: task %llx of job %llx runs on %s (attempt %lld) and on %s (%lld)",
-                          (ull)run->task, (ull)run->job->id, s->incarnation, (long long)run->attempt,
-                          other->incarnation, (long long)other->runs[i].attempt);
+                cluster_violation(cluster, run->job->id,
+                                  "TWICE: task %llx of job %llx runs on %s (attempt %lld) and on %s (%lld)",
+                                  (ull)run->task, (ull)run->job->id, standin->incarnation, (long long)run->attempt,
+                                  other->incarnation, (long long)other->runs[i].attempt);
 }
 
-static void judge_place(struct standin *s, const struct standin_run *run)
+static void check_placement(struct standin *standin, const struct standin_run *run)
 {
-    struct cluster *c = s->host->cluster;
+    struct cluster *cluster = standin->host->cluster;
     const struct step_spec *step = &run->job->spec->steps[run->step];
     int64_t cpu_milli, memory_mb, gpus, same = 0;
-    standin_used(s, &cpu_milli, &memory_mb, &gpus);
-    if (cpu_milli > s->cpu_milli || memory_mb > s->memory_mb || gpus > s->gpus)
-        judge_say(c, run->job->id, "LIMIT: %s holds %lld of %lld cpu, %lld of %lld MB", s->incarnation,
-                  (long long)cpu_milli, (long long)s->cpu_milli, (long long)memory_mb, (long long)s->memory_mb);
-    if (strcmp(s->service, run->job->service))
-        judge_say(c, run->job->id, "ROUTE: job %llx of service %s starts on %s", (ull)run->job->id, run->job->service,
-                  s->incarnation);
-    if (step->label && strcmp(step->label, s->label) && strcmp(step->label, s->rack))
-        judge_say(c, run->job->id, "ROUTE: %s lacks label %s", s->incarnation, step->label);
-    for (int64_t i = 0; i < s->n_runs; i++)
-        same += s->runs[i].job == run->job && s->runs[i].step == run->step && s->runs[i].time == run->time;
+    standin_usage(standin, &cpu_milli, &memory_mb, &gpus);
+    if (cpu_milli > standin->cpu_milli || memory_mb > standin->memory_mb || gpus > standin->gpus)
+        cluster_violation(cluster, run->job->id, "LIMIT: %s holds %lld of %lld cpu, %lld of %lld MB",
+                          standin->incarnation, (long long)cpu_milli, (long long)standin->cpu_milli,
+                          (long long)memory_mb, (long long)standin->memory_mb);
+    if (strcmp(standin->service, run->job->service))
+        cluster_violation(cluster, run->job->id, "ROUTE: job %llx of service %s starts on %s", (ull)run->job->id,
+                          run->job->service, standin->incarnation);
+    if (step->label && strcmp(step->label, standin->label) && strcmp(step->label, standin->rack))
+        cluster_violation(cluster, run->job->id, "ROUTE: %s lacks label %s", standin->incarnation, step->label);
+    for (int64_t i = 0; i < standin->n_runs; i++)
+        same += standin->runs[i].job == run->job && standin->runs[i].step == run->step &&
+                standin->runs[i].repetition == run->repetition;
     if (step->per_executor && same > step->per_executor)
-        judge_say(c, run->job->id, "ROUTE: %lld tasks of one step on %s, %lld allowed", (long long)same, s->incarnation,
-                  (long long)step->per_executor);
+        cluster_violation(cluster, run->job->id, "ROUTE: %lld tasks of one step on %s, %lld allowed", (long long)same,
+                          standin->incarnation, (long long)step->per_executor);
 }
 
-static void judge_order(struct standin *s, const struct standin_run *run)
+static void check_order(struct standin *standin, const struct standin_run *run)
 {
-    struct cluster *c = s->host->cluster;
+    struct cluster *cluster = standin->host->cluster;
     const struct job_spec *spec = run->job->spec;
     const struct step_spec *step = &spec->steps[run->step];
     for (int64_t i = 0; i < step->n_depends_on; i++)
-        if (!board_step_done(run->job, run->time, step->depends_on[i]))
-            judge_say(c, run->job->id, "ORDER: step %lld of job %llx starts before step %lld is done",
-                      (long long)run->step, (ull)run->job->id, (long long)step->depends_on[i]);
-    int64_t due_ms = spec->start_ms + run->time * spec->interval_ms - EARLY_MS - (c->clocks_jump ? JUMP_MS : 0);
-    if (spec->repeats && cluster_wall_ms(c) < due_ms)
-        judge_say(c, run->job->id, "ORDER: time %lld of job %llx starts %lld ms too early", (long long)run->time,
-                  (ull)run->job->id, (long long)(due_ms - cluster_wall_ms(c)));
+        if (!tracked_step_done(run->job, run->repetition, step->depends_on[i]))
+            cluster_violation(cluster, run->job->id, "ORDER: step %lld of job %llx starts before step %lld is done",
+                              (long long)run->step, (ull)run->job->id, (long long)step->depends_on[i]);
+    int64_t earliest_ms =
+        spec->start_ms + run->repetition * spec->interval_ms - EARLY_MS - (cluster->clocks_jump ? JUMP_MS : 0);
+    if (spec->repeats && cluster_wall_ms(cluster) < earliest_ms)
+        cluster_violation(cluster, run->job->id, "ORDER: time %lld of job %llx starts %lld ms too early",
+                          (long long)run->repetition, (ull)run->job->id,
+                          (long long)(earliest_ms - cluster_wall_ms(cluster)));
 }
 
 /* Reads what a run saved (JOB.TASK@MS, the first two in hexadecimal). Returns 1 if all three are there. */
-static int read_saved(const char *checkpoint, ull *job, ull *task, long long *at_ms)
+static int read_checkpoint(const char *checkpoint, ull *job, ull *task, long long *at_ms)
 {
     char *end;
     *job = strtoull(checkpoint, &end, 16);
@@ -176,226 +181,236 @@
     return end != checkpoint;
 }
 
-static void judge_asked(struct standin *s, const struct standin_run *run, const char *text, const char *checkpoint,
-                        int late)
+static void check_requested(struct standin *standin, const struct standin_run *run, const char *text,
+                            const char *checkpoint, int late)
 {
-    struct cluster *c = s->host->cluster;
-    const struct board_job *job = run->job;
+    struct cluster *cluster = standin->host->cluster;
+    const struct tracked_job *job = run->job;
     ull saved_job, saved_task;
-    long long saved_ms;
-    int in_touch = !late && cluster_in_touch(c, s->host);
+    long long checkpoint_ms;
+    int in_touch = !late && cluster_is_reachable(cluster, standin->host);
     if (job->sent_us < 0 || strcmp(text, job->spec->text))
-        judge_say(c, job->id, "UNASKED: job %llx starts with the text '%.60s'", (ull)job->id, text);
+        cluster_violation(cluster, job->id, "UNASKED: job %llx starts with the text '%.60s'", (ull)job->id, text);
     if (*checkpoint) {
-        int read = read_saved(checkpoint, &saved_job, &saved_task, &saved_ms);
-        const struct board_row *row = read ? board_row(job, (int64_t)saved_task) : NULL;
-        if (!row || (int64_t)saved_job != job->id || saved_ms > row->saved_ms ||
+        int read = read_checkpoint(checkpoint, &saved_job, &saved_task, &checkpoint_ms);
+        const struct tracked_task *row = read ? tracked_task(job, (int64_t)saved_task) : NULL;
+        if (!row || (int64_t)saved_job != job->id || checkpoint_ms > row->checkpoint_ms ||
             ((int64_t)saved_task != run->task &&
              (!job->spec->steps[run->step].gang || task_step((int64_t)saved_task) != run->step ||
-              task_repetition((int64_t)saved_task) != run->time)))
-            judge_say(c, job->id, "UNASKED: task %llx of job %llx starts with the checkpoint '%.60s'", (ull)run->task,
-                      (ull)job->id, checkpoint);
+              task_repetition((int64_t)saved_task) != run->repetition)))
+            cluster_violation(cluster, job->id, "UNASKED: task %llx of job %llx starts with the checkpoint '%.60s'",
+                              (ull)run->task, (ull)job->id, checkpoint);
     }
-    struct board_gang *gang = board_gang(run->job, run->time, run->step, run->attempt);
+    struct tracked_gang *gang = tracked_gang(run->job, run->repetition, run->step, run->attempt);
     if (gang && gang->started && strcmp(gang->checkpoint, checkpoint))
-        judge_say(c, job->id, "UNASKED: a gang of job %llx starts with different checkpoints", (ull)job->id);
+        cluster_violation(cluster, job->id, "UNASKED: a gang of job %llx starts with different checkpoints",
+                          (ull)job->id);
     if (gang && !gang->started) {
         gang->started = 1;
         gang->checkpoint = must_dup(checkpoint);
     }
-    if (in_touch && job->cancel_ack_us >= 0 && c->now_us - job->cancel_ack_us > CANCEL_MS * 1000LL)
-        judge_say(c, job->id, "UNASKED: job %llx starts %lld ms after its cancelling was acknowledged", (ull)job->id,
-                  (long long)(c->now_us - job->cancel_ack_us) / 1000);
-    if (in_touch && job->shown == 3 && c->now_us - job->shown_us > 1000000)
-        judge_say(c, job->id, "TWICE: job %llx starts after it was shown as done", (ull)job->id);
-    if (job->accepted_us < 0 && !job->open && job->refusals == job->tries)
-        judge_say(c, job->id, "REFUSED: job %llx starts though every try was turned away", (ull)job->id);
-    if (in_touch && s->drain_ack_us >= 0 && c->now_us - s->drain_ack_us > DRAIN_MS * 1000LL)
-        judge_say(c, job->id, "DRAIN: %s starts a task %lld ms after its draining was acknowledged", s->incarnation,
-                  (long long)(c->now_us - s->drain_ack_us) / 1000);
+    if (in_touch && job->cancel_ack_us >= 0 && cluster->now_us - job->cancel_ack_us > CANCEL_MS * 1000LL)
+        cluster_violation(cluster, job->id, "UNASKED: job %llx starts %lld ms after its cancelling was acknowledged",
+                          (ull)job->id, (long long)(cluster->now_us - job->cancel_ack_us) / 1000);
+    if (in_touch && job->seen_state == 3 && cluster->now_us - job->seen_state_us > 1000000)
+        cluster_violation(cluster, job->id, "TWICE: job %llx starts after it was shown as done", (ull)job->id);
+    if (job->accepted_us < 0 && !job->in_flight && job->refusals == job->tries)
+        cluster_violation(cluster, job->id, "REFUSED: job %llx starts though every try was turned away", (ull)job->id);
+    if (in_touch && standin->drain_ack_us >= 0 && cluster->now_us - standin->drain_ack_us > DRAIN_MS * 1000LL)
+        cluster_violation(cluster, job->id, "DRAIN: %s starts a task %lld ms after its draining was acknowledged",
+                          standin->incarnation, (long long)(cluster->now_us - standin->drain_ack_us) / 1000);
 }
 
-void judge_begun(struct standin *s, struct standin_run *run, const char *text, const char *checkpoint, int late)
+void cluster_oracle_on_start(struct standin *standin, struct standin_run *run, const char *text, const char *checkpoint,
+                             int late)
 {
-    struct cluster *c = s->host->cluster;
-    struct board_row *row = board_row(run->job, run->task);
-    c->n_starts++;
+    struct cluster *cluster = standin->host->cluster;
+    struct tracked_task *row = tracked_task(run->job, run->task);
+    cluster->n_starts++;
     run->job->starts++;
-    cluster_tell(c, run->job->id, "%s starts %llx attempt %lld %s%s", s->incarnation, (ull)run->task,
+    cluster_tell(cluster, run->job->id, "%s starts %llx attempt %lld %s%s", standin->incarnation, (ull)run->task,
                  (long long)run->attempt, checkpoint, late ? " (carried out late)" : "");
     *array_add(row->starts, row->n_starts) =
-        (struct seen_start){.at_us = c->now_us, .attempt = run->attempt, .executor = s->index};
-    judge_twice(s, run);
-    judge_place(s, run);
-    judge_order(s, run);
-    judge_asked(s, run, text, checkpoint, late);
-    judge_starts(c, run->job, run->task);
+        (struct seen_start){.at_us = cluster->now_us, .attempt = run->attempt, .executor = standin->index};
+    check_running_once(standin, run);
+    check_placement(standin, run);
+    check_order(standin, run);
+    check_requested(standin, run, text, checkpoint, late);
+    check_starts(cluster, run->job, run->task);
 }
 
 /* --- ends ------------------------------------------------------------------------------ */
 
-void judge_ended(struct standin *s, const struct standin_run *run, enum standin_end how, int64_t seq)
+void cluster_oracle_on_end(struct standin *standin, const struct standin_run *run, enum standin_end how, int64_t seq)
 {
-    struct cluster *c = s->host->cluster;
-    struct board_row *row = board_row(run->job, run->task);
-    c->n_ends[how]++;
-    cluster_tell(c, run->job->id, "%s ends %llx attempt %lld as %s", s->incarnation, (ull)run->task,
-                 (long long)run->attempt, end_name(how));
-    *array_add(row->ends, row->n_ends) = (struct seen_end){.at_us = c->now_us,
+    struct cluster *cluster = standin->host->cluster;
+    struct tracked_task *row = tracked_task(run->job, run->task);
+    cluster->n_ends[how]++;
+    cluster_tell(cluster, run->job->id, "%s ends %llx attempt %lld as %s", standin->incarnation, (ull)run->task,
+                 (long long)run->attempt, standin_end_name(how));
+    *array_add(row->ends, row->n_ends) = (struct seen_end){.at_us = cluster->now_us,
                                                            .attempt = run->attempt,
-                                                           .executor = s->index,
-                                                           .generation = s->generation,
+                                                           .executor = standin->index,
+                                                           .generation = standin->generation,
                                                            .seq = seq,
                                                            .how = how};
-    if (how == RUN_ALONE && c->calm && run->job->cancel_us == 0)
-        judge_say(c, run->job->id, "GANG: %s ends a task alone", s->incarnation);
+    if (how == RUN_GANG_TIMEOUT && cluster->calm && run->job->cancel_us == 0)
+        cluster_violation(cluster, run->job->id, "GANG: %s ends a task alone", standin->incarnation);
 }
 
-static struct seen_end *end_of(const struct standin *s, const struct board_row *row, int64_t seq)
+static struct seen_end *find_end(const struct standin *standin, const struct tracked_task *row, int64_t seq)
 {
     for (int64_t e = row->n_ends - 1; e >= 0; e--)
-        if (row->ends[e].executor == s->index && row->ends[e].generation == s->generation && row->ends[e].seq == seq)
+        if (row->ends[e].executor == standin->index && row->ends[e].generation == standin->generation &&
+            row->ends[e].seq == seq)
             return &row->ends[e];
     return NULL;
 }
 
-void judge_noted(struct standin *s, int64_t seen)
+void cluster_oracle_on_ends_acknowledged(struct standin *standin, int64_t seen)
 {
-    struct cluster *c = s->host->cluster;
-    for (int64_t i = 0; i < s->n_ended; i++) {
-        struct board_job *job = board_job(c, s->ended[i].job);
-        int64_t task = s->ended[i].task, time = task_repetition(task), step_no = task_step(task);
+    struct cluster *cluster = standin->host->cluster;
+    for (int64_t i = 0; i < standin->n_ended; i++) {
+        struct tracked_job *job = tracked_job(cluster, standin->ended[i].job);
+        int64_t task = standin->ended[i].task, repetition = task_repetition(task), step_no = task_step(task);
         const struct step_spec *step = &job->spec->steps[step_no];
-        struct seen_end *end = end_of(s, board_row(job, task), s->ended[i].seq);
-        if (s->ended[i].seq > seen || !end || end->noted || end->lapsed)
+        struct seen_end *end = find_end(standin, tracked_task(job, task), standin->ended[i].seq);
+        if (standin->ended[i].seq > seen || !end || end->acknowledged || end->lease_expired)
             continue;
-        end->noted = 1;
+        end->acknowledged = 1;
         if (!step->gang)
-            judge_starts(c, job, task);
+            check_starts(cluster, job, task);
         for (int64_t k = 0; step->gang && k < step->task_count; k++)
-            judge_starts(c, job, task_of(time, step_no, k));
+            check_starts(cluster, job, task_of(repetition, step_no, k));
     }
 }
 
 /* The hold is over: what was not noted by now never counts as noted. */
-void judge_lapsed(struct standin *s)
+void cluster_oracle_on_lease_expired(struct standin *standin)
 {
-    for (int64_t i = 0; i < s->n_ended; i++) {
-        struct board_job *job = board_job(s->host->cluster, s->ended[i].job);
-        struct seen_end *end = end_of(s, board_row(job, s->ended[i].task), s->ended[i].seq);
-        if (end && !end->noted)
-            end->lapsed = 1;
+    for (int64_t i = 0; i < standin->n_ended; i++) {
+        struct tracked_job *job = tracked_job(standin->host->cluster, standin->ended[i].job);
+        struct seen_end *end = find_end(standin, tracked_task(job, standin->ended[i].task), standin->ended[i].seq);
+        if (end && !end->acknowledged)
+            end->lease_expired = 1;
     }
 }
 
 /* --- what callers are told ------------------------------------------------------------------ */
 
-void judge_answer(struct cluster *c, int64_t job, int status, const char *body, const char *member)
+void cluster_oracle_check_response(struct cluster *cluster, int64_t job, int status, const char *body,
+                                   const char *member)
 {
     json_t *answer = status == 200 ? json_loads(body, 0, NULL) : NULL;
     int own = member ? json_object_get(answer, member) != NULL : json_is_object(answer) && !json_object_size(answer);
     json_decref(answer);
     if (status == 200 && !own)
-        judge_say(c, job, "ANSWER: who waits for %s is answered %.60s", member ? member : "no more than a yes", body);
+        cluster_violation(cluster, job, "ANSWER: who waits for %s is answered %.60s",
+                          member ? member : "no more than a yes", body);
 }
 
-static int all_done(const struct board_job *job)
+static int all_done(const struct tracked_job *job)
 {
-    for (int64_t t = 0; t < job->times; t++)
+    for (int64_t t = 0; t < job->repetitions; t++)
         for (int64_t i = 0; i < job->spec->n_steps; i++)
-            if (!board_step_done(job, t, i))
+            if (!tracked_step_done(job, t, i))
                 return 0;
     return 1;
 }
 
-static int may_fail(const struct board_job *job)
+static int may_fail(const struct tracked_job *job)
 {
-    for (int64_t r = 0; r < job->tasks * job->times; r++) {
+    for (int64_t r = 0; r < job->tasks_per_repetition * job->repetitions; r++) {
         int64_t failed = 0;
-        for (int64_t e = 0; e < job->rows[r].n_ends; e++)
-            failed += job->rows[r].ends[e].how == RUN_FAILED;
+        for (int64_t e = 0; e < job->tracked_tasks[r].n_ends; e++)
+            failed += job->tracked_tasks[r].ends[e].how == RUN_FAILED;
         if (failed >= ATTEMPTS_MAX)
             return 1;
     }
     for (int64_t i = 0; i < job->spec->n_steps; i++) /* a gang fails as one */
-        for (int64_t t = 0; job->spec->steps[i].gang && t < job->times; t++) {
+        for (int64_t t = 0; job->spec->steps[i].gang && t < job->repetitions; t++) {
             int64_t failed = 0;
             for (int64_t k = 0; k < job->spec->steps[i].task_count; k++) {
-                const struct board_row *row = board_row(job, task_of(t, i, k));
+                const struct tracked_task *row = tracked_task(job, task_of(t, i, k));
                 for (int64_t e = 0; e < row->n_ends; e++)
                     failed += row->ends[e].how == RUN_FAILED;
             }
             if (failed >= ATTEMPTS_MAX)
                 return 1;
         }
-    return job->hopeless != 0;
+    return job->unplaceable != 0;
 }
 
-void judge_shown(struct cluster *c, struct board_job *job, const char *state, const struct host *by)
+void cluster_oracle_on_job_state(struct cluster *cluster, struct tracked_job *job, const char *state,
+                                 const struct host *by)
 {
     static const char *const states[] = {"?", "pending", "active", "done", "failed", "cancelled"};
-    int64_t shown = 0;
+    int64_t seen_state = 0;
     for (int64_t i = 1; i < COUNT_OF(states); i++)
         if (!strcmp(state, states[i]))
-            shown = i;
-    c->judged++;
-    if (job->shown >= 3 && shown != job->shown)
-        judge_say(c, job->id, "LOST: job %llx was shown as %s and is now %s by %s", (ull)job->id, states[job->shown],
-                  state, by->name);
-    if (shown == job->shown)
+            seen_state = i;
+    cluster->judged++;
+    if (job->seen_state >= 3 && seen_state != job->seen_state)
+        cluster_violation(cluster, job->id, "LOST: job %llx was shown as %s and is now %s by %s", (ull)job->id,
+                          states[job->seen_state], state, by->name);
+    if (seen_state == job->seen_state)
         return;
-    cluster_tell(c, job->id, "job %llx is shown as %s by %s", (ull)job->id, state, by->name);
-    job->shown = shown;
-    job->shown_us = c->now_us;
-    if (shown == 3) {
-        c->n_shown_done++;
+    cluster_tell(cluster, job->id, "job %llx is shown as %s by %s", (ull)job->id, state, by->name);
+    job->seen_state = seen_state;
+    job->seen_state_us = cluster->now_us;
+    if (seen_state == 3) {
+        cluster->n_shown_done++;
         if (!all_done(job))
-            judge_say(c, job->id, "MIXED: job %llx is shown as done before all its tasks ended so", (ull)job->id);
+            cluster_violation(cluster, job->id, "MIXED: job %llx is shown as done before all its tasks ended so",
+                              (ull)job->id);
     }
-    if (shown == 4 && !may_fail(job))
-        judge_say(c, job->id, "LOST: job %llx is shown as failed without a cause", (ull)job->id);
-    if (shown == 5 && !job->cancel_us)
-        judge_say(c, job->id, "LOST: job %llx is shown as cancelled and nobody asked for it", (ull)job->id);
+    if (seen_state == 4 && !may_fail(job))
+        cluster_violation(cluster, job->id, "LOST: job %llx is shown as failed without a cause", (ull)job->id);
+    if (seen_state == 5 && !job->cancel_us)
+        cluster_violation(cluster, job->id, "LOST: job %llx is shown as cancelled and nobody asked for it",
+                          (ull)job->id);
 }
 
 /* Our reads go through the leader's log, so no controller at all may deny what it accepted. */
-void judge_gone(struct cluster *c, struct board_job *job, const struct host *by)
+void cluster_oracle_on_job_not_found(struct cluster *cluster, struct tracked_job *job, const struct host *by)
 {
-    job->missing++;
-    if (job->accepted_us >= 0 && c->now_us - job->accepted_us > VISIBLE_MS * 1000LL && job->missing == 1)
-        judge_say(c, job->id, "LOST: %s answers that accepted job %llx does not exist", by->name, (ull)job->id);
+    job->n_not_found++;
+    if (job->accepted_us >= 0 && cluster->now_us - job->accepted_us > VISIBLE_MS * 1000LL && job->n_not_found == 1)
+        cluster_violation(cluster, job->id, "LOST: %s answers that accepted job %llx does not exist", by->name,
+                          (ull)job->id);
 }
 
-static void still_running(struct cluster *c, void *arg, int64_t n)
+static void check_cancelled_stopped(struct cluster *cluster, void *arg, int64_t n)
 {
-    struct board_job *job = arg;
-    struct standin *s;
+    struct tracked_job *job = arg;
+    struct standin *standin;
     (void)n;
-    for (int64_t k = 0; (s = cluster_standin(c, k)); k++)
-        for (int64_t i = 0; s->up && i < s->n_runs; i++)
-            if (s->runs[i].job == job && cluster_in_touch(c, s->host) &&
-                c->now_us - c->trouble_us > (CANCEL_MS + STOP_MS + CONTACT_MS) * 1000LL &&
-                c->now_us - s->fault_us > CONTACT_MS * 1000 + HOLD_MAX_MS * 1000)
-                judge_say(c, job->id, "UNASKED: task %llx of job %llx still runs on %s long after its cancelling",
-                          (ull)s->runs[i].task, (ull)job->id, s->incarnation);
+    for (int64_t k = 0; (standin = cluster_standin(cluster, k)); k++)
+        for (int64_t i = 0; standin->up && i < standin->n_runs; i++)
+            if (standin->runs[i].job == job && cluster_is_reachable(cluster, standin->host) &&
+                cluster->now_us - cluster->trouble_us > (CANCEL_MS + STOP_MS + CONTACT_MS) * 1000LL &&
+                cluster->now_us - standin->last_fault_us > CONTACT_MS * 1000 + HOLD_MAX_MS * 1000)
+                cluster_violation(cluster, job->id,
+                                  "UNASKED: task %llx of job %llx still runs on %s long after its cancelling",
+                                  (ull)standin->runs[i].task, (ull)job->id, standin->incarnation);
 }
 
-void judge_cancelled(struct cluster *c, struct board_job *job)
+void cluster_oracle_on_cancel_acknowledged(struct cluster *cluster, struct tracked_job *job)
 {
     if (job->cancel_ack_us >= 0)
         return;
-    job->cancel_ack_us = c->now_us;
-    cluster_tell(c, job->id, "cancelling of job %llx is acknowledged", (ull)job->id);
-    cluster_at(c, CANCEL_MS + STOP_MS, still_running, job, 0);
+    job->cancel_ack_us = cluster->now_us;
+    cluster_tell(cluster, job->id, "cancelling of job %llx is acknowledged", (ull)job->id);
+    cluster_at(cluster, CANCEL_MS + STOP_MS, check_cancelled_stopped, job, 0);
 }
 
-void judge_over(struct cluster *c)
+void cluster_oracle_check_end(struct cluster *cluster)
 {
-    for (int64_t i = 0; i < c->n_jobs; i++) {
-        const struct board_job *job = c->jobs[i];
+    for (int64_t i = 0; i < cluster->n_jobs; i++) {
+        const struct tracked_job *job = cluster->jobs[i];
         if (job->starts && job->accepted_us < 0 && job->tries == job->refusals)
-            judge_say(c, job->id, "REFUSED: job %llx ran though every try was turned away", (ull)job->id);
-        if (job->missing && job->accepted_us >= 0 && job->shown < 3)
-            judge_say(c, job->id, "LOST: accepted job %llx is not known at the end", (ull)job->id);
+            cluster_violation(cluster, job->id, "REFUSED: job %llx ran though every try was turned away", (ull)job->id);
+        if (job->n_not_found && job->accepted_us >= 0 && job->seen_state < 3)
+            cluster_violation(cluster, job->id, "LOST: accepted job %llx is not known at the end", (ull)job->id);
     }
 }
--- a/tests/sim/cluster_judge.h
+++ b/tests/sim/cluster_judge.h
@@ -7,7 +7,7 @@
 #include "sim/cluster.h"
 }
 
-using Job = struct board_job;
+using Job = struct tracked_job;
 
 // Executors without cores beside them; orders come from the test.
 class Judge : public ::testing::Test
@@ -34,9 +34,9 @@
 
     static int silent(struct cluster *, const char *, const char *, const char *, char **) { return 0; }
 
-    Job *sent(enum job_schema schema)
+    Job *sent(enum job_schema shape)
     {
-        Job *job = callers_job(&c, schema);
+        Job *job = callers_new_job(&c, shape);
         job->fail_pct = 0;
         job->sent_us = c.now_us;
         job->tries = 1;
@@ -59,21 +59,21 @@
             free(body);
             body = must_dup(other.c_str());
         }
-        standin_take(s, 0, "/begin", head(s).c_str(), body, late);
+        standin_on_request(s, 0, "/begin", head(s).c_str(), body, late);
         free(body);
     }
     void stop(standin *s, Job *job, int64_t task, int64_t attempt)
     {
         char *body = must_printf("{\"job\":%lld,\"task\":%lld,\"attempt\":%lld,\"epoch\":1}", (long long)job->id,
                                  (long long)task, (long long)attempt);
-        standin_take(s, 0, "/end", head(s).c_str(), body, 0);
+        standin_on_request(s, 0, "/end", head(s).c_str(), body, 0);
         free(body);
     }
     void poll(standin *s, int64_t seen)
     {
         char *body = must_printf("{\"epoch\":1,\"seen\":%lld,\"until\":%lld,\"wait\":0}", (long long)seen,
                                  (long long)standin_clock_ms(s) + 6000);
-        standin_take(s, 0, "/look", head(s).c_str(), body, 0);
+        standin_on_request(s, 0, "/look", head(s).c_str(), body, 0);
         free(body);
     }
     // runs while all holds are renewed and nothing is noted
--- a/tests/sim/cluster_judge_api_test.cc
+++ b/tests/sim/cluster_judge_api_test.cc
@@ -6,40 +6,40 @@
 
 TEST_F(JudgeApi, DoneTooSoon)
 {
-    judge_shown(&c, sent(SCHEMA_ONE), "done", x[0]->host);
+    cluster_oracle_on_job_state(&c, sent(SCHEMA_ONE), "done", x[0]->host);
     finds("MIXED");
 }
 
 TEST_F(JudgeApi, FailedAndCancelledWithoutCause)
 {
-    judge_shown(&c, sent(SCHEMA_ONE), "failed", x[0]->host);
+    cluster_oracle_on_job_state(&c, sent(SCHEMA_ONE), "failed", x[0]->host);
     finds("LOST");
-    judge_shown(&c, sent(SCHEMA_ONE), "cancelled", x[0]->host);
+    cluster_oracle_on_job_state(&c, sent(SCHEMA_ONE), "cancelled", x[0]->host);
     EXPECT_EQ(c.n_breaches, 2);
 }
 
 TEST_F(JudgeApi, HopelessMayFail)
 {
-    judge_shown(&c, sent(SCHEMA_HOPELESS), "failed", x[0]->host);
+    cluster_oracle_on_job_state(&c, sent(SHAPE_UNPLACEABLE), "failed", x[0]->host);
     clean();
 }
 
 TEST_F(JudgeApi, Forgotten)
 {
     Job *job = sent(SCHEMA_ONE);
-    judge_gone(&c, job, x[0]->host);
+    cluster_oracle_on_job_not_found(&c, job, x[0]->host);
     clean(); /* may not be visible everywhere yet */
     run(4000);
-    job->missing = 0;
-    judge_gone(&c, job, x[0]->host);
+    job->n_not_found = 0;
+    cluster_oracle_on_job_not_found(&c, job, x[0]->host);
     finds("LOST");
 }
 
 TEST_F(JudgeApi, BackFromAFinalState)
 {
-    Job *job = sent(SCHEMA_HOPELESS);
-    judge_shown(&c, job, "failed", x[0]->host);
-    judge_shown(&c, job, "pending", x[0]->host);
+    Job *job = sent(SHAPE_UNPLACEABLE);
+    cluster_oracle_on_job_state(&c, job, "failed", x[0]->host);
+    cluster_oracle_on_job_state(&c, job, "pending", x[0]->host);
     finds("LOST");
 }
 
--- a/tests/sim/cluster_judge_test.cc
+++ b/tests/sim/cluster_judge_test.cc
@@ -6,12 +6,12 @@
 TEST_F(Judge, GoodRunIsClean)
 {
     Job *job = sent(SCHEMA_ONE);
-    for (int64_t i = 0; i < job->tasks; i++)
+    for (int64_t i = 0; i < job->tasks_per_repetition; i++)
         run_task(x[0], job, i, 1);
-    judge_shown(&c, job, "done", x[0]->host);
-    judge_over(&c);
+    cluster_oracle_on_job_state(&c, job, "done", x[0]->host);
+    cluster_oracle_check_end(&c);
     clean();
-    EXPECT_EQ(c.n_ends[RUN_DONE], job->tasks);
+    EXPECT_EQ(c.n_ends[RUN_DONE], job->tasks_per_repetition);
 }
 
 TEST_F(Judge, TwoAtOnce)
@@ -25,7 +25,7 @@
 
 TEST_F(Judge, TwoAtOnceAreAllowedWhereAsked)
 {
-    Job *job = sent(SCHEMA_TWICE);
+    Job *job = sent(SHAPE_DUPLICATES);
     begin(x[0], job, 0, 1);
     begin(x[1], job, 0, 2);
     clean();
@@ -74,10 +74,10 @@
 TEST_F(Judge, GangDoneOnceCountsForAll)
 {
     Job *job = sent(SCHEMA_GANG);
-    for (int64_t i = 0; i < job->tasks; i++)
+    for (int64_t i = 0; i < job->tasks_per_repetition; i++)
         begin(x[(size_t)i % 3], job, i, 1);
     run(6000);
-    EXPECT_EQ(c.n_ends[RUN_DONE], job->tasks);
+    EXPECT_EQ(c.n_ends[RUN_DONE], job->tasks_per_repetition);
     poll(x[0], x[0]->seq);
     clean();
     begin(x[4], job, 1, 2);
@@ -105,27 +105,27 @@
 
 TEST_F(Judge, Order)
 {
-    Job *job = sent(SCHEMA_STEPS);
+    Job *job = sent(SHAPE_STEPS);
     begin(x[0], job, (int64_t)2 << 24, 1);
     finds("ORDER");
 }
 
 TEST_F(Judge, TooEarly)
 {
-    Job *job = sent(SCHEMA_TIMED);
+    Job *job = sent(SHAPE_REPEATED);
     begin(x[0], job, (int64_t)1 << 32, 1);
     finds("ORDER");
 }
 
 TEST_F(Judge, RoomOfAnUnguardedExecutor)
 {
-    Job *job = sent(SCHEMA_RAW), *more = sent(SCHEMA_RAW);
-    for (int64_t k = 0; k < job->tasks; k++)
+    Job *job = sent(SHAPE_RAW), *more = sent(SHAPE_RAW);
+    for (int64_t k = 0; k < job->tasks_per_repetition; k++)
         begin(x[3], job, k, 1);
     for (int64_t guard = 0; guard < 60 && !c.n_breaches; guard++) {
-        for (int64_t k = 0; k < more->tasks && !c.n_breaches; k++)
+        for (int64_t k = 0; k < more->tasks_per_repetition && !c.n_breaches; k++)
             begin(x[3], more, k, 1);
-        more = sent(SCHEMA_RAW);
+        more = sent(SHAPE_RAW);
     }
     finds("LIMIT");
 }
@@ -134,7 +134,7 @@
 {
     for (int i = 0; i < 6; i++)
         begin(x[0], sent(SCHEMA_LARGE), 0, 1);
-    EXPECT_GT(c.n_room_refused, 0);
+    EXPECT_GT(c.n_capacity_refused, 0);
     clean();
 }
 
@@ -146,15 +146,15 @@
 
 TEST_F(Judge, Label)
 {
-    begin(x[0], sent(SCHEMA_LABEL), 0, 1);
+    begin(x[0], sent(SHAPE_LABEL), 0, 1);
     finds("ROUTE");
 }
 
 TEST_F(Judge, PerExecutor)
 {
-    Job *job = sent(SCHEMA_APART);
-    while (job->tasks < 3)
-        job = sent(SCHEMA_APART);
+    Job *job = sent(SHAPE_PER_EXECUTOR_LIMIT);
+    while (job->tasks_per_repetition < 3)
+        job = sent(SHAPE_PER_EXECUTOR_LIMIT);
     for (int64_t i = 0; i < 3 && !c.n_breaches; i++)
         begin(x[0], job, i, 1);
     finds("ROUTE");
@@ -196,7 +196,7 @@
 TEST_F(Judge, GangWithDifferentCheckpoints)
 {
     Job *job = sent(SCHEMA_GANG);
-    job->rows[0].saved_ms = 500;
+    job->tracked_tasks[0].checkpoint_ms = 500;
     char *checkpoint = must_printf("%llx.0@500", (unsigned long long)job->id);
     begin(x[0], job, 0, 1, nullptr, checkpoint);
     clean();
@@ -208,7 +208,7 @@
 TEST_F(Judge, StartLongAfterCancel)
 {
     Job *job = sent(SCHEMA_SAVES);
-    judge_cancelled(&c, job);
+    cluster_oracle_on_cancel_acknowledged(&c, job);
     run(4000);
     begin(x[0], job, 0, 1);
     finds("UNASKED");
@@ -217,7 +217,7 @@
 TEST_F(Judge, LateOrderAfterCancelIsExcused)
 {
     Job *job = sent(SCHEMA_SAVES);
-    judge_cancelled(&c, job);
+    cluster_oracle_on_cancel_acknowledged(&c, job);
     run(4000);
     begin(x[0], job, 0, 1, nullptr, "", 1);
     clean();
@@ -227,8 +227,8 @@
 {
     Job *job = sent(SCHEMA_SAVES);
     begin(x[0], job, 0, 1);
-    judge_cancelled(&c, job);
-    x[0]->runs[0].need_us = 60000000;
+    cluster_oracle_on_cancel_acknowledged(&c, job);
+    x[0]->runs[0].required_us = 60000000;
     run(4000);
     finds("UNASKED");
 }
--- a/tests/sim/cluster_run.h
+++ b/tests/sim/cluster_run.h
@@ -34,7 +34,7 @@
                    "lapsed %lld broken %lld alone %lld; room refused %lld late orders %lld lost core-s %lld\n",
                    (long long)c.n_accepted, (long long)c.n_refused, (long long)c.n_shown_done, (long long)c.n_starts,
                    (long long)c.n_ends[1], (long long)c.n_ends[2], (long long)c.n_ends[3], (long long)c.n_ends[4],
-                   (long long)c.n_ends[5], (long long)c.n_ends[6], (long long)c.n_room_refused,
+                   (long long)c.n_ends[5], (long long)c.n_ends[6], (long long)c.n_capacity_refused,
                    (long long)c.n_late_orders, (long long)c.lost_core_ms / 1000);
         cluster_end(&c);
     }
