--- a/sim/cluster.c
+++ b/sim/cluster.c
@@ -1,4 +1,4 @@
-/* Hosts of a simulated cluster: how they start, stop, die and are cut off. */
+/* Hosts of a simulated cluster: start, stop, crash, freeze and replacement; the trace of a run. */
 #include "sim/cluster.h"
 
 #include <stdarg.h>
@@ -21,7 +21,7 @@
 }
 int64_t cluster_wall_ms(const struct cluster *cluster) { return CLUSTER_WALL_MS + cluster->now_us / 1000; }
 
-/* --- the story ---------------------------------------------------------------- */
+/* --- trace -------------------------------------------------------------------- */
 
 void cluster_tell(struct cluster *cluster, int64_t job, const char *format, ...)
 {
@@ -38,7 +38,7 @@
         fprintf(stderr, "%10.3f %s%s\n", (double)cluster->now_us / 1e6, job ? "  " : "", text);
 }
 
-/* The breaches, then all that happened to the cluster and to the job of the first. */
+/* The violations, then the trace lines of the cluster and of the job of the first violation. */
 char *cluster_story(const struct cluster *cluster)
 {
     struct bytes to = {0};
@@ -68,27 +68,27 @@
     host->base.calls = &calls;
     host->base.self = (10ull << 40 | (uint64_t)zone << 32 | (uint64_t)(cluster->n + 1) << 24 | 1ull << 16) | 7000;
     host->base.http_addr = host->base.self + 1000;
-    int64_t no = kind == HOST_CONTROLLER ? ++cluster->controllers : ++cluster->agents;
+    int64_t number = kind == HOST_CONTROLLER ? ++cluster->controllers : ++cluster->agents;
     snprintf(host->name, sizeof host->name, "%s%d", kind == HOST_CONTROLLER ? with_disk ? "core" : "outer" : "agent",
-             (int)no);
+             (int)number);
     snprintf(host->zone, sizeof host->zone, "z%d", zone);
-    snprintf(host->rack, sizeof host->rack, "z%d-%d", zone, (int)(no / 6) % 3);
+    snprintf(host->rack, sizeof host->rack, "z%d-%d", zone, (int)(number / 6) % 3);
     if (with_disk)
         host->disk = cluster_disk_new(cluster_random(cluster));
     if (kind == HOST_AGENT)
-        host->standin = standin_new(host, no - 1);
+        host->standin = standin_new(host, number - 1);
     cluster->hosts[cluster->n++] = host;
     return host;
 }
 
 static const struct dispatch_settings dispatch_settings = {.lease_ms = LEASE_MS,
-                                                           .gang_timeout_ms = GANG_MS,
+                                                           .gang_timeout_ms = GANG_TIMEOUT_MS,
                                                            .early_ms = EARLY_MS,
                                                            .job_retention_ms = 120000,
                                                            .remote_data_pct = 150,
                                                            .restore_ms = RESTORE_MS};
 
-/* Random by host and generation: the seed's own sequence is that of the scenario. */
+/* The random part depends on host and generation only, so that a start draws nothing from the scenario's sequence. */
 static int64_t boot_now(struct host *host)
 {
     return boot_of(host->base.calls->wall_ms(&host->base),
@@ -115,7 +115,7 @@
                                      .codec = &cluster_api_codec};
     host->controller = controller_new(&host->base, &setup);
     if (!host->controller) {
-        cluster_tell(cluster, 0, "%s trusts its disk no more and ends", host->name);
+        cluster_tell(cluster, 0, "%s rejects its disk and exits", host->name);
         host->up = 0;
     }
 }
@@ -130,7 +130,7 @@
                                 .boot = boot_now(host),
                                 .executor = (int64_t)host->base.self + 2000,
                                 .hold_max_ms = HOLD_MAX_MS,
-                                .stop_timeout_ms = STOP_MS,
+                                .stop_timeout_ms = STOP_TIMEOUT_MS,
                                 .grace_ms = 6000,
                                 .orders_by_heartbeat = cluster->orders_by_heartbeat,
                                 .codec = &cluster_api_codec,
@@ -157,7 +157,7 @@
     if (host->gone || host->up)
         return;
     host->generation++;
-    host->born_us = cluster->now_us;
+    host->booted_us = cluster->now_us;
     host->up = 1;
     host->frozen = host->leaving = host->thaw_us = 0;
     host->busy_until_us = host->stall_us = host->flush_due = 0;
@@ -170,15 +170,15 @@
         boot_controller(host, first_start);
     else
         boot_agent(host);
-    if (!host->up) /* it ended at once */
+    if (!host->up) /* it exited at once */
         return;
     host->busy_until_us = cluster->now_us + host->stall_us;
     host->stall_us = 0;
-    struct cluster_event *on_timer = must_alloc(sizeof *on_timer);
-    on_timer->kind = CLUSTER_EVENT_TIMER;
-    on_timer->to = host;
-    on_timer->generation = host->generation;
-    cluster_push(cluster, on_timer, cluster->now_us + cluster_pick(cluster, CLUSTER_ON_TIMER_US));
+    struct cluster_event *timer = must_alloc(sizeof *timer);
+    timer->kind = CLUSTER_EVENT_TIMER;
+    timer->to = host;
+    timer->generation = host->generation;
+    cluster_push(cluster, timer, cluster->now_us + cluster_pick(cluster, CLUSTER_ON_TIMER_US));
 }
 
 void host_end(struct host *host)
@@ -228,7 +228,7 @@
         return;
     }
     if (!left)
-        cluster_tell(cluster, 0, "%s has not left in time", host->name);
+        cluster_tell(cluster, 0, "%s has not stopped gracefully in time", host->name);
     host_kill(host, 0);
     cluster_at(cluster, 300, boot_again, host, 0);
 }
@@ -237,7 +237,7 @@
 {
     if (!host->up || host->leaving)
         return;
-    cluster_tell(host->cluster, 0, "%s is asked to stop", host->name);
+    cluster_tell(host->cluster, 0, "%s is requested to stop", host->name);
     host_trouble(host);
     host->leaving = 1;
     if (host->controller)
@@ -263,7 +263,7 @@
 
 void host_disk_rewind(struct host *host)
 {
-    cluster_tell(host->cluster, 0, "%s gets an old copy of its disk", host->name);
+    cluster_tell(host->cluster, 0, "the disk of %s is restored from an old copy", host->name);
     cluster_disk_copy(host->disk, host->disk_copy);
 }
 
@@ -273,7 +273,7 @@
     (void)n;
     if (!host->frozen || cluster->now_us < host->thaw_us)
         return;
-    cluster_tell(cluster, 0, "%s thaws", host->name);
+    cluster_tell(cluster, 0, "%s continues", host->name);
     host->frozen = 0;
     host_trouble(host);
 }
@@ -290,13 +290,14 @@
 
 void host_skew(struct host *host, int64_t by_ms)
 {
-    cluster_tell(host->cluster, 0, "time of day of %s jumps by %lld ms", host->name, (long long)by_ms);
+    cluster_tell(host->cluster, 0, "the wall clock of %s jumps by %lld ms", host->name, (long long)by_ms);
     host->cluster->clocks_jump = 1;
     host->skew_ms += by_ms;
     host_trouble(host);
 }
 
-/* Reaches fewer of the core than all but one. */
+/* Whether the host has no connection in both directions to at least all but one of the other controllers with a disk.
+ */
 static int is_partitioned(const struct cluster *cluster, const struct host *host)
 {
     int64_t reached = 0, running = 0;
@@ -356,12 +357,12 @@
     struct cluster *cluster = old->cluster;
     host_kill(old, 1);
     old->gone = 1;
-    struct host *fresh = cluster_add(cluster, old->kind, (int)old->with_disk, old->zone[1] - '0');
-    cluster_tell(cluster, 0, "%s stands in place of %s, empty", fresh->name, old->name);
+    struct host *replacement = cluster_add(cluster, old->kind, (int)old->with_disk, old->zone[1] - '0');
+    cluster_tell(cluster, 0, "%s replaces %s, with an empty disk", replacement->name, old->name);
     for (int64_t i = 0; i < cluster->n_seeds; i++)
         if (cluster->seeds[i] == (int64_t)old->base.self)
-            cluster->seeds[i] = (int64_t)fresh->base.self;
-    fresh->ever_up = 1;
-    host_boot(fresh, 0);
-    return fresh;
+            cluster->seeds[i] = (int64_t)replacement->base.self;
+    replacement->ever_up = 1;
+    host_boot(replacement, 0);
+    return replacement;
 }
--- a/sim/cluster.h
+++ b/sim/cluster.h
@@ -1,7 +1,7 @@
-/* The seeded simulator of a cluster: controllers, agents beside stand-ins of
- * executors, callers and operators, under one virtual clock. It runs the shipped
- * cores; a judge sees what executors, callers and operators see, and nothing
- * else. The same seed gives the same run. */
+/* A deterministic simulator of a cluster: controllers, agents, executors, callers and operators under one virtual
+ * clock. Controllers and agents are the production code (their "cores"); executors are stand-ins that simulate runs.
+ * An oracle checks what executors, callers and operators observe, and never looks into a core. The same seed gives the
+ * same run. */
 #ifndef SAGEHITCH_CLUSTER_H
 #define SAGEHITCH_CLUSTER_H
 #include <jansson.h>
@@ -15,27 +15,27 @@
 enum host_kind { HOST_CONTROLLER, HOST_AGENT };
 enum standin_end { RUN_DONE = 1, RUN_FAILED, RUN_STOPPED, RUN_LEASE_EXPIRED, RUN_GANG_BROKEN, RUN_GANG_TIMEOUT };
 
-/* Bounds the judge goes by, and what the cores are given. */
+/* Time limits and other bounds that the oracle checks and that the cores are configured with. */
 enum {
     HOLD_MAX_MS = 6000,
     LEASE_MS = 4000,
-    GANG_MS = 3000,
-    STOP_MS = 400,
+    GANG_TIMEOUT_MS = 3000,
+    STOP_TIMEOUT_MS = 400,
     CANCEL_MS = 3000,
     EARLY_MS = 250,
     DRAIN_MS = 2000,
     CONTACT_MS = 3000,
     APPLY_MS = 2000,
     VISIBLE_MS = 3000,
-    SAVE_MS = 2000,
+    CHECKPOINT_INTERVAL_MS = 2000,
     RESTORE_MS = 600,
-    JUMP_MS = 5000,
+    CLOCK_JUMP_MS = 5000,
     ATTEMPTS_MAX = 3,
-    CLOSE_MS = 20000,
+    FINISH_MS = 20000,
     ACK_MS = 4000
 };
 
-/* How the controllers keep the agreed log; 0: as they do by default. */
+/* Log settings of the controllers; 0: the default. */
 struct cluster_log {
     int64_t snapshot_every, keep_entries, segment_bytes;
 };
@@ -46,50 +46,58 @@
 struct controller;
 struct agent;
 
-/* One machine. Invariants: what is addressed to an older generation is dropped; what came while it
- * was frozen or busy is taken in the order it came. */
+/* A machine with one controller, or with one agent and its executor. generation counts its starts. Times are virtual;
+ * booted_us: the last start; busy_until_us: the core handles no event before; stall_us: time that the event being
+ * handled has spent waiting for the disk; skew_ms: error of its wall clock; flush_due: a flush event is queued; gone:
+ * it was replaced and never starts again; trouble_us: the last fault that affected it. Invariants: events for an older
+ * generation are dropped; events that arrive while the host is frozen or busy are handled afterwards, in order of
+ * arrival. */
 struct host {
-    struct world base; /* first */
+    struct world base; /* must be the first member */
     struct cluster *cluster;
     enum host_kind kind;
     int64_t index, up, generation, frozen, thaw_us, busy_until_us, stall_us;
-    int64_t skew_ms, born_us, flush_due, with_disk, gone, trouble_us;
+    int64_t skew_ms, booted_us, flush_due, with_disk, gone, trouble_us;
     int64_t ever_up, leaving;
     char name[16], zone[8], rack[8];
-    struct cluster_disk *disk, *disk_copy;        /* disk_copy: as it was at host_disk_copy(), NULL: none */
-    int64_t link_kbit_s, in_free_us, out_free_us; /* link_kbit_s: of its link, each way; 0: without bound */
+    struct cluster_disk *disk, *disk_copy;        /* disk_copy: made by host_disk_copy(), NULL: none */
+    int64_t link_kbit_s, in_free_us, out_free_us; /* bandwidth each way, 0: unlimited; when each direction is idle */
     struct controller *controller;
     struct agent *agent;
     struct standin *standin;
 };
 
-/* --- jobs of the callers, and what was seen of them ------------------------------ */
+/* --- jobs of the callers and what was observed of them --------------------------- */
 
-/* A start of a task, as its executor saw it. */
+/* A start of a task, as its executor observed it. */
 struct seen_start {
     int64_t at_us, attempt, executor;
 };
-/* An end of a run. noted: the executor was told that the leader knows it; lapsed: its lease ended before that. */
+/* An end of a run. acknowledged: the leader confirmed to the executor that it knows of the end; lease_expired: the
+ * executor's lease ran out before such a confirmation. */
 struct seen_end {
     int64_t at_us, attempt, executor, generation, seq, how, acknowledged, lease_expired;
 };
-/* One task, in one repetition of its job. */
+/* A task in one repetition of its job. reported: bits of the violations that were reported for it already;
+ * checkpoint_ms: the most work that a checkpoint of it holds. */
 struct tracked_task {
     struct seen_start *starts;
     struct seen_end *ends;
-    int64_t n_starts, n_ends, checkpoint_ms, reported; /* told: breaches of it already in the report */
+    int64_t n_starts, n_ends, checkpoint_ms, reported;
 };
-/* A gang's run over all executors. */
+/* One attempt of a gang, over all executors. checkpoint: what all members start from. */
 struct tracked_gang {
     int64_t repetition, step, attempt, began_us, required_us, broken, finished, started;
     char *checkpoint;
 };
-/* A job. Times are 0, or -1 for those of the first answers, until they come; shown: the newest state a caller saw;
- * hopeless: no executor can take it; poison: the task that always fails. */
+/* A job of a caller. Times are set when the event happens; before it cancel_us is 0, the others are -1.
+ * in_flight: submissions without a response yet; seen_state: the newest state that a caller was shown, as an index into
+ * the names in cluster_oracle_on_job_state(); n_not_found: 410 responses; unplaceable: no executor can run it;
+ * failing_task: the task that fails in each attempt, -1: none; fail_pct: share of attempts that fail. */
 struct tracked_job {
     int64_t id, serial, tasks_per_repetition, repetitions, unplaceable, failing_task, long_running, fail_pct;
     struct job_spec *spec;
-    int64_t *first_row; /* row of a step's first task in a time */
+    int64_t *first_row; /* by step: index of its first task within a repetition */
     const char *host_name, *prefix, *service;
     char *body;
     int64_t sent_us, accepted_us, tries, refusals, in_flight, cancel_us, cancel_tries, cancel_ack_us, seen_state,
@@ -103,7 +111,9 @@
 
 /* --- executors ---------------------------------------------------------------------- */
 
-/* A run on an executor. */
+/* A run on an executor. done_us: work done so far, of required_us; fails_at_us: the amount of work at which it fails,
+ * -1: it does not fail; restore_us: time still needed to restore its checkpoint; stopping_us: when it will have
+ * stopped, 0: no stop was ordered. */
 struct standin_run {
     struct tracked_job *job;
     int64_t repetition, step, index, task, attempt, started_us, done_us, required_us, restore_us, checkpoint_ms,
@@ -111,24 +121,26 @@
     int64_t stopping_us, on_timer_us;
     char *checkpoint;
 };
-/* An end that the executor keeps until it is told that it was seen. */
+/* An end that the executor reports until the leader acknowledges it. */
 struct standin_ended {
     int64_t seq, job, task, attempt, how;
     char *checkpoint;
 };
-/* No attempt of the task up to this one may start here any more. */
+/* Attempts of the task up to this one are refused on this executor. */
 struct standin_barred {
     int64_t job, task, attempt;
 };
-/* A poll that waits for an end. */
+/* A long poll that waits for the end of a run. */
 struct standin_poll {
     int64_t call, deadline_us;
 };
-/* Invariants: fence and seq never fall within an incarnation (generation); runs holds also
- * what is being stopped; up 0: nothing of it is left. */
+/* A stand-in of an executor. generation counts its incarnations; clock_offset_ms and clock_slow_ppm: how its clock
+ * differs from virtual time; gone: it never starts again.
+ * Invariants: fence_epoch and seq never decrease within an incarnation; runs includes those that are being stopped;
+ * while up is 0 it has no runs, ends or polls. */
 struct standin {
     struct host *host;
-    int64_t index, up, generation, born_us, clock_offset_ms, clock_slow_ppm, lease_until_ms, fence_epoch, seq,
+    int64_t index, up, generation, booted_us, clock_offset_ms, clock_slow_ppm, lease_until_ms, fence_epoch, seq,
         last_on_timer_us, gone;
     char incarnation[32];
     const char *service, *rack, *label;
@@ -140,7 +152,8 @@
     int64_t n_runs, n_ended, n_barred, n_polls;
     int64_t draining, drain_ack_us, leaves_us, return_after_ms, next_heartbeat_us, heartbeat_seq, heartbeat_sent_us;
     int64_t slow_pct, hang_us, fail_us, sick_us, late_us,
-        last_fault_us; /* faults until; last_fault_us: newest trouble's end */
+        last_fault_us; /* slow_pct: time per work; until when it hangs, fails all runs, refuses starts or
+                          carries out requests late; when it last had a fault */
 };
 
 /* --- events ---------------------------------------------------------------------------- */
@@ -159,32 +172,33 @@
 typedef void cluster_on_response(struct cluster *cluster, void *arg, int64_t tag, int status, const char *body);
 
 struct cluster_event {
-    struct timed_event timed; /* first */
+    struct timed_event timed; /* must be the first member */
     int64_t generation, call, n, entry, late;
-    /* Of a frame. lost: its connection was reset; read_after_us: it is read no sooner, though it came; resets: the
-     * connection back is reset once this was read. */
+    /* Of a frame. lost: its connection was reset; read_after_us: the receiver does not read it before this time;
+     * reset_reply: the connection in the other direction is reset after this frame was read. */
     int64_t lost, read_after_us, reset_reply;
     enum cluster_event_kind kind;
-    struct host *from, *to; /* from: of a frame that goes over a connection, else NULL */
+    struct host *from, *to; /* from: sender of a frame that needs a connection, else NULL */
     struct blob *frame;
     char *method, *path, *header, *body;
     int status;
     cluster_action *action;
     void *arg;
 };
-/* from NULL: from outside. standin: the executor is called or calls, not the core. */
+/* An HTTP call without a response yet. from NULL: the client is no host. standin: the executor that makes or receives
+ * the call, NULL: it is for the core. */
 struct cluster_call {
     int64_t id, from_generation, tag;
-    int64_t reset_in_response; /* its connection is reset in the middle of the answer */
+    int64_t reset_in_response; /* the connection is reset in the middle of the response */
     struct host *from, *to;
     struct standin *standin;
     call_done *done;
     cluster_on_response *on_response;
     void *arg;
 };
-/* A line of the report on a failed run. */
+/* A line of the trace of a run. */
 struct story_line {
-    int64_t at_us, job; /* job 0: of the cluster as a whole */
+    int64_t at_us, job; /* job 0: concerns the whole cluster */
     char *text;
 };
 
@@ -196,19 +210,19 @@
     int64_t n, controllers, disks, agents;
     uint8_t cut[CLUSTER_HOSTS][CLUSTER_HOSTS]; /* [from][to], enum link_cut */
     struct link_faults links;
-    int64_t orders_by_heartbeat; /* 1: executors take their orders in the answers to their heartbeats */
+    int64_t orders_by_heartbeat; /* 1: executors get their orders in the responses to their heartbeats */
     int64_t loss_pct, slow_link_ms;
     struct cluster_log log;
-    int64_t machines_lost;      /* that may be lost at once, as the controllers are told */
-    int64_t n_events[10000];    /* by number, of all hosts */
-    int64_t reset_pct, late_ms; /* frames lost with their connection; late by up to so much, in their order */
+    int64_t machines_lost;      /* how many may be lost at once: a setting of the controllers */
+    int64_t n_events[10000];    /* by event number, over all hosts */
+    int64_t reset_pct, late_ms; /* share of frames that are lost; delay of frames, at most */
     struct cluster_call *calls;
     int64_t n_calls_open;
     struct tracked_job **jobs;
     int64_t n_jobs, load_until_us, load_every_us, mix, quiet;
     int64_t seeds[3], n_seeds;
     int64_t last_controller_fault_us, trouble_us, clocks_jump, calm;
-    struct host *operators_use; /* all orders go there; NULL: to any node */
+    struct host *operators_use; /* controller that gets all changes; NULL: any */
     struct op_change *changes;
     int64_t n_changes, acked_version, acked_us, read_version, answers_lost_pct;
     struct config_call *config_calls;
@@ -219,7 +233,7 @@
     int64_t n_breaches, violation_job, judged;
     int64_t n_starts, n_ends[8], n_capacity_refused, n_late_orders, n_accepted, n_refused, n_shown_done, lost_core_ms;
     int trace;
-    /* self-tests: answers in place of the cores; status, 0: silence */
+    /* Tests of the oracle: responds in place of the cores. Returns the status, 0: no response. */
     int (*fake)(struct cluster *cluster, const char *method, const char *path, const char *body, char **answer);
 };
 
@@ -231,7 +245,7 @@
                         const struct cluster_log *log);
 void cluster_start_bearing(struct cluster *cluster, uint64_t seed, int machines_lost, int disks, int diskless,
                            int agents);
-/* A deployment; members that are 0 are as cluster_start() has them. */
+/* Size and settings of a cluster; a member that is 0 has the value that cluster_start() uses. */
 struct cluster_options {
     int disks, diskless, agents, machines_lost, orders_by_heartbeat;
     struct cluster_log log;
@@ -245,26 +259,28 @@
 struct host *cluster_add(struct cluster *cluster, enum host_kind kind, int with_disk, int zone);
 void host_boot(struct host *host, int first_start);
 void host_kill(struct host *host, int power);
-void host_end(struct host *host); /* frees its core, and says nothing */
+void host_end(struct host *host); /* frees its core without a trace line */
 void host_restart(struct host *host);
-void host_leave(struct host *host); /* asked to stop; starts again after it ended */
+void host_leave(struct host *host); /* requests a graceful stop; it starts again afterwards */
 void host_wipe(struct host *host);
-void host_disk_copy(struct host *host);   /* remembers what lasts on its disk now */
-void host_disk_rewind(struct host *host); /* its disk is again as it was then; only while it is down */
+void host_disk_copy(struct host *host);   /* keeps a copy of what is synced to its disk */
+void host_disk_rewind(struct host *host); /* restores that copy; only while the host is down */
 void host_freeze(struct host *host, int64_t for_ms);
 void host_skew(struct host *host, int64_t by_ms);
-void host_trouble(struct host *host); /* the judge excuses it for a while */
-/* Tell lists of voters apart: that founded the log here, that the seeds agreed on as far as is known here; 0: none. */
+void host_trouble(struct host *host); /* the oracle tolerates delays for CONTACT_MS */
+/* Hashes of lists of voters: the one that this host's log was bootstrapped with, and the one that the seeds agreed on
+ * as far as this host knows; 0: none. */
 uint64_t host_founders(const struct host *host);
 uint64_t host_agreed(const struct host *host);
 struct host *cluster_leader(struct cluster *cluster);                /* NULL: none */
-struct host *cluster_controller(struct cluster *cluster, int64_t n); /* nth, NULL: none */
-struct host *cluster_any_controller(struct cluster *cluster);        /* any, also one that is down */
-struct host *cluster_replace(struct host *gone);                     /* an empty one at another address */
+struct host *cluster_controller(struct cluster *cluster, int64_t n); /* the nth that was not replaced, NULL: none */
+struct host *cluster_any_controller(struct cluster *cluster);        /* at random, may be down */
+struct host *cluster_replace(struct host *gone);                     /* adds an empty host at another address */
+/* Whether the host runs, is connected to the controllers and neither had a fault within CONTACT_MS. */
 int cluster_is_reachable(const struct cluster *cluster, const struct host *host);
 void cluster_core_trouble(struct cluster *cluster);
 void cluster_tell(struct cluster *cluster, int64_t job, const char *format, ...) __attribute__((format(printf, 3, 4)));
-char *cluster_story(const struct cluster *cluster); /* owned by the caller */
+char *cluster_story(const struct cluster *cluster); /* to be freed by the caller */
 
 /* --- cluster_net.c ---------------------------------------------------------------------------- */
 void cluster_push(struct cluster *cluster, struct cluster_event *event, int64_t at_us);
@@ -272,18 +288,20 @@
 void cluster_event_free(struct cluster_event *event);
 void cluster_at(struct cluster *cluster, int64_t in_ms, cluster_action *action, void *arg, int64_t n);
 void cluster_calls_net(struct world_calls *calls);
-/* to NULL: outside of all hosts */
+/* to NULL: the event belongs to no host */
 struct cluster_event *cluster_event_new(enum cluster_event_kind kind, struct host *to);
-/* When something sent now arrives; what a process still does takes its time first. from NULL: from outside. */
+/* When a message sent now arrives, counting from the end of the sender's current event. from NULL: a client that is no
+ * host. */
 int64_t cluster_arrival(struct cluster *cluster, const struct host *from, const struct host *to);
-/* value of a header line, in a static buffer; NULL: not there */
+/* Value of a header line, in a static buffer; NULL: there is no such line. */
 const char *header_find(const char *lines, const char *name);
 
 /* --- cluster_calls.c -------------------------------------------------------------------------- */
 void cluster_calls_http(struct world_calls *calls);
 void cluster_call_end(struct cluster *cluster, int64_t id, int status, const char *body);
-/* An HTTP request to a host, from outside or (from not NULL) from the executor beside it. header: lines
- * "Name: value\n"; header and body may be NULL. answer gets arg and tag; status 0: no answer within wait_ms. */
+/* An HTTP request to a host, by a client that is no host or (from not NULL) by the executor beside the host. header:
+ * lines "Name: value\n"; header and body may be NULL. on_response gets arg and tag; status 0: no response within
+ * wait_ms. */
 struct cluster_http_request {
     struct host *to;
     struct standin *from;
@@ -295,14 +313,14 @@
     int64_t tag;
 };
 void cluster_request(struct cluster *cluster, const struct cluster_http_request *http);
-void cluster_reply(struct cluster *cluster, int64_t call, int status, const char *body); /* by a stand-in */
-void cluster_reset_calls(struct cluster *cluster, struct host *to); /* all that are open there end without an answer */
+void cluster_reply(struct cluster *cluster, int64_t call, int status, const char *body); /* of a stand-in */
+void cluster_reset_calls(struct cluster *cluster, struct host *to); /* ends all open calls to it without a response */
 
 /* --- cluster_disk.c ------------------------------------------------------------------------- */
 struct cluster_disk *cluster_disk_new(uint64_t seed);
 void cluster_disk_free(struct cluster_disk *disk);
 void cluster_disk_clear(struct cluster_disk *disk);
-void cluster_disk_copy(struct cluster_disk *to, const struct cluster_disk *from); /* what lasts of it */
+void cluster_disk_copy(struct cluster_disk *to, const struct cluster_disk *from); /* what is synced */
 void cluster_disk_power_loss(struct cluster_disk *disk);
 void cluster_disk_stall(struct cluster_disk *disk, int64_t until_us);
 void cluster_calls_disk(struct world_calls *calls);
@@ -318,14 +336,14 @@
                         int late);
 int64_t standin_clock_ms(const struct standin *standin);
 struct standin *cluster_standin(struct cluster *cluster, int64_t n);
-/* An order to start a task. saved: the checkpoint to begin from, "": none; late: it is carried out late. */
+/* An order to start a task. checkpoint: where to continue from, "": none; late: it is carried out late. */
 struct standin_start {
     struct tracked_job *job;
     int64_t task, attempt;
     const char *text, *checkpoint;
     int late;
 };
-int standin_start(struct standin *standin, const struct standin_start *order); /* returns whether there was room */
+int standin_start(struct standin *standin, const struct standin_start *order); /* 0: no free capacity */
 struct standin_run *standin_run(struct standin *standin, int64_t job, int64_t task);
 void standin_stop(struct standin *standin, struct standin_run *run);
 void standin_finish(struct standin *standin, struct standin_run *run, enum standin_end how);
@@ -337,8 +355,8 @@
 /* cluster_executor.c, used by cluster_beats.c */
 json_t *standin_report(const struct standin *standin);
 void standin_extend_lease(struct standin *standin, int64_t lease_until_ms); /* a lease is never shortened */
-void standin_acknowledge_ends(struct standin *standin, int64_t seen);       /* forgets ends up to that number */
-/* Carries out an order to start or to stop. Returns the status of the answer; why: the reason in its body. */
+void standin_acknowledge_ends(struct standin *standin, int64_t up_to_seq);  /* drops ends up to that seq */
+/* Carries out an order to start a run. Returns the HTTP status of the response; why: the reason in its body. */
 int standin_order_start(struct standin *standin, const json_t *order, int late, const char **why);
 void standin_order_stop(struct standin *standin, const json_t *order);
 void standin_shut_down(struct standin *standin, int64_t back_ms);
@@ -365,39 +383,41 @@
     SHAPE_DUPLICATES,
     SCHEMA_COUNT
 };
-struct tracked_job *callers_new_job(struct cluster *cluster, enum job_schema shape); /* made, not sent */
+struct tracked_job *callers_new_job(struct cluster *cluster, enum job_schema shape); /* not submitted yet */
 void callers_submit(struct cluster *cluster, struct tracked_job *job);
 void callers_load(struct cluster *cluster, int64_t per_s, int64_t for_ms);
 void callers_burst(struct cluster *cluster, int64_t jobs, enum job_schema shape);
 void callers_cancel(struct cluster *cluster, struct tracked_job *job);
 struct tracked_job *tracked_job(const struct cluster *cluster, int64_t id);
-struct tracked_task *tracked_task(const struct tracked_job *job, int64_t task); /* NULL: there is none such */
+struct tracked_task *tracked_task(const struct tracked_job *job, int64_t task); /* NULL: the job has no such task */
 struct tracked_gang *tracked_gang(struct tracked_job *job, int64_t repetition, int64_t step, int64_t attempt);
 int tracked_step_done(const struct tracked_job *job, int64_t repetition, int64_t step);
 void tracked_job_free(struct tracked_job *job);
 int64_t callers_unfinished(const struct cluster *cluster);
-/* All faults end; everything must come to its end within CLOSE_MS. */
+/* Ends all faults and runs until all jobs have finished; the oracle reports those that have not within FINISH_MS. */
 void cluster_close(struct cluster *cluster);
 
-/* --- cluster_oracle.c: every breach is a line -------------------------------------------------------- */
+/* --- cluster_oracle.c ------------------------------------------------------------------------------- */
+/* Records a violation of one of the oracle's rules. job 0: it concerns no job. */
 void cluster_violation(struct cluster *cluster, int64_t job, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
 void cluster_oracle_on_start(struct standin *standin, struct standin_run *run, const char *text, const char *checkpoint,
                              int late);
 void cluster_oracle_on_end(struct standin *standin, const struct standin_run *run, enum standin_end how, int64_t seq);
-void cluster_oracle_on_ends_acknowledged(struct standin *standin, int64_t seen);
+void cluster_oracle_on_ends_acknowledged(struct standin *standin, int64_t up_to_seq);
 void cluster_oracle_on_lease_expired(struct standin *standin);
 void cluster_oracle_on_job_state(struct cluster *cluster, struct tracked_job *job, const char *state,
-                                 const struct host *by);
+                                 const struct host *controller);
 void cluster_oracle_on_job_not_found(struct cluster *cluster, struct tracked_job *job,
-                                     const struct host *by); /* answered 410 */
+                                     const struct host *controller); /* a 410 response */
 void cluster_oracle_on_cancel_acknowledged(struct cluster *cluster, struct tracked_job *job);
-/* Is it the answer to a request of this kind? member: what its body has to have, NULL: nothing at all. */
+/* Checks that a response with status 200 belongs to this kind of request. member: the JSON member that its body must
+ * have, NULL: the body must be empty. */
 void cluster_oracle_check_response(struct cluster *cluster, int64_t job, int status, const char *body,
                                    const char *member);
 void cluster_oracle_check_end(struct cluster *cluster); /* at the end of a run */
 const char *standin_end_name(int64_t how);
-void cluster_oracle_check_progress(struct cluster *cluster); /* cluster_still.c; asked again and again */
+void cluster_oracle_check_progress(struct cluster *cluster); /* cluster_still.c; to be called repeatedly */
 
 /* --- cluster_codec.c ---------------------------------------------------------------------------------- */
 struct executor_codec;
--- a/sim/cluster_beats.c
+++ b/sim/cluster_beats.c
@@ -1,4 +1,4 @@
-/* Heartbeats of the stand-ins of executors, and the orders that come in the answers to them. */
+/* Heartbeats of the stand-ins of executors, and the orders in the responses to them. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -6,68 +6,72 @@
 #include "sim/cluster.h"
 
 enum {
-    HEARTBEAT_WAIT_MS = 1000,       /* an answer that comes later is not taken */
-    HEARTBEAT_INTERVAL_MS = 1500,   /* of an executor that is called */
-    HEARTBEAT_RETRY_MS = 1000,      /* of that one, after a beat without an answer */
-    HEARTBEAT_ORDERS_RETRY_MS = 300 /* of one that takes its orders in the answers, after a beat without one */
+    HEARTBEAT_WAIT_MS = 1000,       /* a later response is ignored */
+    HEARTBEAT_INTERVAL_MS = 1500,   /* with orders by HTTP calls */
+    HEARTBEAT_RETRY_MS = 1000,      /* with orders by HTTP calls, after a failed heartbeat */
+    HEARTBEAT_ORDERS_RETRY_MS = 300 /* with orders in responses, after a failed heartbeat */
 };
 
-/* A heartbeat under way, of an executor that takes its orders in the answer. */
-struct heartbeat_call {
+/* A response to a heartbeat, with orders that are not carried out yet. */
+struct received_orders {
     struct standin *standin;
     int64_t generation, sent_us;
     char *orders;
 };
 
-static int64_t number(const json_t *body, const char *name) { return json_integer_value(json_object_get(body, name)); }
+static int64_t json_int(const json_t *body, const char *name)
+{
+    return json_integer_value(json_object_get(body, name));
+}
 
-/* --- orders in answers --------------------------------------------------------------- */
+/* --- orders in responses ------------------------------------------------------------- */
 
 static void apply_orders(struct standin *standin, const json_t *orders, int late)
 {
     size_t i;
     json_t *order;
     const char *why;
-    if (number(orders, "epoch") < standin->fence_epoch || !json_object_get(orders, "epoch"))
+    if (json_int(orders, "epoch") < standin->fence_epoch || !json_object_get(orders, "epoch"))
         return;
-    standin->fence_epoch = number(orders, "epoch");
-    standin_acknowledge_ends(standin, number(orders, "seen"));
-    if (number(orders, "hold"))
-        standin_extend_lease(standin, standin_clock_ms(standin) + number(orders, "hold"));
+    standin->fence_epoch = json_int(orders, "epoch");
+    standin_acknowledge_ends(standin, json_int(orders, "seen"));
+    if (json_int(orders, "hold"))
+        standin_extend_lease(standin, standin_clock_ms(standin) + json_int(orders, "hold"));
     json_array_foreach(json_object_get(orders, "stops"), i, order) standin_order_stop(standin, order);
     json_array_foreach(json_object_get(orders, "starts"), i,
                        order) if (standin_clock_ms(standin) < standin->lease_until_ms)
         standin_order_start(standin, order, late, &why);
 }
 
-static void on_orders(struct cluster *cluster, void *arg, int64_t late)
+static void apply_received_orders(struct cluster *cluster, void *arg, int64_t late)
 {
-    struct heartbeat_call *sent = arg;
-    struct standin *standin = sent->standin;
-    json_t *orders = json_loads(sent->orders, 0, NULL);
-    if (orders && standin->up && standin->generation == sent->generation) {
+    struct received_orders *received = arg;
+    struct standin *standin = received->standin;
+    json_t *orders = json_loads(received->orders, 0, NULL);
+    if (orders && standin->up && standin->generation == received->generation) {
         cluster->n_late_orders += late;
         apply_orders(standin, orders, (int)late);
         standin->next_heartbeat_us =
-            cluster->now_us + (json_object_get(orders, "retry") ? number(orders, "retry") : 50) * 1000;
+            cluster->now_us + (json_object_get(orders, "retry") ? json_int(orders, "retry") : 50) * 1000;
     }
     json_decref(orders);
-    free(sent->orders);
-    free(sent);
+    free(received->orders);
+    free(received);
 }
 
-/* An answer is taken within HEARTBEAT_WAIT_MS after its heartbeat, at any time if the executor is late. */
+/* Carries out the orders at once or, while the executor is late, at a random time within HEARTBEAT_WAIT_MS after the
+ * heartbeat was sent. */
 static void receive_orders(struct cluster *cluster, struct standin *standin, int64_t sent_us, const char *body)
 {
-    struct heartbeat_call *sent = must_alloc(sizeof *sent);
+    struct received_orders *received = must_alloc(sizeof *received);
     int64_t left_us = sent_us + HEARTBEAT_WAIT_MS * 1000LL - cluster->now_us;
     int64_t late = cluster->now_us < standin->late_us && cluster_pick(cluster, 2) == 0;
-    *sent = (struct heartbeat_call){
+    *received = (struct received_orders){
         .standin = standin, .generation = standin->generation, .sent_us = sent_us, .orders = must_dup(body)};
     if (late)
-        cluster_at(cluster, cluster_pick(cluster, left_us) / 1000, on_orders, sent, 1);
+        cluster_at(cluster, cluster_pick(cluster, left_us) / 1000, apply_received_orders, received, 1);
     else
-        on_orders(cluster, sent, 0);
+        apply_received_orders(cluster, received, 0);
 }
 
 /* --- heartbeats ---------------------------------------------------------------------- */
@@ -76,7 +80,7 @@
 {
     standin->drain_ack_us = cluster->now_us;
     standin->leaves_us = cluster->now_us + (DRAIN_MS + 500 + cluster_pick(cluster, 2000)) * 1000;
-    cluster_tell(cluster, 0, "draining of %s is acknowledged", standin->incarnation);
+    cluster_tell(cluster, 0, "the draining of %s is acknowledged", standin->incarnation);
 }
 
 static void on_heartbeat_response(struct cluster *cluster, void *arg, int64_t tag, int status, const char *body)
--- a/sim/cluster_callers.c
+++ b/sim/cluster_callers.c
@@ -1,5 +1,5 @@
-/* Callers: they hand in jobs of all schemas, send again what was not answered,
- * cancel, and ask for states. */
+/* Callers of a simulated cluster: they submit jobs of all shapes, retry submissions without a definite response, cancel
+ * jobs and poll their states. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -11,7 +11,7 @@
 
 enum { SUBMIT_TRIES_MAX = 5, SUBMIT_WAIT_MS = 3000 };
 
-/* --- the board ---------------------------------------------------------------- */
+/* --- tracked jobs ------------------------------------------------------------- */
 
 struct tracked_job *tracked_job(const struct cluster *cluster, int64_t id)
 {
@@ -59,7 +59,7 @@
     free(job);
 }
 
-/* --- schemas ------------------------------------------------------------------- */
+/* --- shapes -------------------------------------------------------------------- */
 
 static struct step_spec *add_step(struct cluster *cluster, struct job_spec *spec, int64_t width, int64_t ms)
 {
@@ -154,18 +154,19 @@
     return job;
 }
 
-/* --- handing in --------------------------------------------------------------- */
+/* --- submission --------------------------------------------------------------- */
 
 static struct host *pick_controller(struct cluster *cluster)
 {
     struct host *host = cluster_any_controller(cluster);
-    for (int k = 0; k < 3 && host && !host->up; k++) /* the platform leaves out most that are down */
+    for (int k = 0; k < 3 && host && !host->up;
+         k++) /* the platform's load balancer avoids most controllers that are down */
         host = cluster_any_controller(cluster);
     return host;
 }
 
 static void send_request(struct cluster *cluster, struct tracked_job *job, const char *method, const char *body,
-                         int64_t wait_ms, cluster_on_response *answer)
+                         int64_t wait_ms, cluster_on_response *on_response)
 {
     struct host *to = pick_controller(cluster);
     char *path = must_printf("%s%016llx", job->prefix, (unsigned long long)job->id);
@@ -177,7 +178,7 @@
                                                             .header = header,
                                                             .body = body,
                                                             .wait_ms = wait_ms,
-                                                            .on_response = answer,
+                                                            .on_response = on_response,
                                                             .arg = job,
                                                             .tag = to->index});
     free(path);
@@ -191,18 +192,18 @@
     return job->seen_state == 3 || job->seen_state == 4 || job->seen_state == 5;
 }
 
-/* Takes an answer about a job's state. */
+/* Handles the response to a query of a job's state. */
 static void on_state_response(struct cluster *cluster, void *arg, int64_t tag, int status, const char *body)
 {
     struct tracked_job *job = arg;
-    json_t *answer = json_loads(body, 0, NULL);
-    const char *state = json_string_value(json_object_get(answer, "state"));
+    json_t *response = json_loads(body, 0, NULL);
+    const char *state = json_string_value(json_object_get(response, "state"));
     cluster_oracle_check_response(cluster, job->id, status, body, "state");
     if (status == 200 && state)
         cluster_oracle_on_job_state(cluster, job, state, cluster->hosts[tag]);
     else if (status == 410)
         cluster_oracle_on_job_not_found(cluster, job, cluster->hosts[tag]);
-    json_decref(answer);
+    json_decref(response);
     if (!is_finished(job))
         cluster_at(cluster, 300 + cluster_pick(cluster, 700), poll_state, job, 0);
 }
@@ -233,11 +234,11 @@
     if (status == 429 || status == 503 || status == 404 || status == 400) {
         job->refusals++;
         if (status == 404 || status == 400)
-            cluster_violation(cluster, job->id, "CONFIG: a job for a queue that is there is answered %d: %.100s",
+            cluster_violation(cluster, job->id, "CONFIG: a job for a queue that exists gets the response %d: %.100s",
                               status, body);
     }
-    cluster_tell(cluster, job->id, "job %llx: try %lld answered %d", (unsigned long long)job->id, (long long)job->tries,
-                 status);
+    cluster_tell(cluster, job->id, "job %llx: submission %lld got response %d", (unsigned long long)job->id,
+                 (long long)job->tries, status);
     if (job->tries < SUBMIT_TRIES_MAX)
         cluster_at(cluster, 100 + cluster_pick(cluster, 300) * job->tries, submit, job, 0);
     else if (job->refusals == job->tries)
@@ -277,7 +278,7 @@
 {
     if (!job->cancel_us) {
         job->cancel_us = cluster->now_us;
-        cluster_tell(cluster, job->id, "job %llx: cancelling", (unsigned long long)job->id);
+        cluster_tell(cluster, job->id, "job %llx: cancellation requested", (unsigned long long)job->id);
     }
     job->cancel_tries++;
     send_request(cluster, job, "DELETE", "", 1000, on_cancel_response);
@@ -300,7 +301,7 @@
         cluster_at(cluster, 6000 + cluster_pick(cluster, 6000), cancel_later, job, 0);
 }
 
-/* --- the load ------------------------------------------------------------------ */
+/* --- load ---------------------------------------------------------------------- */
 
 static void next_job(struct cluster *cluster, void *arg, int64_t n)
 {
@@ -326,7 +327,7 @@
         callers_submit(cluster, callers_new_job(cluster, shape));
 }
 
-/* --- the end of a run -------------------------------------------------------------- */
+/* --- end of a run ------------------------------------------------------------------ */
 
 int64_t callers_unfinished(const struct cluster *cluster)
 {
@@ -336,8 +337,8 @@
     return n;
 }
 
-/* What nothing else would end. */
-static void cancel_endless(struct cluster *cluster)
+/* Cancels the jobs that never finish by themselves. */
+static void cancel_unfinishing(struct cluster *cluster)
 {
     for (int64_t i = 0; i < cluster->n_jobs; i++) {
         struct tracked_job *job = cluster->jobs[i];
@@ -374,9 +375,9 @@
         if (spec->repeats && start_ms > last_start_ms)
             last_start_ms = start_ms;
     }
-    int64_t limit_ms = last_start_ms + CLOSE_MS;
+    int64_t limit_ms = last_start_ms + FINISH_MS;
     while (callers_unfinished(cluster) && cluster_wall_ms(cluster) < limit_ms) {
-        cancel_endless(cluster);
+        cancel_unfinishing(cluster);
         cluster_oracle_check_progress(cluster);
         cluster_run(cluster, 200);
     }
@@ -385,10 +386,10 @@
         if (job->accepted_us >= 0 && !is_finished(job))
             cluster_violation(cluster, job->id,
                               "LIVENESS: job %llx (%s%s) is in state %lld %d ms after all faults ended",
-                              (unsigned long long)job->id, job->prefix, job->long_running ? ", lasting" : "",
-                              (long long)job->seen_state, CLOSE_MS);
+                              (unsigned long long)job->id, job->prefix, job->long_running ? ", long-running" : "",
+                              (long long)job->seen_state, FINISH_MS);
     }
-    for (int64_t i = 0; i < cluster->n_jobs; i++) /* what was shown is still shown */
+    for (int64_t i = 0; i < cluster->n_jobs; i++) /* a final state must not change any more */
         if (is_finished(cluster->jobs[i]) && cluster->now_us - cluster->jobs[i]->seen_state_us < 90000000)
             send_request(cluster, cluster->jobs[i], "GET", "", 2000, on_state_response);
     cluster_run(cluster, 2500);
--- a/sim/cluster_calls.c
+++ b/sim/cluster_calls.c
@@ -1,4 +1,4 @@
-/* HTTP calls of a simulated cluster: from outside, from agents to their executors, and from executors. */
+/* HTTP calls of a simulated cluster: of callers and operators, of agents to their executors, and of executors. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -54,7 +54,7 @@
     cluster_push(cluster, event, at_us);
 }
 
-/* Sends a request over a connection that may be reset; read_us: when it is read, at_us: when it is carried out. */
+/* Sends a request over a connection that may be reset. read_us: when the server reads it; at_us: when it handles it. */
 static void send_request(struct cluster *cluster, struct cluster_event *request, enum reset_hop hop, int64_t read_us,
                          int64_t at_us)
 {
@@ -83,7 +83,7 @@
     struct cluster *cluster = from->cluster;
     struct standin *standin = from->standin;
     if (!standin || call->to != from->base.self + 2000) {
-        cluster_violation(cluster, 0, "%s calls an address that is not its executor's", from->name);
+        cluster_violation(cluster, 0, "%s calls an address that is not the one of its executor", from->name);
         standin = NULL;
     }
     struct cluster_event *request = call_begin(cluster,
@@ -100,14 +100,14 @@
     request->header = must_dup(call->header);
     request->body = must_dup(call->body ? call->body : "");
     request->generation = standin ? standin->generation : 0;
-    if (!standin || !standin->up) { /* nobody listens there */
+    if (!standin || !standin->up) { /* nothing listens there */
         cluster_reply(cluster, request->call, 0, "");
         cluster_event_free(request);
         return;
     }
     int64_t read_us = cluster_arrival(cluster, from, from), at_us = read_us;
     request->late = cluster->now_us < standin->late_us && cluster_pick(cluster, 2) == 0;
-    if (request->late) /* 2 to 12 s, sooner more often */
+    if (request->late) /* a delay of 2 to 12 s, short ones more often */
         at_us += 2000000 + cluster_pick(cluster, 1 + cluster_pick(cluster, 10000000));
     else if (cluster->now_us < standin->hang_us)
         at_us = standin->hang_us + cluster_pick(cluster, 200000);
@@ -133,7 +133,7 @@
     reply_at(cluster, call, status, body, cluster->now_us + 50 + cluster_pick(cluster, 100));
 }
 
-static void net_answer(struct world *world, int64_t slot, int status, int64_t retry_ms, const char *body)
+static void net_respond(struct world *world, int64_t slot, int status, int64_t retry_ms, const char *body)
 {
     struct host *from = host_of(world);
     (void)retry_ms;
@@ -143,5 +143,5 @@
 void cluster_calls_http(struct world_calls *calls)
 {
     calls->call = net_call;
-    calls->answer = net_answer;
+    calls->answer = net_respond;
 }
--- a/sim/cluster_codec.c
+++ b/sim/cluster_codec.c
@@ -1,4 +1,4 @@
-/* The simulator's codecs of requests, responses and calls to executors: plain JSON of the structs. */
+/* The simulator's codecs of API requests, API responses and calls to executors. All are JSON. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -55,7 +55,10 @@
     return rc;
 }
 
-static int64_t int_of(const json_t *from, const char *name) { return json_integer_value(json_object_get(from, name)); }
+static int64_t json_int(const json_t *from, const char *name)
+{
+    return json_integer_value(json_object_get(from, name));
+}
 
 static char *read_checkpoint(const json_t *from)
 {
@@ -70,25 +73,26 @@
     json_array_foreach(active, i, one)
     {
         *(struct run_active *)array_add(lists->active, lists->n_active) =
-            (struct run_active){.job = int_of(one, "job"),
-                                .task = int_of(one, "task"),
-                                .attempt = int_of(one, "attempt"),
-                                .percent = int_of(one, "percent"),
+            (struct run_active){.job = json_int(one, "job"),
+                                .task = json_int(one, "task"),
+                                .attempt = json_int(one, "attempt"),
+                                .percent = json_int(one, "percent"),
                                 .checkpoint = read_checkpoint(one)};
     }
     json_array_foreach(ended, i, one)
     {
         *(struct run_ended *)array_add(lists->ended, lists->n_ended) =
-            (struct run_ended){.seq = int_of(one, "seq"),
-                               .job = int_of(one, "job"),
-                               .task = int_of(one, "task"),
-                               .attempt = int_of(one, "attempt"),
-                               .how = int_of(one, "how"),
+            (struct run_ended){.seq = json_int(one, "seq"),
+                               .job = json_int(one, "job"),
+                               .task = json_int(one, "task"),
+                               .attempt = json_int(one, "attempt"),
+                               .how = json_int(one, "how"),
                                .checkpoint = read_checkpoint(one)};
     }
 }
 
-/* Takes out of a heartbeat what an executor that takes its orders by heartbeats reports: its clock and its lists. */
+/* Moves clock and run lists from a heartbeat into report. Only executors that get their orders by heartbeats send them.
+ */
 static void take_report(struct heartbeat_report *report, json_t *heartbeat)
 {
     const json_t *clock = json_object_get(heartbeat, "clock");
@@ -153,7 +157,8 @@
     return i;
 }
 
-/* Patches look so here: {"version":2,"queues":[replaced or added],"removed":[names]}. Small lists, so no index. */
+/* A patch is {"version":2,"queues":[replaced or added],"removed":[names]}. Queues are few: they are searched linearly.
+ */
 static enum sagehitch_error patch_config(struct config *to, const struct bytes *current, const struct bytes *patch,
                                          struct validation_error *validation_error)
 {
@@ -234,7 +239,7 @@
     return rc;
 }
 
-/* The body of a response without an error. */
+/* The body of a successful response. */
 static char *response_body(const struct api_response *response)
 {
     static const char *const states[] = {"pending", "active", "done", "failed", "cancelled"};
@@ -252,7 +257,7 @@
 
 static void api_write(const struct api_response *response, int *status, char **body)
 {
-    /* given up on: it may be in force, so it must not read as a refusal */
+    /* An unknown outcome may be in force, so its status must not be one of a refusal. */
     *status = response->error == ERROR_OUTCOME_UNKNOWN ? 504 : error_response((int)response->error)->status;
     *body = response->error ? must_printf("{\"problem\":\"%s\"}", error_response((int)response->error)->name)
                             : response_body(response);
--- a/sim/cluster_disk.c
+++ b/sim/cluster_disk.c
@@ -1,5 +1,5 @@
-/* Lends a cluster's hosts the disks of the older simulator, whose headers do not
- * go together with those of the cores run here. */
+/* Disks of a cluster's hosts, simulated by sim/sim_disk.c. A file of its own, because sim.h cannot be included together
+ * with the headers of the cores. */
 #include <stdlib.h>
 
 #include "base/error.h"
@@ -56,7 +56,7 @@
     return &calls;
 }
 
-/* A call of a host's, made on its disk at its time; what it waits for is the host's to wait. */
+/* Makes a call on the host's simulated disk at the host's time, and adds the time that the disk takes to the host's. */
 #define CALL_ON_DISK(W, CALL)                          \
     int64_t now_us;                                    \
     struct cluster_disk *disk = host_disk(W, &now_us); \
--- a/sim/cluster_executor.c
+++ b/sim/cluster_executor.c
@@ -1,4 +1,4 @@
-/* A stand-in of an executor: how it starts and dies, and what it answers when it is called. */
+/* The stand-in of an executor: start, crash and draining, its lease, and the requests it receives. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -25,7 +25,7 @@
 
 int64_t standin_clock_ms(const struct standin *standin)
 {
-    int64_t passed_us = standin->host->cluster->now_us - standin->born_us;
+    int64_t passed_us = standin->host->cluster->now_us - standin->booted_us;
     return standin->clock_offset_ms + passed_us / 1000 * (1000000 - standin->clock_slow_ppm) / 1000000;
 }
 
@@ -59,7 +59,7 @@
         return;
     standin->generation++;
     standin->up = 1;
-    standin->born_us = standin->last_on_timer_us = cluster->now_us;
+    standin->booted_us = standin->last_on_timer_us = cluster->now_us;
     standin->clock_offset_ms = 1000 + cluster_pick(cluster, 1000000);
     standin->clock_slow_ppm = cluster_pick(cluster, 20001);
     standin->lease_until_ms = standin->fence_epoch = standin->seq = standin->draining = standin->leaves_us =
@@ -72,11 +72,11 @@
              (long long)standin->generation);
     if (standin->generation > 1)
         cluster_tell(cluster, 0, "executor %s starts", standin->incarnation);
-    struct cluster_event *on_timer = must_alloc(sizeof *on_timer);
-    on_timer->kind = CLUSTER_EVENT_STANDIN;
-    on_timer->to = standin->host;
-    on_timer->generation = standin->generation;
-    cluster_push(cluster, on_timer, cluster->now_us + cluster_pick(cluster, STANDIN_ON_TIMER_US));
+    struct cluster_event *timer = must_alloc(sizeof *timer);
+    timer->kind = CLUSTER_EVENT_STANDIN;
+    timer->to = standin->host;
+    timer->generation = standin->generation;
+    cluster_push(cluster, timer, cluster->now_us + cluster_pick(cluster, STANDIN_ON_TIMER_US));
 }
 
 static void boot_again(struct cluster *cluster, void *arg, int64_t n)
@@ -91,7 +91,7 @@
 {
     struct cluster *cluster = standin->host->cluster;
     standin->up = 0;
-    for (int64_t i = 0; i < standin->n_runs; i++) { /* other members of its gangs notice */
+    for (int64_t i = 0; i < standin->n_runs; i++) { /* the gangs of its runs break */
         struct standin_run *run = &standin->runs[i];
         struct tracked_gang *gang = tracked_gang(run->job, run->repetition, run->step, run->attempt);
         if (gang && gang->began_us)
@@ -121,15 +121,15 @@
     cluster_tell(standin->host->cluster, 0, "executor %s drains", standin->incarnation);
     standin->draining = 1;
     standin->return_after_ms = back_ms;
-    standin->leaves_us = standin->host->cluster->now_us + 10000000; /* without an acknowledgement */
+    standin->leaves_us = standin->host->cluster->now_us + 10000000; /* even without an acknowledgement */
     standin->next_heartbeat_us = standin->host->cluster->now_us;
 }
 
-/* --- what it is asked --------------------------------------------------------------------- */
+/* --- requests ------------------------------------------------------------------------------ */
 
 json_t *standin_report(const struct standin *standin)
 {
-    json_t *answer = json_pack("{s:I}", "clock", (json_int_t)standin_clock_ms(standin));
+    json_t *response = json_pack("{s:I}", "clock", (json_int_t)standin_clock_ms(standin));
     json_t *active = json_array(), *ended = json_array();
     for (int64_t i = 0; i < standin->n_runs; i++) {
         const struct standin_run *run = &standin->runs[i];
@@ -146,18 +146,18 @@
                                                (json_int_t)end->attempt, "how", (json_int_t)end->how, "saved",
                                                end->checkpoint ? end->checkpoint : ""));
     }
-    json_object_set_new(answer, "active", active);
-    json_object_set_new(answer, "ended", ended);
-    return answer;
+    json_object_set_new(response, "active", active);
+    json_object_set_new(response, "ended", ended);
+    return response;
 }
 
-static void answer_lists(struct standin *standin, int64_t call)
+static void reply_lists(struct standin *standin, int64_t call)
 {
-    json_t *answer = standin_report(standin);
-    char *text = json_dumps(answer, JSON_COMPACT);
+    json_t *response = standin_report(standin);
+    char *text = json_dumps(response, JSON_COMPACT);
     cluster_reply(standin->host->cluster, call, 200, text);
     free(text);
-    json_decref(answer);
+    json_decref(response);
 }
 
 static void reply_status(struct standin *standin, int64_t call, int status, const char *why)
@@ -167,13 +167,16 @@
     free(body);
 }
 
-static int64_t number(const json_t *body, const char *name) { return json_integer_value(json_object_get(body, name)); }
+static int64_t json_int(const json_t *body, const char *name)
+{
+    return json_integer_value(json_object_get(body, name));
+}
 
 void standin_extend_lease(struct standin *standin, int64_t lease_until_ms)
 {
-    int64_t most_ms = standin_clock_ms(standin) + HOLD_MAX_MS;
-    if (lease_until_ms > most_ms)
-        lease_until_ms = most_ms;
+    int64_t max_ms = standin_clock_ms(standin) + HOLD_MAX_MS;
+    if (lease_until_ms > max_ms)
+        lease_until_ms = max_ms;
     if (lease_until_ms > standin->lease_until_ms)
         standin->lease_until_ms = lease_until_ms;
 }
@@ -181,7 +184,7 @@
 int standin_order_start(struct standin *standin, const json_t *order, int late, const char **why)
 {
     struct cluster *cluster = standin->host->cluster;
-    int64_t job_id = number(order, "job"), task = number(order, "task"), attempt = number(order, "attempt");
+    int64_t job_id = json_int(order, "job"), task = json_int(order, "task"), attempt = json_int(order, "attempt");
     const char *text = json_string_value(json_object_get(order, "text"));
     const char *checkpoint = json_string_value(json_object_get(order, "saved"));
     struct standin_run *run = standin_run(standin, job_id, task);
@@ -194,9 +197,10 @@
         return 409;
     }
     if (!job || !tracked_task(job, task) || attempt < 1) {
-        cluster_violation(
-            cluster, job_id, "UNASKED: %s is told to start what nobody sent: job %llx task %llx attempt %lld",
-            standin->incarnation, (unsigned long long)job_id, (unsigned long long)task, (long long)attempt);
+        cluster_violation(cluster, job_id,
+                          "UNASKED: %s is ordered to start what no caller submitted: job %llx task %llx attempt %lld",
+                          standin->incarnation, (unsigned long long)job_id, (unsigned long long)task,
+                          (long long)attempt);
         return 400;
     }
     const struct standin_start start = {.job = job,
@@ -215,14 +219,14 @@
 
 static void on_start_request(struct standin *standin, int64_t call, const json_t *body, int late)
 {
-    int64_t lease_until_ms = number(body, "until");
-    const struct standin_run *run = standin_run(standin, number(body, "job"), number(body, "task"));
+    int64_t lease_until_ms = json_int(body, "until");
+    const struct standin_run *run = standin_run(standin, json_int(body, "job"), json_int(body, "task"));
     const char *why;
     if (standin->host->cluster->now_us < standin->sick_us) {
         reply_status(standin, call, 503, "sick");
         return;
     }
-    if (lease_until_ms <= standin_clock_ms(standin) && !(run && run->attempt == number(body, "attempt"))) {
+    if (lease_until_ms <= standin_clock_ms(standin) && !(run && run->attempt == json_int(body, "attempt"))) {
         reply_status(standin, call, 409, "late");
         return;
     }
@@ -231,12 +235,12 @@
     reply_status(standin, call, status, why);
 }
 
-void standin_acknowledge_ends(struct standin *standin, int64_t seen)
+void standin_acknowledge_ends(struct standin *standin, int64_t up_to_seq)
 {
     int64_t kept = 0;
-    cluster_oracle_on_ends_acknowledged(standin, seen);
+    cluster_oracle_on_ends_acknowledged(standin, up_to_seq);
     for (int64_t i = 0; i < standin->n_ended; i++) {
-        if (standin->ended[i].seq <= seen)
+        if (standin->ended[i].seq <= up_to_seq)
             free(standin->ended[i].checkpoint);
         else
             standin->ended[kept++] = standin->ended[i];
@@ -247,12 +251,12 @@
 static void on_poll_request(struct standin *standin, int64_t call, const json_t *body)
 {
     struct cluster *cluster = standin->host->cluster;
-    int64_t wait_ms = number(body, "wait");
-    if (number(body, "until"))
-        standin_extend_lease(standin, number(body, "until"));
-    standin_acknowledge_ends(standin, number(body, "seen"));
+    int64_t wait_ms = json_int(body, "wait");
+    if (json_int(body, "until"))
+        standin_extend_lease(standin, json_int(body, "until"));
+    standin_acknowledge_ends(standin, json_int(body, "seen"));
     if (wait_ms <= 0 || standin->n_ended) {
-        answer_lists(standin, call);
+        reply_lists(standin, call);
         return;
     }
     struct standin_poll *poll = array_add(standin->polls, standin->n_polls);
@@ -262,7 +266,7 @@
 
 void standin_order_stop(struct standin *standin, const json_t *order)
 {
-    int64_t job = number(order, "job"), task = number(order, "task"), attempt = number(order, "attempt");
+    int64_t job = json_int(order, "job"), task = json_int(order, "task"), attempt = json_int(order, "attempt");
     struct standin_run *run = standin_run(standin, job, task);
     if (run && run->attempt == attempt)
         standin_stop(standin, run);
@@ -287,10 +291,10 @@
         reply_status(standin, call, 421, "life");
     else if (!body)
         reply_status(standin, call, 400, "");
-    else if (number(body, "epoch") < standin->fence_epoch)
+    else if (json_int(body, "epoch") < standin->fence_epoch)
         reply_status(standin, call, 409, "epoch");
     else {
-        standin->fence_epoch = number(body, "epoch");
+        standin->fence_epoch = json_int(body, "epoch");
         if (!strcmp(path, "/begin"))
             on_start_request(standin, call, body, late);
         else if (!strcmp(path, "/end"))
@@ -323,7 +327,7 @@
         standin_heartbeat(standin);
     for (int64_t i = standin->n_polls - 1; i >= 0; i--)
         if (standin->n_ended || cluster->now_us >= standin->polls[i].deadline_us) {
-            answer_lists(standin, standin->polls[i].call);
+            reply_lists(standin, standin->polls[i].call);
             standin->polls[i] = standin->polls[--standin->n_polls];
         }
 }
--- a/sim/cluster_link.c
+++ b/sim/cluster_link.c
@@ -1,4 +1,4 @@
-/* Cuts, resets of connections and links of bounded width in a simulated cluster. */
+/* Cut links, reset connections and links of limited bandwidth in a simulated cluster. */
 #include "sim/cluster_link.h"
 
 #include <string.h>
@@ -6,7 +6,7 @@
 #include "base/frame.h"
 #include "sim/cluster.h"
 
-/* What a link of bounded width adds: a frame begins when those before it are through. */
+/* A frame is sent after the frames before it, first out of the sender's link, then into the receiver's. */
 int64_t link_transfer_us(struct host *from, struct host *to, int64_t bytes)
 {
     int64_t now_us = from->cluster->now_us + from->stall_us, at_us = now_us;
@@ -48,10 +48,10 @@
     return 1;
 }
 
-/* The hop a frame belongs to, HOP_COUNT: none. */
-static enum reset_hop hop_of(int64_t kind, int *is_answer)
+/* The hop of a frame, HOP_COUNT: none. is_response: whether the frame is the response on that hop. */
+static enum reset_hop hop_of(int64_t kind, int *is_response)
 {
-    *is_answer = kind == FRAME_RESPONSE || kind == FRAME_APPENDED || kind == FRAME_REPORT;
+    *is_response = kind == FRAME_RESPONSE || kind == FRAME_APPENDED || kind == FRAME_REPORT;
     switch (kind) {
     case FRAME_REQUEST:
     case FRAME_RESPONSE: return HOP_RELAY;
@@ -66,19 +66,19 @@
 int link_loses_frame(struct host *from, struct host *to, int64_t kind, struct cluster_event *event)
 {
     struct cluster *cluster = from->cluster;
-    int is_answer;
-    enum reset_hop hop = hop_of(kind, &is_answer);
+    int is_response;
+    enum reset_hop hop = hop_of(kind, &is_response);
     if (from == to)
         return 0;
     if (cluster->now_us < cluster->links.reconnect_us[from->index][to->index])
         return 1;
     if (hop == HOP_COUNT)
         return 0;
-    if (link_reset_occurs(cluster, hop, is_answer ? RESET_IN_ANSWER : RESET_BEFORE_READ)) {
+    if (link_reset_occurs(cluster, hop, is_response ? RESET_IN_ANSWER : RESET_BEFORE_READ)) {
         link_reset(from, to);
         return 1;
     }
-    event->reset_reply = !is_answer && link_reset_occurs(cluster, hop, RESET_BEFORE_ANSWER);
+    event->reset_reply = !is_response && link_reset_occurs(cluster, hop, RESET_BEFORE_ANSWER);
     return 0;
 }
 
@@ -124,7 +124,7 @@
 void host_cut_off(struct host *host)
 {
     struct cluster *cluster = host->cluster;
-    cluster_tell(cluster, 0, "%s is cut off", host->name);
+    cluster_tell(cluster, 0, "%s is cut off from all others", host->name);
     for (int64_t i = 0; i < cluster->n; i++)
         if (cluster->hosts[i] != host)
             cluster->cut[host->index][i] = cluster->cut[i][host->index] = LINK_SILENT;
@@ -133,7 +133,7 @@
 
 void cluster_heal(struct cluster *cluster)
 {
-    cluster_tell(cluster, 0, "all links heal");
+    cluster_tell(cluster, 0, "all links work again");
     for (int64_t i = 0; i < cluster->n; i++)
         if (cluster_is_cut(cluster, cluster->hosts[i]))
             host_trouble(cluster->hosts[i]);
--- a/sim/cluster_net.c
+++ b/sim/cluster_net.c
@@ -45,7 +45,7 @@
     cluster_push(cluster, event, cluster->now_us + in_ms * 1000);
 }
 
-enum { FRAME_KIND_AT = 3 }; /* where a frame's head has its kind */
+enum { FRAME_KIND_AT = 3 }; /* offset of the kind in a frame's header */
 
 /* --- frames ----------------------------------------------------------------------- */
 
@@ -55,7 +55,7 @@
     if (from && to && strcmp(from->zone, to->zone))
         at_us += 900;
     if (!from)
-        at_us += 3000; /* from outside */
+        at_us += 3000; /* the client is no host */
     return at_us + (from != to ? cluster->slow_link_ms * 1000 : 0);
 }
 
@@ -104,20 +104,20 @@
     return header_find(request->arg, name);
 }
 
-/* Answers in place of the cores, as a test wants. */
-static void fake_answer(struct cluster *cluster, const struct cluster_event *event)
+/* Responds with what the test's fake returns, in place of the cores. */
+static void fake_response(struct cluster *cluster, const struct cluster_event *event)
 {
-    char *answer = NULL;
-    int status = cluster->fake(cluster, event->method, event->path, event->body, &answer);
-    cluster_reply(cluster, event->call, status, answer ? answer : "{}");
-    free(answer);
+    char *response = NULL;
+    int status = cluster->fake(cluster, event->method, event->path, event->body, &response);
+    cluster_reply(cluster, event->call, status, response ? response : "{}");
+    free(response);
 }
 
 static void deliver_to_core(struct cluster *cluster, struct host *host, struct cluster_event *event)
 {
     if (cluster->fake) {
         if (event->kind == CLUSTER_EVENT_REQUEST)
-            fake_answer(cluster, event);
+            fake_response(cluster, event);
         return;
     }
     struct http_request http = {.entry = event->entry,
@@ -146,12 +146,12 @@
     }
     if (host->flush_due || event->kind == CLUSTER_EVENT_FLUSH)
         return;
-    /* as in the processes: once a round of the loop, behind all that has arrived by now */
+    /* As in production, flush once per round of the event loop, after all events that have arrived by now. */
     host->flush_due = 1;
     cluster_push(cluster, cluster_event_new(CLUSTER_EVENT_FLUSH, host), cluster->now_us);
 }
 
-/* Events that are not a core's; 1: done with. */
+/* Handles events that are not for a core. Returns 1 if the event was handled, and freed or queued again. */
 static int deliver_outside_cores(struct cluster *cluster, struct cluster_event *event)
 {
     struct host *host = event->to;
@@ -190,7 +190,7 @@
     if (deliver_outside_cores(cluster, event))
         return;
     if (!host->up || host->generation != event->generation) {
-        if (event->kind == CLUSTER_EVENT_REQUEST) /* a dead port resets */
+        if (event->kind == CLUSTER_EVENT_REQUEST) /* nothing listens there: the connection is refused */
             cluster_reply(cluster, event->call, 0, "");
         cluster_event_free(event);
         return;
@@ -211,7 +211,7 @@
         cluster_event_free(event);
 }
 
-/* --- clocks, notes, what the disks need --------------------------------------------- */
+/* --- clocks, events, disks -------------------------------------------------------------- */
 
 static int64_t mono_ms(struct world *world)
 {
--- a/sim/cluster_operator.c
+++ b/sim/cluster_operator.c
@@ -1,5 +1,5 @@
-/* The operator: hands in configuration, also in races and wrong, reads it back,
- * and judges what was acknowledged. */
+/* Operators of a simulated cluster: they send configuration changes, also racing and invalid ones, read the
+ * configuration back, and check it against what was acknowledged. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -48,7 +48,7 @@
     return (char *)to.at;
 }
 
-/* The one change of this version; NULL: none, or several with other bodies. */
+/* The change of this version; NULL: none, or several with different bodies. */
 static const struct op_change *unambiguous_change(struct cluster *cluster, int64_t version)
 {
     const struct op_change *only = NULL;
@@ -62,18 +62,18 @@
     return only;
 }
 
-/* The patch that makes body of the version it builds on; NULL: that one is not known for sure, or was invalid. */
+/* The patch that turns version base into body; NULL: the content of base is not certain, or was invalid. */
 static char *config_patch(struct cluster *cluster, int64_t base, const char *body)
 {
-    const struct op_change *on = unambiguous_change(cluster, base);
+    const struct op_change *base_change = unambiguous_change(cluster, base);
     json_t *to = json_loads(body, 0, NULL);
-    if (!on || !on->valid || !to) {
+    if (!base_change || !base_change->valid || !to) {
         json_decref(to);
         return NULL;
     }
     json_object_del(to, "services");
-    if (on->extra_queue) {
-        char *name = must_printf("extra%lld", (long long)on->extra_queue);
+    if (base_change->extra_queue) {
+        char *name = must_printf("extra%lld", (long long)base_change->extra_queue);
         json_object_set_new(to, "removed", json_pack("[s]", name));
         free(name);
     }
@@ -84,7 +84,7 @@
 
 static void send_change(struct cluster *cluster, void *arg, int64_t n);
 
-/* --- what the judge makes of an answer ------------------------------------------------- */
+/* --- checks of responses --------------------------------------------------------------- */
 
 static void on_acknowledged(struct cluster *cluster, struct op_change *change)
 {
@@ -104,7 +104,7 @@
             cluster_violation(cluster, 0, "CONFIG: versions %lld and %lld on %lld are both acknowledged",
                               (long long)other->version, (long long)change->version, (long long)change->base);
         else if (other->version == change->version)
-            cluster_violation(cluster, 0, "CONFIG: two orders under number %lld are both acknowledged",
+            cluster_violation(cluster, 0, "CONFIG: two changes to version %lld are both acknowledged",
                               (long long)change->version);
     }
     if (change->version > cluster->acked_version) {
@@ -113,7 +113,7 @@
     }
 }
 
-/* One that was taken is acknowledged again or left without a clear answer, never refused. */
+/* An acknowledged change that is sent again must not be refused. */
 static void on_refused(struct cluster *cluster, struct op_change *change, const struct config_call *call, int status)
 {
     change->refusals++;
@@ -127,7 +127,7 @@
 
 /* --- sending ----------------------------------------------------------------------------- */
 
-static int64_t call_new(struct cluster *cluster, int64_t change)
+static int64_t new_config_call(struct cluster *cluster, int64_t change)
 {
     struct config_call *call = array_add(cluster->config_calls, cluster->n_config_calls);
     *call = (struct config_call){.change = change, .began_us = cluster->now_us};
@@ -178,19 +178,19 @@
                                                             .wait_ms = 1000,
                                                             .on_response = on_change_response,
                                                             .arg = arg,
-                                                            .tag = call_new(cluster, (int64_t)(intptr_t)arg)});
+                                                            .tag = new_config_call(cluster, (int64_t)(intptr_t)arg)});
     free(header);
 }
 
-/* body is taken over. Every other valid order goes out as a patch, where it can. */
-static void send_new_change(struct cluster *cluster, struct op_change order)
+/* Takes ownership of the body. Valid changes with an odd version are sent as a patch, where one can be made. */
+static void send_new_change(struct cluster *cluster, struct op_change change)
 {
-    if (order.valid && order.version % 2 && order.base)
-        order.patch = config_patch(cluster, order.base, order.body);
-    order.base_in_force = order.base <= cluster->acked_version || order.base <= cluster->read_version;
-    cluster_tell(cluster, 0, "configuration %lld on %lld is sent%s", (long long)order.version, (long long)order.base,
-                 order.valid ? "" : ", invalid");
-    *array_add(cluster->changes, cluster->n_changes) = order;
+    if (change.valid && change.version % 2 && change.base)
+        change.patch = config_patch(cluster, change.base, change.body);
+    change.base_in_force = change.base <= cluster->acked_version || change.base <= cluster->read_version;
+    cluster_tell(cluster, 0, "configuration %lld on %lld is sent%s", (long long)change.version, (long long)change.base,
+                 change.valid ? "" : ", invalid");
+    *array_add(cluster->changes, cluster->n_changes) = change;
     send_change(cluster, (void *)(intptr_t)(cluster->n_changes - 1), 0);
 }
 
@@ -228,7 +228,6 @@
     return next;
 }
 
-/* Changes what is acknowledged by now; with race another change at once on the same version. */
 void operator_change(struct cluster *cluster, int race, int invalid)
 {
     int64_t base = cluster->acked_version, next = next_version(cluster);
@@ -253,10 +252,10 @@
     send_change(cluster, (void *)(intptr_t)n, 0);
 }
 
-void operator_crowd(struct cluster *cluster, int64_t orders)
+void operator_crowd(struct cluster *cluster, int64_t count)
 {
     int64_t base = cluster->acked_version;
-    while (orders-- > 0) {
+    while (count-- > 0) {
         int64_t next = next_version(cluster), kind = cluster_pick(cluster, 6);
         if (kind == 0) {
             operator_again(cluster, cluster_pick(cluster, cluster->n_changes));
@@ -264,23 +263,23 @@
         }
         new_change(cluster, next, base, kind == 1 ? next : 0, 0);
         const struct op_change *first = &cluster->changes[cluster->n_changes - 1];
-        if (kind == 2 && orders-- > 0) /* another body under the same number */
+        if (kind == 2 && count-- > 0) /* another body with the same version */
             new_change(cluster, next, base, 0, 0);
-        else if (kind == 3 && orders-- > 0) /* the same by another operator */
+        else if (kind == 3 && count-- > 0) /* the same change by another operator */
             send_new_change(cluster, (struct op_change){.version = next,
                                                         .base = base,
                                                         .extra_queue = first->extra_queue,
                                                         .valid = 1,
                                                         .body = must_dup(first->body)});
-        else if (kind == 4) /* the next one builds on this one, whatever becomes of it */
+        else if (kind == 4) /* the next change is based on this one, whatever its result */
             base = next;
     }
 }
 
 /* --- reading back -------------------------------------------------------------------- */
 
-/* Was it sent so, by one operator or by more, and may it be in force? Not if it was refused each time; and not
- * if it was refused at all once its base had been in force, as no base comes back. */
+/* Whether this version, sent with this body by one or more operators, can be in force. It cannot if each request was
+ * refused, nor if any was refused after its base had been in force, since a former version never comes back. */
 static int may_be_in_force(const struct cluster *cluster, int64_t version, const char *body)
 {
     int64_t sends = 0, refusals = 0;
@@ -296,7 +295,7 @@
     return sends > refusals;
 }
 
-/* A reading judges versions that were acknowledged or read before it was sent. */
+/* Checks a reading against the versions that were acknowledged or read before its request was sent. */
 static void on_read_response(struct cluster *cluster, void *arg, int64_t tag, int status, const char *body)
 {
     int64_t *version_read = arg;
@@ -328,7 +327,7 @@
 
 static void send_read(struct cluster *cluster, struct host *from, int64_t wait_ms, int64_t *version_read)
 {
-    int64_t call = call_new(cluster, -1);
+    int64_t call = new_config_call(cluster, -1);
     cluster->config_calls[call].min_version =
         cluster->acked_version > cluster->read_version ? cluster->acked_version : cluster->read_version;
     cluster_request(cluster, &(struct cluster_http_request){.to = from,
@@ -344,7 +343,7 @@
 void operator_read(struct cluster *cluster) { operator_read_from(cluster, cluster_any_controller(cluster)); }
 void operator_read_from(struct cluster *cluster, struct host *from) { send_read(cluster, from, 2000, NULL); }
 
-/* Does the queue that a version adds or leaves out answer as it should? */
+/* Checks that a queue exists if the version in force (tag / 2) adds it (tag % 2), and does not exist otherwise. */
 static void on_probe_response(struct cluster *cluster, void *arg, int64_t tag, int status, const char *body)
 {
     (void)arg, (void)body;
@@ -353,10 +352,10 @@
         return;
     for (int64_t i = 0; i < cluster->n_changes; i++)
         if (cluster->changes[i].version > change->version && cluster->changes[i].valid)
-            return; /* one under way may be in force already */
+            return; /* a change without a result yet may be in force */
     if ((status == 404) != !(tag % 2) && (status == 404 || status == 200))
-        cluster_violation(cluster, 0, "CONFIG: a queue that version %lld %s is answered %d", (long long)change->version,
-                          tag % 2 ? "has" : "has not", status);
+        cluster_violation(cluster, 0, "CONFIG: a queue that version %lld %s gets the response %d",
+                          (long long)change->version, tag % 2 ? "has" : "has not", status);
 }
 
 static void probe_extra_queues(struct cluster *cluster, int64_t version)
@@ -388,7 +387,7 @@
         cluster_run(cluster, 1000);
     }
     if (!version_read)
-        cluster_violation(cluster, 0, "CONFIG: the configuration does not come back");
+        cluster_violation(cluster, 0, "CONFIG: no controller responds with the configuration");
     if (version_read == cluster->acked_version)
         probe_extra_queues(cluster, version_read);
     cluster_run(cluster, 2500);
--- a/sim/cluster_oracle.c
+++ b/sim/cluster_oracle.c
@@ -1,5 +1,5 @@
-/* The judge: rules over what executors, callers and operators saw, and over
- * nothing a core says of itself. Every breach is a line. */
+/* The oracle: checks rules against what executors, callers and operators observe, and against nothing that a core
+ * reports about itself. It records each violation as a line. The word at the start of the line names the rule. */
 #include <stdarg.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,7 +11,7 @@
 
 typedef unsigned long long ull;
 
-/* Breaches of a row that are in the report already. */
+/* Violations that were reported for a task already. */
 enum { REPORTED_TWICE = 1, REPORTED_BUDGET = 2 };
 
 const char *standin_end_name(int64_t how)
@@ -35,19 +35,19 @@
 
 /* --- a task's history ------------------------------------------------------------ */
 
-/* A gang's members end done together, so one such end that was noted counts for all. */
+/* The members of a gang finish together, so one acknowledged end as done counts for all. */
 static int end_applies_to(const struct tracked_job *job, int64_t task, const struct seen_end *end, int64_t end_task)
 {
     const struct step_spec *step = &job->spec->steps[task_step(task)];
     return task == end_task || (step->gang && end->how == RUN_DONE);
 }
 
-/* Judges a start of task against the noted ends of other, which is task itself or a member of its gang. Returns how
- * many of these ends were failures of task. */
+/* Checks a start of task against the acknowledged ends of other, which is task itself or a member of its gang. Returns
+ * how many of these ends were failures of task. */
 static int64_t check_start_after_ends(struct cluster *cluster, struct tracked_job *job, int64_t task,
                                       const struct seen_start *start, int64_t other)
 {
-    struct tracked_task *row = tracked_task(job, task);
+    struct tracked_task *tracked = tracked_task(job, task);
     const struct tracked_task *ends = tracked_task(job, other);
     int64_t failed = 0;
     for (int64_t e = 0; e < ends->n_ends; e++) {
@@ -55,44 +55,44 @@
         if (!end->acknowledged || end->at_us > start->at_us || !end_applies_to(job, task, end, other))
             continue;
         failed += end->how == RUN_FAILED && other == task;
-        if (end->how != RUN_DONE || (row->reported & REPORTED_TWICE))
+        if (end->how != RUN_DONE || (tracked->reported & REPORTED_TWICE))
             continue;
-        row->reported |= REPORTED_TWICE;
+        tracked->reported |= REPORTED_TWICE;
         cluster_violation(
             cluster, job->id,
             "TWICE: task %llx of job %llx starts (attempt %lld) after its end as done (attempt %lld at %.3f) that "
-            "was noted",
+            "was acknowledged",
             (ull)task, (ull)job->id, (long long)start->attempt, (long long)end->attempt, (double)end->at_us / 1e6);
     }
     return failed;
 }
 
-/* Judges the starts of a task anew against the ends noted by now. */
+/* Checks all starts of a task against the ends that are acknowledged by now. */
 static void check_starts(struct cluster *cluster, struct tracked_job *job, int64_t task)
 {
     const struct step_spec *step = &job->spec->steps[task_step(task)];
-    struct tracked_task *row = tracked_task(job, task);
+    struct tracked_task *tracked = tracked_task(job, task);
     int64_t from = step->gang ? 0 : task_index(task), to = step->gang ? step->task_count : from + 1;
     cluster->judged++;
     if (step->duplicates || step->long_running)
         return;
-    for (int64_t i = 0; i < row->n_starts; i++) {
+    for (int64_t i = 0; i < tracked->n_starts; i++) {
         int64_t failed = 0;
         for (int64_t k = from; k < to; k++)
-            failed += check_start_after_ends(cluster, job, task, &row->starts[i],
+            failed += check_start_after_ends(cluster, job, task, &tracked->starts[i],
                                              task_of(task_repetition(task), task_step(task), k));
-        if (failed < ATTEMPTS_MAX || (row->reported & REPORTED_BUDGET))
+        if (failed < ATTEMPTS_MAX || (tracked->reported & REPORTED_BUDGET))
             continue;
-        row->reported |= REPORTED_BUDGET;
+        tracked->reported |= REPORTED_BUDGET;
         cluster_violation(cluster, job->id, "BUDGET: task %llx of job %llx starts after %lld failures", (ull)task,
                           (ull)job->id, (long long)failed);
     }
 }
 
-static int has_done_end(const struct tracked_task *row)
+static int has_done_end(const struct tracked_task *tracked)
 {
-    for (int64_t i = 0; i < row->n_ends; i++)
-        if (row->ends[i].how == RUN_DONE)
+    for (int64_t i = 0; i < tracked->n_ends; i++)
+        if (tracked->ends[i].how == RUN_DONE)
             return 1;
     return 0;
 }
@@ -158,14 +158,14 @@
             cluster_violation(cluster, run->job->id, "ORDER: step %lld of job %llx starts before step %lld is done",
                               (long long)run->step, (ull)run->job->id, (long long)step->depends_on[i]);
     int64_t earliest_ms =
-        spec->start_ms + run->repetition * spec->interval_ms - EARLY_MS - (cluster->clocks_jump ? JUMP_MS : 0);
+        spec->start_ms + run->repetition * spec->interval_ms - EARLY_MS - (cluster->clocks_jump ? CLOCK_JUMP_MS : 0);
     if (spec->repeats && cluster_wall_ms(cluster) < earliest_ms)
-        cluster_violation(cluster, run->job->id, "ORDER: time %lld of job %llx starts %lld ms too early",
+        cluster_violation(cluster, run->job->id, "ORDER: repetition %lld of job %llx starts %lld ms too early",
                           (long long)run->repetition, (ull)run->job->id,
                           (long long)(earliest_ms - cluster_wall_ms(cluster)));
 }
 
-/* Reads what a run saved (JOB.TASK@MS, the first two in hexadecimal). Returns 1 if all three are there. */
+/* Parses a checkpoint (JOB.TASK@MS, the first two in hexadecimal). Returns 1 if it has all three numbers. */
 static int read_checkpoint(const char *checkpoint, ull *job, ull *task, long long *at_ms)
 {
     char *end;
@@ -186,18 +186,18 @@
 {
     struct cluster *cluster = standin->host->cluster;
     const struct tracked_job *job = run->job;
-    ull saved_job, saved_task;
+    ull checkpoint_job, checkpoint_task;
     long long checkpoint_ms;
-    int in_touch = !late && cluster_is_reachable(cluster, standin->host);
+    int reachable = !late && cluster_is_reachable(cluster, standin->host);
     if (job->sent_us < 0 || strcmp(text, job->spec->text))
         cluster_violation(cluster, job->id, "UNASKED: job %llx starts with the text '%.60s'", (ull)job->id, text);
     if (*checkpoint) {
-        int read = read_checkpoint(checkpoint, &saved_job, &saved_task, &checkpoint_ms);
-        const struct tracked_task *row = read ? tracked_task(job, (int64_t)saved_task) : NULL;
-        if (!row || (int64_t)saved_job != job->id || checkpoint_ms > row->checkpoint_ms ||
-            ((int64_t)saved_task != run->task &&
-             (!job->spec->steps[run->step].gang || task_step((int64_t)saved_task) != run->step ||
-              task_repetition((int64_t)saved_task) != run->repetition)))
+        int read = read_checkpoint(checkpoint, &checkpoint_job, &checkpoint_task, &checkpoint_ms);
+        const struct tracked_task *tracked = read ? tracked_task(job, (int64_t)checkpoint_task) : NULL;
+        if (!tracked || (int64_t)checkpoint_job != job->id || checkpoint_ms > tracked->checkpoint_ms ||
+            ((int64_t)checkpoint_task != run->task &&
+             (!job->spec->steps[run->step].gang || task_step((int64_t)checkpoint_task) != run->step ||
+              task_repetition((int64_t)checkpoint_task) != run->repetition)))
             cluster_violation(cluster, job->id, "UNASKED: task %llx of job %llx starts with the checkpoint '%.60s'",
                               (ull)run->task, (ull)job->id, checkpoint);
     }
@@ -209,14 +209,15 @@
         gang->started = 1;
         gang->checkpoint = must_dup(checkpoint);
     }
-    if (in_touch && job->cancel_ack_us >= 0 && cluster->now_us - job->cancel_ack_us > CANCEL_MS * 1000LL)
-        cluster_violation(cluster, job->id, "UNASKED: job %llx starts %lld ms after its cancelling was acknowledged",
+    if (reachable && job->cancel_ack_us >= 0 && cluster->now_us - job->cancel_ack_us > CANCEL_MS * 1000LL)
+        cluster_violation(cluster, job->id, "UNASKED: job %llx starts %lld ms after its cancellation was acknowledged",
                           (ull)job->id, (long long)(cluster->now_us - job->cancel_ack_us) / 1000);
-    if (in_touch && job->seen_state == 3 && cluster->now_us - job->seen_state_us > 1000000)
+    if (reachable && job->seen_state == 3 && cluster->now_us - job->seen_state_us > 1000000)
         cluster_violation(cluster, job->id, "TWICE: job %llx starts after it was shown as done", (ull)job->id);
     if (job->accepted_us < 0 && !job->in_flight && job->refusals == job->tries)
-        cluster_violation(cluster, job->id, "REFUSED: job %llx starts though every try was turned away", (ull)job->id);
-    if (in_touch && standin->drain_ack_us >= 0 && cluster->now_us - standin->drain_ack_us > DRAIN_MS * 1000LL)
+        cluster_violation(cluster, job->id, "REFUSED: job %llx starts although each submission was refused",
+                          (ull)job->id);
+    if (reachable && standin->drain_ack_us >= 0 && cluster->now_us - standin->drain_ack_us > DRAIN_MS * 1000LL)
         cluster_violation(cluster, job->id, "DRAIN: %s starts a task %lld ms after its draining was acknowledged",
                           standin->incarnation, (long long)(cluster->now_us - standin->drain_ack_us) / 1000);
 }
@@ -225,12 +226,12 @@
                              int late)
 {
     struct cluster *cluster = standin->host->cluster;
-    struct tracked_task *row = tracked_task(run->job, run->task);
+    struct tracked_task *tracked = tracked_task(run->job, run->task);
     cluster->n_starts++;
     run->job->starts++;
     cluster_tell(cluster, run->job->id, "%s starts %llx attempt %lld %s%s", standin->incarnation, (ull)run->task,
                  (long long)run->attempt, checkpoint, late ? " (carried out late)" : "");
-    *array_add(row->starts, row->n_starts) =
+    *array_add(tracked->starts, tracked->n_starts) =
         (struct seen_start){.at_us = cluster->now_us, .attempt = run->attempt, .executor = standin->index};
     check_running_once(standin, run);
     check_placement(standin, run);
@@ -244,30 +245,31 @@
 void cluster_oracle_on_end(struct standin *standin, const struct standin_run *run, enum standin_end how, int64_t seq)
 {
     struct cluster *cluster = standin->host->cluster;
-    struct tracked_task *row = tracked_task(run->job, run->task);
+    struct tracked_task *tracked = tracked_task(run->job, run->task);
     cluster->n_ends[how]++;
     cluster_tell(cluster, run->job->id, "%s ends %llx attempt %lld as %s", standin->incarnation, (ull)run->task,
                  (long long)run->attempt, standin_end_name(how));
-    *array_add(row->ends, row->n_ends) = (struct seen_end){.at_us = cluster->now_us,
-                                                           .attempt = run->attempt,
-                                                           .executor = standin->index,
-                                                           .generation = standin->generation,
-                                                           .seq = seq,
-                                                           .how = how};
+    *array_add(tracked->ends, tracked->n_ends) = (struct seen_end){.at_us = cluster->now_us,
+                                                                   .attempt = run->attempt,
+                                                                   .executor = standin->index,
+                                                                   .generation = standin->generation,
+                                                                   .seq = seq,
+                                                                   .how = how};
     if (how == RUN_GANG_TIMEOUT && cluster->calm && run->job->cancel_us == 0)
-        cluster_violation(cluster, run->job->id, "GANG: %s ends a task alone", standin->incarnation);
+        cluster_violation(cluster, run->job->id, "GANG: %s ends a task because its gang is not complete",
+                          standin->incarnation);
 }
 
-static struct seen_end *find_end(const struct standin *standin, const struct tracked_task *row, int64_t seq)
+static struct seen_end *find_end(const struct standin *standin, const struct tracked_task *tracked, int64_t seq)
 {
-    for (int64_t e = row->n_ends - 1; e >= 0; e--)
-        if (row->ends[e].executor == standin->index && row->ends[e].generation == standin->generation &&
-            row->ends[e].seq == seq)
-            return &row->ends[e];
+    for (int64_t e = tracked->n_ends - 1; e >= 0; e--)
+        if (tracked->ends[e].executor == standin->index && tracked->ends[e].generation == standin->generation &&
+            tracked->ends[e].seq == seq)
+            return &tracked->ends[e];
     return NULL;
 }
 
-void cluster_oracle_on_ends_acknowledged(struct standin *standin, int64_t seen)
+void cluster_oracle_on_ends_acknowledged(struct standin *standin, int64_t up_to_seq)
 {
     struct cluster *cluster = standin->host->cluster;
     for (int64_t i = 0; i < standin->n_ended; i++) {
@@ -275,7 +277,7 @@
         int64_t task = standin->ended[i].task, repetition = task_repetition(task), step_no = task_step(task);
         const struct step_spec *step = &job->spec->steps[step_no];
         struct seen_end *end = find_end(standin, tracked_task(job, task), standin->ended[i].seq);
-        if (standin->ended[i].seq > seen || !end || end->acknowledged || end->lease_expired)
+        if (standin->ended[i].seq > up_to_seq || !end || end->acknowledged || end->lease_expired)
             continue;
         end->acknowledged = 1;
         if (!step->gang)
@@ -285,7 +287,7 @@
     }
 }
 
-/* The hold is over: what was not noted by now never counts as noted. */
+/* After the lease expired, an end that is not acknowledged by now never counts as acknowledged. */
 void cluster_oracle_on_lease_expired(struct standin *standin)
 {
     for (int64_t i = 0; i < standin->n_ended; i++) {
@@ -296,17 +298,18 @@
     }
 }
 
-/* --- what callers are told ------------------------------------------------------------------ */
+/* --- responses to callers -------------------------------------------------------------------- */
 
 void cluster_oracle_check_response(struct cluster *cluster, int64_t job, int status, const char *body,
                                    const char *member)
 {
-    json_t *answer = status == 200 ? json_loads(body, 0, NULL) : NULL;
-    int own = member ? json_object_get(answer, member) != NULL : json_is_object(answer) && !json_object_size(answer);
-    json_decref(answer);
-    if (status == 200 && !own)
-        cluster_violation(cluster, job, "ANSWER: who waits for %s is answered %.60s",
-                          member ? member : "no more than a yes", body);
+    json_t *response = status == 200 ? json_loads(body, 0, NULL) : NULL;
+    int matches =
+        member ? json_object_get(response, member) != NULL : json_is_object(response) && !json_object_size(response);
+    json_decref(response);
+    if (status == 200 && !matches)
+        cluster_violation(cluster, job, "ANSWER: a request for %s gets the response %.60s",
+                          member ? member : "an empty object", body);
 }
 
 static int all_done(const struct tracked_job *job)
@@ -327,13 +330,13 @@
         if (failed >= ATTEMPTS_MAX)
             return 1;
     }
-    for (int64_t i = 0; i < job->spec->n_steps; i++) /* a gang fails as one */
+    for (int64_t i = 0; i < job->spec->n_steps; i++) /* the failures of all members of a gang count together */
         for (int64_t t = 0; job->spec->steps[i].gang && t < job->repetitions; t++) {
             int64_t failed = 0;
             for (int64_t k = 0; k < job->spec->steps[i].task_count; k++) {
-                const struct tracked_task *row = tracked_task(job, task_of(t, i, k));
-                for (int64_t e = 0; e < row->n_ends; e++)
-                    failed += row->ends[e].how == RUN_FAILED;
+                const struct tracked_task *tracked = tracked_task(job, task_of(t, i, k));
+                for (int64_t e = 0; e < tracked->n_ends; e++)
+                    failed += tracked->ends[e].how == RUN_FAILED;
             }
             if (failed >= ATTEMPTS_MAX)
                 return 1;
@@ -342,7 +345,7 @@
 }
 
 void cluster_oracle_on_job_state(struct cluster *cluster, struct tracked_job *job, const char *state,
-                                 const struct host *by)
+                                 const struct host *controller)
 {
     static const char *const states[] = {"?", "pending", "active", "done", "failed", "cancelled"};
     int64_t seen_state = 0;
@@ -352,31 +355,30 @@
     cluster->judged++;
     if (job->seen_state >= 3 && seen_state != job->seen_state)
         cluster_violation(cluster, job->id, "LOST: job %llx was shown as %s and is now %s by %s", (ull)job->id,
-                          states[job->seen_state], state, by->name);
+                          states[job->seen_state], state, controller->name);
     if (seen_state == job->seen_state)
         return;
-    cluster_tell(cluster, job->id, "job %llx is shown as %s by %s", (ull)job->id, state, by->name);
+    cluster_tell(cluster, job->id, "job %llx is shown as %s by %s", (ull)job->id, state, controller->name);
     job->seen_state = seen_state;
     job->seen_state_us = cluster->now_us;
     if (seen_state == 3) {
         cluster->n_shown_done++;
         if (!all_done(job))
-            cluster_violation(cluster, job->id, "MIXED: job %llx is shown as done before all its tasks ended so",
+            cluster_violation(cluster, job->id, "MIXED: job %llx is shown as done before all its tasks are done",
                               (ull)job->id);
     }
     if (seen_state == 4 && !may_fail(job))
         cluster_violation(cluster, job->id, "LOST: job %llx is shown as failed without a cause", (ull)job->id);
     if (seen_state == 5 && !job->cancel_us)
-        cluster_violation(cluster, job->id, "LOST: job %llx is shown as cancelled and nobody asked for it",
-                          (ull)job->id);
+        cluster_violation(cluster, job->id, "LOST: job %llx is shown as cancelled without a request", (ull)job->id);
 }
 
-/* Our reads go through the leader's log, so no controller at all may deny what it accepted. */
-void cluster_oracle_on_job_not_found(struct cluster *cluster, struct tracked_job *job, const struct host *by)
+/* Reads go through the leader's log, so no controller may respond that an accepted job does not exist. */
+void cluster_oracle_on_job_not_found(struct cluster *cluster, struct tracked_job *job, const struct host *controller)
 {
     job->n_not_found++;
     if (job->accepted_us >= 0 && cluster->now_us - job->accepted_us > VISIBLE_MS * 1000LL && job->n_not_found == 1)
-        cluster_violation(cluster, job->id, "LOST: %s answers that accepted job %llx does not exist", by->name,
+        cluster_violation(cluster, job->id, "LOST: %s responds that accepted job %llx does not exist", controller->name,
                           (ull)job->id);
 }
 
@@ -388,10 +390,10 @@
     for (int64_t k = 0; (standin = cluster_standin(cluster, k)); k++)
         for (int64_t i = 0; standin->up && i < standin->n_runs; i++)
             if (standin->runs[i].job == job && cluster_is_reachable(cluster, standin->host) &&
-                cluster->now_us - cluster->trouble_us > (CANCEL_MS + STOP_MS + CONTACT_MS) * 1000LL &&
+                cluster->now_us - cluster->trouble_us > (CANCEL_MS + STOP_TIMEOUT_MS + CONTACT_MS) * 1000LL &&
                 cluster->now_us - standin->last_fault_us > CONTACT_MS * 1000 + HOLD_MAX_MS * 1000)
                 cluster_violation(cluster, job->id,
-                                  "UNASKED: task %llx of job %llx still runs on %s long after its cancelling",
+                                  "UNASKED: task %llx of job %llx still runs on %s long after its cancellation",
                                   (ull)standin->runs[i].task, (ull)job->id, standin->incarnation);
 }
 
@@ -400,8 +402,8 @@
     if (job->cancel_ack_us >= 0)
         return;
     job->cancel_ack_us = cluster->now_us;
-    cluster_tell(cluster, job->id, "cancelling of job %llx is acknowledged", (ull)job->id);
-    cluster_at(cluster, CANCEL_MS + STOP_MS, check_cancelled_stopped, job, 0);
+    cluster_tell(cluster, job->id, "the cancellation of job %llx is acknowledged", (ull)job->id);
+    cluster_at(cluster, CANCEL_MS + STOP_TIMEOUT_MS, check_cancelled_stopped, job, 0);
 }
 
 void cluster_oracle_check_end(struct cluster *cluster)
@@ -409,7 +411,8 @@
     for (int64_t i = 0; i < cluster->n_jobs; i++) {
         const struct tracked_job *job = cluster->jobs[i];
         if (job->starts && job->accepted_us < 0 && job->tries == job->refusals)
-            cluster_violation(cluster, job->id, "REFUSED: job %llx ran though every try was turned away", (ull)job->id);
+            cluster_violation(cluster, job->id, "REFUSED: job %llx ran although each submission was refused",
+                              (ull)job->id);
         if (job->n_not_found && job->accepted_us >= 0 && job->seen_state < 3)
             cluster_violation(cluster, job->id, "LOST: accepted job %llx is not known at the end", (ull)job->id);
     }
--- a/sim/cluster_run.c
+++ b/sim/cluster_run.c
@@ -1,4 +1,4 @@
-/* A simulated cluster from its start to its end. */
+/* Start, run and end of a simulated cluster. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -76,7 +76,7 @@
 
 void cluster_end(struct cluster *cluster)
 {
-    for (int64_t i = 0; i < cluster->n; i++) /* first: whoever ends may still answer */
+    for (int64_t i = 0; i < cluster->n; i++) /* a core may still respond to calls while it is freed */
         host_end(cluster->hosts[i]);
     event_queue_end(&cluster->events, free_event);
     for (int64_t i = 0; i < cluster->n; i++) {
--- a/sim/cluster_runs.c
+++ b/sim/cluster_runs.c
@@ -1,4 +1,4 @@
-/* Runs on stand-ins of executors: work, ends, checkpoints, gangs on their shared board. */
+/* Runs on stand-ins of executors: their work, ends and checkpoints, and gangs. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -59,7 +59,7 @@
            gpus + step->gpus <= standin->gpus;
 }
 
-/* What a checkpoint says: whose it is and how much work it holds. */
+/* How much work a checkpoint (JOB.TASK@MS) holds. */
 static int64_t checkpoint_ms(const char *checkpoint)
 {
     const char *at = checkpoint ? strrchr(checkpoint, '@') : NULL;
@@ -68,15 +68,15 @@
 
 static void write_checkpoint(struct standin_run *run)
 {
-    struct tracked_task *row = tracked_task(run->job, run->task);
+    struct tracked_task *tracked = tracked_task(run->job, run->task);
     if (!step_of(run)->checkpoints)
         return;
     free(run->checkpoint);
     run->checkpoint_ms = run->done_us / 1000;
     run->checkpoint = must_printf("%llx.%llx@%lld", (unsigned long long)run->job->id, (unsigned long long)run->task,
                                   (long long)run->checkpoint_ms);
-    if (run->checkpoint_ms > row->checkpoint_ms)
-        row->checkpoint_ms = run->checkpoint_ms;
+    if (run->checkpoint_ms > tracked->checkpoint_ms)
+        tracked->checkpoint_ms = run->checkpoint_ms;
 }
 
 static int64_t required_us(const struct standin *standin, const struct standin_run *run)
@@ -89,7 +89,7 @@
     return (ms > 5 ? ms : 5) * 1000;
 }
 
-/* At how much work it will fail by its own fault; -1: it will not. */
+/* The amount of work at which the run fails by itself; -1: it does not. */
 static int64_t fails_at_us(const struct standin_run *run)
 {
     const struct tracked_job *job = run->job;
@@ -128,7 +128,7 @@
     return 1;
 }
 
-/* Ends it, lists the end, and frees its place: run is no more after this. */
+/* Ends a run, adds the end to the list and frees its capacity. run is invalid afterwards. */
 void standin_finish(struct standin *standin, struct standin_run *run, enum standin_end how)
 {
     struct cluster *cluster = standin->host->cluster;
@@ -159,7 +159,7 @@
     struct cluster *cluster = standin->host->cluster;
     struct tracked_gang *gang = tracked_gang(run->job, run->repetition, run->step, run->attempt);
     if (!run->stopping_us)
-        run->stopping_us = cluster->now_us + cluster_pick(cluster, STOP_MS * 1000 - STANDIN_ON_TIMER_US);
+        run->stopping_us = cluster->now_us + cluster_pick(cluster, STOP_TIMEOUT_MS * 1000 - STANDIN_ON_TIMER_US);
     if (gang && gang->began_us)
         gang->broken = 1;
 }
@@ -167,7 +167,7 @@
 void standin_expire_lease(struct standin *standin)
 {
     if (standin->n_runs)
-        cluster_tell(standin->host->cluster, 0, "the hold on %s lapses, %lld runs", standin->incarnation,
+        cluster_tell(standin->host->cluster, 0, "the lease of %s expires with %lld runs", standin->incarnation,
                      (long long)standin->n_runs);
     cluster_oracle_on_lease_expired(standin);
     while (standin->n_runs)
@@ -181,30 +181,30 @@
     struct standin_run *run;
 };
 
-static int64_t find_members(struct cluster *cluster, const struct standin_run *like, struct gang_member *to,
-                            int64_t most)
+static int64_t find_members(struct cluster *cluster, const struct standin_run *member, struct gang_member *to,
+                            int64_t max_members)
 {
     int64_t n = 0;
     struct standin *standin;
     for (int64_t k = 0; (standin = cluster_standin(cluster, k)); k++)
-        for (int64_t i = 0; standin->up && i < standin->n_runs && n < most; i++) {
+        for (int64_t i = 0; standin->up && i < standin->n_runs && n < max_members; i++) {
             struct standin_run *run = &standin->runs[i];
-            if (run->job == like->job && run->repetition == like->repetition && run->step == like->step &&
-                run->attempt == like->attempt && !run->stopping_us)
+            if (run->job == member->job && run->repetition == member->repetition && run->step == member->step &&
+                run->attempt == member->attempt && !run->stopping_us)
                 to[n++] = (struct gang_member){.standin = standin, .run = run};
         }
     return n;
 }
 
-static void finish_all(struct cluster *cluster, const struct standin_run *like, enum standin_end how)
+static void finish_gang(struct cluster *cluster, const struct standin_run *member, enum standin_end how)
 {
-    struct standin_run same = *like;
+    struct standin_run same = *member;
     struct gang_member one;
     while (find_members(cluster, &same, &one, 1))
         standin_finish(one.standin, one.run, how);
 }
 
-/* 1: run ended, or others on the same executor with it. */
+/* Returns 1 if run, or other runs of the same executor, ended. */
 static int advance_gang(struct standin *standin, struct standin_run *run, int64_t passed_us)
 {
     struct cluster *cluster = standin->host->cluster;
@@ -225,7 +225,7 @@
             for (int64_t i = 0; i < n; i++)
                 if (step->same_rack && spread)
                     all[i].run->required_us = all[i].run->required_us * 3 / 2;
-        } else if (cluster->now_us - run->started_us > GANG_MS * 1000LL) {
+        } else if (cluster->now_us - run->started_us > GANG_TIMEOUT_MS * 1000LL) {
             standin_finish(standin, run, RUN_GANG_TIMEOUT);
             return 1;
         }
@@ -239,16 +239,16 @@
         standin_finish(standin, run, RUN_FAILED);
         return 1;
     }
-    if (run->done_us / 1000 - run->checkpoint_ms >= SAVE_MS)
+    if (run->done_us / 1000 - run->checkpoint_ms >= CHECKPOINT_INTERVAL_MS)
         write_checkpoint(run);
     for (int64_t i = 0; i < n; i++)
         if (all[i].run->done_us < all[i].run->required_us)
             return 0;
-    finish_all(cluster, run, RUN_DONE);
+    finish_gang(cluster, run, RUN_DONE);
     return 1;
 }
 
-/* 1: it ended. */
+/* Returns 1 if run ended. */
 static int advance_task(struct standin *standin, struct standin_run *run, int64_t passed_us)
 {
     if (run->restore_us > 0) {
@@ -267,7 +267,7 @@
         standin_finish(standin, run, RUN_DONE);
         return 1;
     }
-    if (run->done_us / 1000 - run->checkpoint_ms >= SAVE_MS)
+    if (run->done_us / 1000 - run->checkpoint_ms >= CHECKPOINT_INTERVAL_MS)
         write_checkpoint(run);
     return 0;
 }
@@ -291,7 +291,7 @@
             ended = advance_gang(standin, run, passed_us);
         else
             ended = advance_task(standin, run, passed_us);
-        i = ended ? 0 : i + 1; /* an end may have moved any of them */
+        i = ended ? 0 : i + 1; /* a removal moves other runs to its index: start again */
     }
 }
 
--- a/sim/cluster_still.c
+++ b/sim/cluster_still.c
@@ -1,5 +1,5 @@
-/* Once the traffic is over: does work whose turn has come stand still although
- * there is ample room for it? */
+/* The oracle's check of progress at the end of a run: an accepted job with a step that is ready to run must not wait
+ * while there is ample free capacity for it. */
 #include <string.h>
 
 #include "dispatch/job.h"
@@ -8,7 +8,7 @@
 
 enum { NO_PROGRESS_MS = 3000, FAULT_SETTLE_MS = 10000 };
 
-/* A step whose turn has come, NULL: none. */
+/* The first step that may run now and is not done, NULL: none. */
 static const struct step_spec *ready_step(const struct cluster *cluster, const struct tracked_job *job)
 {
     const struct job_spec *spec = job->spec;
@@ -36,7 +36,7 @@
 
 static int64_t min_of(int64_t a, int64_t b) { return a < b ? a : b; }
 
-/* Room twice over, and less than half of the service's in use. */
+/* Whether the step fits at least twice and less than half of its service's capacity is in use. */
 static int has_ample_capacity(struct cluster *cluster, const struct tracked_job *job, const struct step_spec *step)
 {
     int64_t fit = 0, cpu = 0, used = 0, needed = step->gang ? step->task_count : 1;
@@ -74,7 +74,8 @@
             job->no_progress_since_us = cluster->now_us;
         if (cluster->now_us - job->no_progress_since_us > NO_PROGRESS_MS * 1000LL && !job->no_progress_reported) {
             job->no_progress_reported = 1;
-            cluster_violation(cluster, job->id, "LOST: job %llx stands still though there is room for it twice over",
+            cluster_violation(cluster, job->id,
+                              "LOST: job %llx makes no progress although there is capacity for it twice over",
                               (unsigned long long)job->id);
         }
     }
--- a/tests/sim/cluster_judge_api_test.cc
+++ b/tests/sim/cluster_judge_api_test.cc
@@ -1,279 +1,279 @@
-// The judge of the cluster simulator must notice each breach planted here: what
-// callers and operators are told.
+// The oracle of the cluster simulator reports each violation in the responses that callers and operators get.
 #include "cluster_judge.h"
 
-using JudgeApi = Judge;
+using ClusterOracleApi = ClusterOracle;
 
-TEST_F(JudgeApi, DoneTooSoon)
+TEST_F(ClusterOracleApi, DoneBeforeItsTasks)
 {
-    cluster_oracle_on_job_state(&c, sent(SCHEMA_ONE), "done", x[0]->host);
-    finds("MIXED");
+    cluster_oracle_on_job_state(&c, accepted_job(SCHEMA_ONE), "done", executors[0]->host);
+    expect_violation("MIXED");
 }
 
-TEST_F(JudgeApi, FailedAndCancelledWithoutCause)
+TEST_F(ClusterOracleApi, FailedAndCancelledWithoutCause)
 {
-    cluster_oracle_on_job_state(&c, sent(SCHEMA_ONE), "failed", x[0]->host);
-    finds("LOST");
-    cluster_oracle_on_job_state(&c, sent(SCHEMA_ONE), "cancelled", x[0]->host);
+    cluster_oracle_on_job_state(&c, accepted_job(SCHEMA_ONE), "failed", executors[0]->host);
+    expect_violation("LOST");
+    cluster_oracle_on_job_state(&c, accepted_job(SCHEMA_ONE), "cancelled", executors[0]->host);
     EXPECT_EQ(c.n_breaches, 2);
 }
 
-TEST_F(JudgeApi, HopelessMayFail)
+TEST_F(ClusterOracleApi, UnplaceableJobMayFail)
 {
-    cluster_oracle_on_job_state(&c, sent(SHAPE_UNPLACEABLE), "failed", x[0]->host);
-    clean();
+    cluster_oracle_on_job_state(&c, accepted_job(SHAPE_UNPLACEABLE), "failed", executors[0]->host);
+    expect_no_violations();
 }
 
-TEST_F(JudgeApi, Forgotten)
+TEST_F(ClusterOracleApi, AcceptedJobNotFound)
 {
-    Job *job = sent(SCHEMA_ONE);
-    cluster_oracle_on_job_not_found(&c, job, x[0]->host);
-    clean(); /* may not be visible everywhere yet */
+    Job *job = accepted_job(SCHEMA_ONE);
+    cluster_oracle_on_job_not_found(&c, job, executors[0]->host);
+    expect_no_violations(); /* it need not be visible everywhere yet */
     run(4000);
     job->n_not_found = 0;
-    cluster_oracle_on_job_not_found(&c, job, x[0]->host);
-    finds("LOST");
+    cluster_oracle_on_job_not_found(&c, job, executors[0]->host);
+    expect_violation("LOST");
 }
 
-TEST_F(JudgeApi, BackFromAFinalState)
+TEST_F(ClusterOracleApi, FinalStateChanges)
 {
-    Job *job = sent(SHAPE_UNPLACEABLE);
-    cluster_oracle_on_job_state(&c, job, "failed", x[0]->host);
-    cluster_oracle_on_job_state(&c, job, "pending", x[0]->host);
-    finds("LOST");
+    Job *job = accepted_job(SHAPE_UNPLACEABLE);
+    cluster_oracle_on_job_state(&c, job, "failed", executors[0]->host);
+    cluster_oracle_on_job_state(&c, job, "pending", executors[0]->host);
+    expect_violation("LOST");
 }
 
-/* --- operators, with false answers -------------------------------------------------------- */
+/* --- operators, with fake responses ------------------------------------------------------- */
 
-static std::string lie_body;
-static int lie_status;
-static int liar(struct cluster *, const char *method, const char *path, const char *body, char **answer)
+static std::string fake_body;
+static int fake_status;
+static int fake_config_api(struct cluster *, const char *method, const char *path, const char *body, char **answer)
 {
     if (!strcmp(path, "/config") && !strcmp(method, "GET")) {
-        *answer = must_dup(lie_body.c_str());
+        *answer = must_dup(fake_body.c_str());
         return 200;
     }
     if (!strcmp(path, "/config")) {
-        if (lie_status == 200)
-            lie_body = body;
-        return lie_status;
+        if (fake_status == 200)
+            fake_body = body;
+        return fake_status;
     }
     if (!strncmp(path, "/extra", 6))
-        return lie_status;
+        return fake_status;
     return 0;
 }
 
-TEST_F(JudgeApi, ConfigInOrder)
+TEST_F(ClusterOracleApi, CorrectConfigHasNoViolations)
 {
-    c.fake = liar;
-    lie_status = 200;
+    c.fake = fake_config_api;
+    fake_status = 200;
     operator_first(&c);
     operator_change(&c, 0, 0);
     cluster_run(&c, 100);
     operator_last(&c);
-    clean();
+    expect_no_violations();
 }
 
-TEST_F(JudgeApi, BothOfARaceAcknowledged)
+TEST_F(ClusterOracleApi, BothOfARaceAcknowledged)
 {
-    c.fake = liar;
-    lie_status = 200;
+    c.fake = fake_config_api;
+    fake_status = 200;
     operator_first(&c);
     operator_change(&c, 1, 0);
     cluster_run(&c, 100);
-    finds("CONFIG");
+    expect_violation("CONFIG");
 }
 
-TEST_F(JudgeApi, InvalidAcknowledged)
+TEST_F(ClusterOracleApi, InvalidAcknowledged)
 {
-    c.fake = liar;
-    lie_status = 200;
+    c.fake = fake_config_api;
+    fake_status = 200;
     operator_first(&c);
     operator_change(&c, 0, 2);
     cluster_run(&c, 100);
-    finds("CONFIG");
+    expect_violation("CONFIG");
 }
 
-TEST_F(JudgeApi, ConfigGoesBack)
+TEST_F(ClusterOracleApi, ConfigGoesBack)
 {
-    c.fake = liar;
-    lie_status = 200;
+    c.fake = fake_config_api;
+    fake_status = 200;
     operator_first(&c);
-    std::string old = lie_body;
+    std::string old = fake_body;
     operator_change(&c, 0, 0);
     cluster_run(&c, 100);
-    clean();
-    lie_body = old;
+    expect_no_violations();
+    fake_body = old;
     operator_read(&c);
     cluster_run(&c, 100);
-    finds("CONFIG");
+    expect_violation("CONFIG");
 }
 
-TEST_F(JudgeApi, ConfigReadDifferently)
+TEST_F(ClusterOracleApi, ConfigReadDifferently)
 {
-    c.fake = liar;
-    lie_status = 200;
+    c.fake = fake_config_api;
+    fake_status = 200;
     operator_first(&c);
-    lie_body += " ";
+    fake_body += " ";
     operator_read(&c);
     cluster_run(&c, 100);
-    finds("CONFIG");
+    expect_violation("CONFIG");
 }
 
-TEST_F(JudgeApi, RefusedInForce)
+TEST_F(ClusterOracleApi, RefusedChangeInForce)
 {
-    c.fake = liar;
-    lie_status = 200;
+    c.fake = fake_config_api;
+    fake_status = 200;
     operator_first(&c);
-    lie_status = 409;
+    fake_status = 409;
     operator_change(&c, 0, 0);
     cluster_run(&c, 100);
-    clean();
-    lie_status = 200;
-    lie_body = operator_body(&c, 1);
+    expect_no_violations();
+    fake_status = 200;
+    fake_body = operator_body(&c, 1);
     operator_read(&c);
     cluster_run(&c, 100);
-    finds("CONFIG");
+    expect_violation("CONFIG");
 }
 
-TEST_F(JudgeApi, AcknowledgedSentAgainAndRefused)
+TEST_F(ClusterOracleApi, AcknowledgedSentAgainAndRefused)
 {
-    c.fake = liar;
-    lie_status = 200;
+    c.fake = fake_config_api;
+    fake_status = 200;
     operator_first(&c);
     operator_change(&c, 0, 0);
     cluster_run(&c, 100);
-    operator_again(&c, 0); // another was made since
+    operator_again(&c, 0); // a newer change was sent since then
     operator_again(&c, 1);
     cluster_run(&c, 100);
-    clean();
-    lie_status = 412;
+    expect_no_violations();
+    fake_status = 412;
     operator_again(&c, 1);
     cluster_run(&c, 100);
-    finds("acknowledged, is sent again and refused");
+    expect_violation("acknowledged, is sent again and refused");
 }
 
-// Two operators send the same: acknowledged for both; other bodies under its number or on its base are not.
-TEST_F(JudgeApi, TheSameByTwoIsOneOrder)
+// When two operators send the same change, both may be acknowledged. A change with the same version or base and another
+// body may not.
+TEST_F(ClusterOracleApi, SameChangeByTwoOperatorsIsOneChange)
 {
-    c.fake = liar;
-    lie_status = 200;
+    c.fake = fake_config_api;
+    fake_status = 200;
     operator_first(&c);
     for (int i = 0; i < 60 && !c.n_breaches; i++) {
-        int64_t before = c.n_changes;
+        int64_t first = c.n_changes;
         operator_crowd(&c, 2);
         cluster_run(&c, 100);
-        bool two = c.n_changes - before == 2,
-             alike = two && !strcmp(operator_body(&c, before), operator_body(&c, before + 1));
-        if (alike) {
+        bool both_sent = c.n_changes - first == 2,
+             same_body = both_sent && !strcmp(operator_body(&c, first), operator_body(&c, first + 1));
+        if (same_body) {
             EXPECT_EQ(c.n_breaches, 0) << c.breaches[0];
         }
-        if (two && !alike && c.changes[before].base == c.changes[before + 1].base) {
+        if (both_sent && !same_body && c.changes[first].base == c.changes[first + 1].base) {
             EXPECT_GT(c.n_breaches, 0);
         }
     }
-    EXPECT_TRUE(breach("both acknowledged"));
+    EXPECT_TRUE(has_violation("both acknowledged"));
 }
 
-TEST_F(JudgeApi, ReadingsGoBackBehindWhatNobodyAcknowledged)
+TEST_F(ClusterOracleApi, ReadingsGoBackBehindUnacknowledgedChange)
 {
-    c.fake = liar;
-    lie_status = 200;
+    c.fake = fake_config_api;
+    fake_status = 200;
     operator_first(&c);
-    std::string old = lie_body;
-    lie_status = 504;
+    std::string old = fake_body;
+    fake_status = 504;
     operator_change(&c, 0, 0);
     cluster_run(&c, 10);
-    lie_body = operator_body(&c, 1);
+    fake_body = operator_body(&c, 1);
     operator_read(&c);
     cluster_run(&c, 100);
-    clean(); // it may have been taken
-    lie_body = old;
+    expect_no_violations(); // it may be in force
+    fake_body = old;
     operator_read(&c);
     cluster_run(&c, 100);
-    finds("is read back");
+    expect_violation("is read back");
 }
 
-TEST_F(JudgeApi, RefusedOnceAndInForceThoughOtherTriesWereSilent)
+TEST_F(ClusterOracleApi, RefusedOnceAndInForceDespiteTriesWithoutResponse)
 {
-    c.fake = liar;
-    lie_status = 200;
+    c.fake = fake_config_api;
+    fake_status = 200;
     operator_first(&c);
-    lie_status = 504;
+    fake_status = 504;
     operator_change(&c, 0, 0);
     cluster_run(&c, 100);
-    lie_status = 412;
+    fake_status = 412;
     cluster_run(&c, 1000);
     ASSERT_EQ(operator_open(&c), 0);
-    clean();
-    lie_body = operator_body(&c, 1);
+    expect_no_violations();
+    fake_body = operator_body(&c, 1);
     operator_read(&c);
     cluster_run(&c, 100);
-    finds("was refused and is in force");
+    expect_violation("was refused and is in force");
 }
 
-TEST_F(JudgeApi, MissingQueue)
+TEST_F(ClusterOracleApi, MissingQueue)
 {
-    c.fake = liar;
-    lie_status = 200;
+    c.fake = fake_config_api;
+    fake_status = 200;
     operator_first(&c);
     operator_change(&c, 0, 0);
     cluster_run(&c, 100);
-    lie_status = 404;
+    fake_status = 404;
     operator_last(&c);
-    finds("CONFIG");
+    expect_violation("CONFIG");
 }
 
-TEST_F(JudgeApi, ConfigNotComingBack)
+TEST_F(ClusterOracleApi, NoResponseToConfigReading)
 {
-    c.fake = liar;
-    lie_status = 200;
+    c.fake = fake_config_api;
+    fake_status = 200;
     operator_first(&c);
-    c.fake = silent;
+    c.fake = no_response;
     operator_last(&c);
-    finds("CONFIG");
+    expect_violation("CONFIG");
 }
 
-TEST_F(JudgeApi, StandingStill)
+TEST_F(ClusterOracleApi, NoProgress)
 {
-    sent(SCHEMA_ONE);
+    accepted_job(SCHEMA_ONE);
     cluster_close(&c);
-    EXPECT_TRUE(breach("LIVENESS"));
-    EXPECT_TRUE(breach("stands still"));
+    EXPECT_TRUE(has_violation("LIVENESS"));
+    EXPECT_TRUE(has_violation("makes no progress"));
 }
 
-TEST_F(JudgeApi, NotStillWhereRoomIsShort)
+TEST_F(ClusterOracleApi, NoViolationWithoutCapacity)
 {
-    for (standin *s : x)
-        s->cpu_milli = 100;
-    sent(SCHEMA_ONE);
+    for (standin *executor : executors)
+        executor->cpu_milli = 100;
+    accepted_job(SCHEMA_ONE);
     cluster_close(&c);
-    finds("LIVENESS");
+    expect_violation("LIVENESS");
 }
 
-/* --- answers of another request --------------------------------------------------------- */
+/* --- responses to another request ------------------------------------------------------- */
 
-static const char *answer_body;
-static int answers_all(struct cluster *, const char *, const char *, const char *, char **answer)
+static const char *any_request_body;
+static int fake_any_request(struct cluster *, const char *, const char *, const char *, char **answer)
 {
-    *answer = must_dup(answer_body);
+    *answer = must_dup(any_request_body);
     return 200;
 }
 
-TEST_F(JudgeApi, AnswerOfAnotherRequest)
+TEST_F(ClusterOracleApi, ResponseToAnotherRequest)
 {
-    c.fake = answers_all;
-    answer_body = "{\"state\":\"pending\"}";
-    callers_cancel(&c, sent(SCHEMA_ONE));
+    c.fake = fake_any_request;
+    any_request_body = "{\"state\":\"pending\"}";
+    callers_cancel(&c, accepted_job(SCHEMA_ONE));
     cluster_run(&c, 100);
-    finds("ANSWER");
+    expect_violation("ANSWER");
 }
 
-TEST_F(JudgeApi, ReadingThatIsNoConfiguration)
+TEST_F(ClusterOracleApi, ReadingIsNotAConfiguration)
 {
-    c.fake = answers_all;
-    answer_body = "{\"waiting\":3}";
+    c.fake = fake_any_request;
+    any_request_body = "{\"waiting\":3}";
     operator_read(&c);
     cluster_run(&c, 100);
-    EXPECT_TRUE(breach("ANSWER"));
+    EXPECT_TRUE(has_violation("ANSWER"));
 }
--- a/tests/sim/cluster_judge_test.cc
+++ b/tests/sim/cluster_judge_test.cc
@@ -1,256 +1,256 @@
-// The judge of the cluster simulator must notice each breach planted here, and
-// nothing where all is in order: a check that cannot fail is a defect.
-// Here what executors see; what callers and operators see: cluster_judge_api_test.cc.
+// The oracle of the cluster simulator reports each violation that a test produces, and none in correct runs: a check
+// that cannot fail is a defect. These tests cover what executors observe; cluster_oracle_api_test.cc covers what
+// callers and operators observe.
 #include "cluster_judge.h"
 
-TEST_F(Judge, GoodRunIsClean)
+TEST_F(ClusterOracle, CorrectRunHasNoViolations)
 {
-    Job *job = sent(SCHEMA_ONE);
+    Job *job = accepted_job(SCHEMA_ONE);
     for (int64_t i = 0; i < job->tasks_per_repetition; i++)
-        run_task(x[0], job, i, 1);
-    cluster_oracle_on_job_state(&c, job, "done", x[0]->host);
+        run_to_end(executors[0], job, i, 1);
+    cluster_oracle_on_job_state(&c, job, "done", executors[0]->host);
     cluster_oracle_check_end(&c);
-    clean();
+    expect_no_violations();
     EXPECT_EQ(c.n_ends[RUN_DONE], job->tasks_per_repetition);
 }
 
-TEST_F(Judge, TwoAtOnce)
+TEST_F(ClusterOracle, TaskRunsTwiceAtOnce)
 {
-    Job *job = sent(SCHEMA_SAVES);
-    begin(x[0], job, 0, 1);
+    Job *job = accepted_job(SCHEMA_SAVES);
+    start_task(executors[0], job, 0, 1);
     run(100);
-    begin(x[1], job, 0, 2);
-    finds("TWICE");
+    start_task(executors[1], job, 0, 2);
+    expect_violation("TWICE");
 }
 
-TEST_F(Judge, TwoAtOnceAreAllowedWhereAsked)
+TEST_F(ClusterOracle, DuplicatesAreAllowedOnRequest)
 {
-    Job *job = sent(SHAPE_DUPLICATES);
-    begin(x[0], job, 0, 1);
-    begin(x[1], job, 0, 2);
-    clean();
+    Job *job = accepted_job(SHAPE_DUPLICATES);
+    start_task(executors[0], job, 0, 1);
+    start_task(executors[1], job, 0, 2);
+    expect_no_violations();
 }
 
-TEST_F(Judge, StartAfterCrashIsRight)
+TEST_F(ClusterOracle, StartAfterCrashIsAllowed)
 {
-    Job *job = sent(SCHEMA_SAVES);
-    begin(x[0], job, 0, 1);
+    Job *job = accepted_job(SCHEMA_SAVES);
+    start_task(executors[0], job, 0, 1);
     run(100);
-    standin_crash(x[0], -1);
-    begin(x[1], job, 0, 2);
-    clean();
+    standin_crash(executors[0], -1);
+    start_task(executors[1], job, 0, 2);
+    expect_no_violations();
 }
 
-TEST_F(Judge, StartAfterNotedDone)
+TEST_F(ClusterOracle, StartAfterAcknowledgedDone)
 {
-    Job *job = sent(SCHEMA_ONE);
-    run_task(x[0], job, 0, 1);
-    begin(x[1], job, 0, 2);
-    finds("TWICE");
+    Job *job = accepted_job(SCHEMA_ONE);
+    run_to_end(executors[0], job, 0, 1);
+    start_task(executors[1], job, 0, 2);
+    expect_violation("TWICE");
 }
 
-TEST_F(Judge, StartBeforeDoneIsNoted)
+TEST_F(ClusterOracle, StartBeforeDoneIsAcknowledged)
 {
-    Job *job = sent(SCHEMA_ONE);
-    begin(x[0], job, 0, 1);
+    Job *job = accepted_job(SCHEMA_ONE);
+    start_task(executors[0], job, 0, 1);
     run(2000);
-    begin(x[1], job, 0, 2);
-    clean();
-    poll(x[0], x[0]->seq);
-    finds("TWICE");
+    start_task(executors[1], job, 0, 2);
+    expect_no_violations();
+    poll(executors[0], executors[0]->seq);
+    expect_violation("TWICE");
 }
 
-TEST_F(Judge, LapsedHoldExcusesAnUnnotedDone)
+TEST_F(ClusterOracle, ExpiredLeaseExcusesUnacknowledgedDone)
 {
-    Job *job = sent(SCHEMA_ONE);
-    begin(x[0], job, 0, 1);
+    Job *job = accepted_job(SCHEMA_ONE);
+    start_task(executors[0], job, 0, 1);
     cluster_run(&c, 8000);
     EXPECT_EQ(c.n_ends[RUN_DONE], 1);
-    begin(x[1], job, 0, 2);
-    poll(x[0], x[0]->seq);
-    clean();
+    start_task(executors[1], job, 0, 2);
+    poll(executors[0], executors[0]->seq);
+    expect_no_violations();
 }
 
-TEST_F(Judge, GangDoneOnceCountsForAll)
+TEST_F(ClusterOracle, GangDoneOnceCountsForAll)
 {
-    Job *job = sent(SCHEMA_GANG);
+    Job *job = accepted_job(SCHEMA_GANG);
     for (int64_t i = 0; i < job->tasks_per_repetition; i++)
-        begin(x[(size_t)i % 3], job, i, 1);
+        start_task(executors[(size_t)i % 3], job, i, 1);
     run(6000);
     EXPECT_EQ(c.n_ends[RUN_DONE], job->tasks_per_repetition);
-    poll(x[0], x[0]->seq);
-    clean();
-    begin(x[4], job, 1, 2);
-    finds("TWICE");
+    poll(executors[0], executors[0]->seq);
+    expect_no_violations();
+    start_task(executors[4], job, 1, 2);
+    expect_violation("TWICE");
 }
 
-TEST_F(Judge, LoneGangMember)
+TEST_F(ClusterOracle, IncompleteGang)
 {
-    Job *job = sent(SCHEMA_GANG);
-    begin(x[0], job, 0, 1);
+    Job *job = accepted_job(SCHEMA_GANG);
+    start_task(executors[0], job, 0, 1);
     run(4000);
-    finds("GANG");
+    expect_violation("GANG");
 }
 
-TEST_F(Judge, Budget)
+TEST_F(ClusterOracle, TooManyFailures)
 {
-    Job *job = sent(SCHEMA_ONE);
+    Job *job = accepted_job(SCHEMA_ONE);
     job->fail_pct = 100;
     for (int64_t i = 1; i <= ATTEMPTS_MAX; i++)
-        run_task(x[0], job, 0, i);
-    clean();
-    begin(x[1], job, 0, ATTEMPTS_MAX + 1);
-    finds("BUDGET");
+        run_to_end(executors[0], job, 0, i);
+    expect_no_violations();
+    start_task(executors[1], job, 0, ATTEMPTS_MAX + 1);
+    expect_violation("BUDGET");
 }
 
-TEST_F(Judge, Order)
+TEST_F(ClusterOracle, StepBeforeItsDependency)
 {
-    Job *job = sent(SHAPE_STEPS);
-    begin(x[0], job, (int64_t)2 << 24, 1);
-    finds("ORDER");
+    Job *job = accepted_job(SHAPE_STEPS);
+    start_task(executors[0], job, (int64_t)2 << 24, 1);
+    expect_violation("ORDER");
 }
 
-TEST_F(Judge, TooEarly)
+TEST_F(ClusterOracle, RepetitionTooEarly)
 {
-    Job *job = sent(SHAPE_REPEATED);
-    begin(x[0], job, (int64_t)1 << 32, 1);
-    finds("ORDER");
+    Job *job = accepted_job(SHAPE_REPEATED);
+    start_task(executors[0], job, (int64_t)1 << 32, 1);
+    expect_violation("ORDER");
 }
 
-TEST_F(Judge, RoomOfAnUnguardedExecutor)
+TEST_F(ClusterOracle, CapacityOfUncheckedExecutorExceeded)
 {
-    Job *job = sent(SHAPE_RAW), *more = sent(SHAPE_RAW);
+    Job *job = accepted_job(SHAPE_RAW), *more = accepted_job(SHAPE_RAW);
     for (int64_t k = 0; k < job->tasks_per_repetition; k++)
-        begin(x[3], job, k, 1);
-    for (int64_t guard = 0; guard < 60 && !c.n_breaches; guard++) {
+        start_task(executors[3], job, k, 1);
+    for (int64_t rounds = 0; rounds < 60 && !c.n_breaches; rounds++) {
         for (int64_t k = 0; k < more->tasks_per_repetition && !c.n_breaches; k++)
-            begin(x[3], more, k, 1);
-        more = sent(SHAPE_RAW);
+            start_task(executors[3], more, k, 1);
+        more = accepted_job(SHAPE_RAW);
     }
-    finds("LIMIT");
+    expect_violation("LIMIT");
 }
 
-TEST_F(Judge, GuardedExecutorTurnsAway)
+TEST_F(ClusterOracle, CheckedExecutorRefuses)
 {
     for (int i = 0; i < 6; i++)
-        begin(x[0], sent(SCHEMA_LARGE), 0, 1);
+        start_task(executors[0], accepted_job(SCHEMA_LARGE), 0, 1);
     EXPECT_GT(c.n_capacity_refused, 0);
-    clean();
+    expect_no_violations();
 }
 
-TEST_F(Judge, Service)
+TEST_F(ClusterOracle, WrongService)
 {
-    begin(x[3], sent(SCHEMA_ONE), 0, 1);
-    finds("ROUTE");
+    start_task(executors[3], accepted_job(SCHEMA_ONE), 0, 1);
+    expect_violation("ROUTE");
 }
 
-TEST_F(Judge, Label)
+TEST_F(ClusterOracle, MissingLabel)
 {
-    begin(x[0], sent(SHAPE_LABEL), 0, 1);
-    finds("ROUTE");
+    start_task(executors[0], accepted_job(SHAPE_LABEL), 0, 1);
+    expect_violation("ROUTE");
 }
 
-TEST_F(Judge, PerExecutor)
+TEST_F(ClusterOracle, TooManyPerExecutor)
 {
-    Job *job = sent(SHAPE_PER_EXECUTOR_LIMIT);
+    Job *job = accepted_job(SHAPE_PER_EXECUTOR_LIMIT);
     while (job->tasks_per_repetition < 3)
-        job = sent(SHAPE_PER_EXECUTOR_LIMIT);
+        job = accepted_job(SHAPE_PER_EXECUTOR_LIMIT);
     for (int64_t i = 0; i < 3 && !c.n_breaches; i++)
-        begin(x[0], job, i, 1);
-    finds("ROUTE");
+        start_task(executors[0], job, i, 1);
+    expect_violation("ROUTE");
 }
 
-TEST_F(Judge, UnknownJob)
+TEST_F(ClusterOracle, UnknownJob)
 {
     Job other = {};
     other.id = 42;
-    begin(x[0], &other, 0, 1);
-    finds("UNASKED");
+    start_task(executors[0], &other, 0, 1);
+    expect_violation("UNASKED");
 }
 
-TEST_F(Judge, OtherText)
+TEST_F(ClusterOracle, OtherText)
 {
-    begin(x[0], sent(SCHEMA_ONE), 0, 1, "other text");
-    finds("UNASKED");
+    start_task(executors[0], accepted_job(SCHEMA_ONE), 0, 1, "other text");
+    expect_violation("UNASKED");
 }
 
-TEST_F(Judge, ForeignCheckpoint)
+TEST_F(ClusterOracle, ForeignCheckpoint)
 {
-    begin(x[0], sent(SCHEMA_SAVES), 0, 1, nullptr, "1.0@500");
-    finds("UNASKED");
+    start_task(executors[0], accepted_job(SCHEMA_SAVES), 0, 1, nullptr, "1.0@500");
+    expect_violation("UNASKED");
 }
 
-TEST_F(Judge, OwnCheckpointIsRight)
+TEST_F(ClusterOracle, OwnCheckpointIsAllowed)
 {
-    Job *job = sent(SCHEMA_SAVES);
-    begin(x[0], job, 0, 1);
+    Job *job = accepted_job(SCHEMA_SAVES);
+    start_task(executors[0], job, 0, 1);
     run(2500);
-    stop(x[0], job, 0, 1);
+    stop_task(executors[0], job, 0, 1);
     run(500);
-    ASSERT_EQ(x[0]->n_ended, 1);
-    std::string checkpoint = x[0]->ended[0].checkpoint;
-    begin(x[1], job, 0, 2, nullptr, checkpoint.c_str());
-    clean();
+    ASSERT_EQ(executors[0]->n_ended, 1);
+    std::string checkpoint = executors[0]->ended[0].checkpoint;
+    start_task(executors[1], job, 0, 2, nullptr, checkpoint.c_str());
+    expect_no_violations();
 }
 
-TEST_F(Judge, GangWithDifferentCheckpoints)
+TEST_F(ClusterOracle, GangWithDifferentCheckpoints)
 {
-    Job *job = sent(SCHEMA_GANG);
+    Job *job = accepted_job(SCHEMA_GANG);
     job->tracked_tasks[0].checkpoint_ms = 500;
     char *checkpoint = must_printf("%llx.0@500", (unsigned long long)job->id);
-    begin(x[0], job, 0, 1, nullptr, checkpoint);
-    clean();
-    begin(x[1], job, 1, 1);
-    finds("UNASKED");
+    start_task(executors[0], job, 0, 1, nullptr, checkpoint);
+    expect_no_violations();
+    start_task(executors[1], job, 1, 1);
+    expect_violation("UNASKED");
     free(checkpoint);
 }
 
-TEST_F(Judge, StartLongAfterCancel)
+TEST_F(ClusterOracle, StartLongAfterCancel)
 {
-    Job *job = sent(SCHEMA_SAVES);
+    Job *job = accepted_job(SCHEMA_SAVES);
     cluster_oracle_on_cancel_acknowledged(&c, job);
     run(4000);
-    begin(x[0], job, 0, 1);
-    finds("UNASKED");
+    start_task(executors[0], job, 0, 1);
+    expect_violation("UNASKED");
 }
 
-TEST_F(Judge, LateOrderAfterCancelIsExcused)
+TEST_F(ClusterOracle, LateOrderAfterCancelIsExcused)
 {
-    Job *job = sent(SCHEMA_SAVES);
+    Job *job = accepted_job(SCHEMA_SAVES);
     cluster_oracle_on_cancel_acknowledged(&c, job);
     run(4000);
-    begin(x[0], job, 0, 1, nullptr, "", 1);
-    clean();
+    start_task(executors[0], job, 0, 1, nullptr, "", 1);
+    expect_no_violations();
 }
 
-TEST_F(Judge, RunsOnAfterCancel)
+TEST_F(ClusterOracle, RunsOnAfterCancel)
 {
-    Job *job = sent(SCHEMA_SAVES);
-    begin(x[0], job, 0, 1);
+    Job *job = accepted_job(SCHEMA_SAVES);
+    start_task(executors[0], job, 0, 1);
     cluster_oracle_on_cancel_acknowledged(&c, job);
-    x[0]->runs[0].required_us = 60000000;
+    executors[0]->runs[0].required_us = 60000000;
     run(4000);
-    finds("UNASKED");
+    expect_violation("UNASKED");
 }
 
-TEST_F(Judge, StartOfARefusedJob)
+TEST_F(ClusterOracle, StartOfRefusedJob)
 {
-    Job *job = sent(SCHEMA_ONE);
+    Job *job = accepted_job(SCHEMA_ONE);
     job->accepted_us = -1;
     job->refusals = 1;
-    begin(x[0], job, 0, 1);
-    finds("REFUSED");
+    start_task(executors[0], job, 0, 1);
+    expect_violation("REFUSED");
 }
 
-TEST_F(Judge, StartWhileDraining)
+TEST_F(ClusterOracle, StartWhileDraining)
 {
-    x[0]->draining = 1;
-    x[0]->leaves_us = c.now_us + 60000000;
-    x[0]->drain_ack_us = c.now_us;
+    executors[0]->draining = 1;
+    executors[0]->leaves_us = c.now_us + 60000000;
+    executors[0]->drain_ack_us = c.now_us;
     run(1500);
-    begin(x[0], sent(SCHEMA_SAVES), 0, 1);
-    clean();
+    start_task(executors[0], accepted_job(SCHEMA_SAVES), 0, 1);
+    expect_no_violations();
     run(1000);
-    begin(x[0], sent(SCHEMA_SAVES), 0, 1);
-    finds("DRAIN");
+    start_task(executors[0], accepted_job(SCHEMA_SAVES), 0, 1);
+    expect_violation("DRAIN");
 }
--- a/tests/sim/cluster_operators.h
+++ b/tests/sim/cluster_operators.h
@@ -1,4 +1,5 @@
-// Operators of a simulated cluster: orders and readings to any node, and the history of all they saw.
+// Operators of a simulated cluster: they send changes and readings to random controllers; what they observe must be the
+// history of a register.
 #pragma once
 #include "cluster_run.h"
 #include "config_register.h"
@@ -6,7 +7,7 @@
 namespace
 {
 
-// All operators come to a clear answer once the faults are over, and what they saw is a register's history.
+// Ends the faults. All changes then get a definite result, and what the operators observed is a register's history.
 inline void operators_end(Cluster &s)
 {
     s.c.answers_lost_pct = 0;
@@ -20,7 +21,7 @@
     EXPECT_EQ(found, "") << s.story();
 }
 
-// Orders and readings to any node, so to each side of whatever is cut.
+// Sends changes and readings to random controllers for ms, so to each side of a cut. orders: changes in flight.
 inline void operate(Cluster &s, int64_t ms, int64_t orders)
 {
     for (int64_t k = 0; k < ms; k += 500) {
--- a/tests/sim/cluster_run.h
+++ b/tests/sim/cluster_run.h
@@ -1,4 +1,4 @@
-// A simulated cluster for scenarios, each over a list of seeds; the judge's breaches fail it.
+// A simulated cluster for scenarios that run over a list of seeds. Violations that the oracle finds fail the test.
 #pragma once
 #include "cluster_story.h"
 #include "fleet.h"
--- a/tests/sim/cluster_story.h
+++ b/tests/sim/cluster_story.h
@@ -1,4 +1,4 @@
-// What a simulated cluster went through, as the text of a failed expectation.
+// The violations and the trace of a simulated cluster, as text for failed expectations.
 #pragma once
 #include <cstdlib>
 #include <string>
