--- a/sim/cluster.c
+++ b/sim/cluster.c
@@ -194,7 +194,7 @@
 void host_kill(struct host *host, int power)
 {
     if (host->up) {
-        cluster_tell(host->cluster, 0, "%s dies%s", host->name, power ? " with its power" : "");
+        cluster_tell(host->cluster, 0, "%s is killed%s", host->name, power ? " by a power loss" : "");
         host->up = 0;
         host->generation++;
         host_end(host);
@@ -296,8 +296,8 @@
     host_trouble(host);
 }
 
-/* Whether the host has no connection in both directions to at least all but one of the other controllers with a disk.
- */
+/* Whether more than one of the other controllers with a disk is down or not connected to the host in both directions,
+ * or all of them are. */
 static int is_partitioned(const struct cluster *cluster, const struct host *host)
 {
     int64_t reached = 0, running = 0;
--- a/sim/cluster.h
+++ b/sim/cluster.h
@@ -17,21 +17,21 @@
 
 /* Time limits and other bounds that the oracle checks and that the cores are configured with. */
 enum {
-    HOLD_MAX_MS = 6000,
-    LEASE_MS = 4000,
-    GANG_TIMEOUT_MS = 3000,
-    STOP_TIMEOUT_MS = 400,
-    CANCEL_MS = 3000,
-    EARLY_MS = 250,
-    DRAIN_MS = 2000,
-    CONTACT_MS = 3000,
+    HOLD_MAX_MS = 6000,     /* longest lease of an executor */
+    LEASE_MS = 4000,        /* lease of the leader */
+    GANG_TIMEOUT_MS = 3000, /* for all members of a gang to start */
+    STOP_TIMEOUT_MS = 400,  /* for a run to stop */
+    CANCEL_MS = 3000,       /* until no task of a cancelled job starts */
+    EARLY_MS = 250,         /* how early a repetition may start */
+    DRAIN_MS = 2000,        /* until no task starts on a draining executor */
+    CONTACT_MS = 3000,      /* delays are tolerated so long after a fault */
     APPLY_MS = 2000,
-    VISIBLE_MS = 3000,
-    CHECKPOINT_INTERVAL_MS = 2000,
-    RESTORE_MS = 600,
-    CLOCK_JUMP_MS = 5000,
+    VISIBLE_MS = 3000,             /* until each controller knows an accepted job */
+    CHECKPOINT_INTERVAL_MS = 2000, /* work between two checkpoints */
+    RESTORE_MS = 600,              /* to continue from a checkpoint */
+    CLOCK_JUMP_MS = 5000,          /* added to EARLY_MS if wall clocks jump */
     ATTEMPTS_MAX = 3,
-    FINISH_MS = 20000,
+    FINISH_MS = 20000, /* for all jobs to finish after the last fault and start time */
     ACK_MS = 4000
 };
 
@@ -90,7 +90,7 @@
     int64_t repetition, step, attempt, began_us, required_us, broken, finished, started;
     char *checkpoint;
 };
-/* A job of a caller. Times are set when the event happens; before it cancel_us is 0, the others are -1.
+/* A job of a caller. Times are set when the event happens; until then cancel_us is 0 and the others are -1.
  * in_flight: submissions without a response yet; seen_state: the newest state that a caller was shown, as an index into
  * the names in cluster_oracle_on_job_state(); n_not_found: 410 responses; unplaceable: no executor can run it;
  * failing_task: the task that fails in each attempt, -1: none; fail_pct: share of attempts that fail. */
@@ -152,8 +152,8 @@
     int64_t n_runs, n_ended, n_barred, n_polls;
     int64_t draining, drain_ack_us, leaves_us, return_after_ms, next_heartbeat_us, heartbeat_seq, heartbeat_sent_us;
     int64_t slow_pct, hang_us, fail_us, sick_us, late_us,
-        last_fault_us; /* slow_pct: time per work; until when it hangs, fails all runs, refuses starts or
-                          carries out requests late; when it last had a fault */
+        faulty_until_us; /* slow_pct: time per work; until when it hangs, fails all runs, refuses starts or
+                          carries out requests late; until when it had a fault */
 };
 
 /* --- events ---------------------------------------------------------------------------- */
@@ -366,6 +366,8 @@
 void standin_usage(const struct standin *standin, int64_t *cpu_milli, int64_t *memory_mb, int64_t *gpus);
 
 /* --- cluster_callers.c -------------------------------------------------------------------------- */
+/* What a job looks like; all but SHAPE_STEPS have one step. SHAPE_RAW: for executors that do not check their capacity.
+ */
 enum job_schema {
     SCHEMA_ONE,
     SHAPE_STEPS,
--- a/sim/cluster_calls.c
+++ b/sim/cluster_calls.c
@@ -64,7 +64,7 @@
         cluster_event_free(request);
         return;
     }
-    if (link_reset_occurs(cluster, hop, RESET_BEFORE_ANSWER))
+    if (link_reset_occurs(cluster, hop, RESET_BEFORE_RESPONSE))
         reply_at(cluster, request->call, 0, "", read_us + 1);
     call->reset_in_response = link_reset_occurs(cluster, hop, RESET_IN_ANSWER);
     cluster_push(cluster, request, at_us);
--- a/sim/cluster_executor.c
+++ b/sim/cluster_executor.c
@@ -11,7 +11,7 @@
     static const char *const labels[] = {"plain", "plain", "large"};
     struct standin *standin = must_alloc(sizeof *standin);
     standin->host = host;
-    standin->last_fault_us = -100000000;
+    standin->faulty_until_us = -100000000;
     standin->index = index;
     standin->service = index % 4 == 3 ? "raw" : "guarded";
     standin->checks_capacity = index % 4 != 3;
@@ -97,7 +97,7 @@
         if (gang && gang->began_us)
             gang->broken = 1;
     }
-    standin->last_fault_us = cluster->now_us;
+    standin->faulty_until_us = cluster->now_us;
     free_state(standin);
     if (back_ms >= 0)
         cluster_at(cluster, back_ms, boot_again, standin, standin->generation);
@@ -318,7 +318,7 @@
     }
     if (cluster->now_us < standin->hang_us || cluster->now_us < standin->fail_us ||
         cluster->now_us < standin->sick_us || cluster->now_us < standin->late_us || standin->slow_pct != 100)
-        standin->last_fault_us = cluster->now_us;
+        standin->faulty_until_us = cluster->now_us;
     if (standin_clock_ms(standin) >= standin->lease_until_ms)
         standin_expire_lease(standin);
     if (cluster->now_us >= standin->hang_us)
--- a/sim/cluster_link.c
+++ b/sim/cluster_link.c
@@ -78,7 +78,7 @@
         link_reset(from, to);
         return 1;
     }
-    event->reset_reply = !is_response && link_reset_occurs(cluster, hop, RESET_BEFORE_ANSWER);
+    event->reset_reply = !is_response && link_reset_occurs(cluster, hop, RESET_BEFORE_RESPONSE);
     return 0;
 }
 
--- a/sim/cluster_link.h
+++ b/sim/cluster_link.h
@@ -15,7 +15,7 @@
 enum reset_hop { HOP_OPERATOR, HOP_RELAY, HOP_VOTERS, HOP_AGENT, HOP_EXECUTOR, HOP_COUNT };
 /* When the connection of a hop is reset: before the request is read, after that but before the response is sent, or in
  * the middle of the response. */
-enum reset_point { RESET_BEFORE_READ, RESET_BEFORE_ANSWER, RESET_IN_ANSWER, RESET_POINTS };
+enum reset_point { RESET_BEFORE_READ, RESET_BEFORE_RESPONSE, RESET_IN_ANSWER, RESET_POINTS };
 
 /* Arrays are [from][to]. last_us: when the newest frame on the connection arrives, so that frames stay in order;
  * reconnect_us: frames are lost until then, because the connection was reset; stalled_us: no frame that is sent arrives
@@ -34,8 +34,8 @@
 struct cluster_event;
 struct host;
 
-int64_t link_transfer_us(struct host *from, struct host *to,
-                         int64_t bytes); /* microseconds that limited bandwidth adds */
+/* How much limited bandwidth delays a message. */
+int64_t link_transfer_us(struct host *from, struct host *to, int64_t bytes);
 /* Whether a frame of this kind (base/frame.h) is lost because its connection is reset. May reset the connection now, or
  * mark event so that the connection in the other direction is reset later. */
 int link_loses_frame(struct host *from, struct host *to, int64_t kind, struct cluster_event *event);
--- a/sim/cluster_net.c
+++ b/sim/cluster_net.c
@@ -99,7 +99,7 @@
     return NULL;
 }
 
-static const char *web_header(const struct http_request *request, const char *name)
+static const char *http_header(const struct http_request *request, const char *name)
 {
     return header_find(request->arg, name);
 }
@@ -125,7 +125,7 @@
                                 .path = event->path,
                                 .body = event->body,
                                 .len = event->body ? (int64_t)strlen(event->body) : 0,
-                                .header = web_header,
+                                .header = http_header,
                                 .arg = event->header};
     if (event->kind == CLUSTER_EVENT_TIMER)
         host->controller ? controller_on_timer(host->controller) : agent_on_timer(host->agent);
--- a/sim/cluster_oracle.c
+++ b/sim/cluster_oracle.c
@@ -391,7 +391,7 @@
         for (int64_t i = 0; standin->up && i < standin->n_runs; i++)
             if (standin->runs[i].job == job && cluster_is_reachable(cluster, standin->host) &&
                 cluster->now_us - cluster->trouble_us > (CANCEL_MS + STOP_TIMEOUT_MS + CONTACT_MS) * 1000LL &&
-                cluster->now_us - standin->last_fault_us > CONTACT_MS * 1000 + HOLD_MAX_MS * 1000)
+                cluster->now_us - standin->faulty_until_us > CONTACT_MS * 1000 + HOLD_MAX_MS * 1000)
                 cluster_violation(cluster, job->id,
                                   "UNASKED: task %llx of job %llx still runs on %s long after its cancellation",
                                   (ull)standin->runs[i].task, (ull)job->id, standin->incarnation);
--- a/tests/sim/cluster_operators.h
+++ b/tests/sim/cluster_operators.h
@@ -8,29 +8,30 @@
 {
 
 // Ends the faults. All changes then get a definite result, and what the operators observed is a register's history.
-inline void operators_end(Cluster &s)
+inline void operators_end(Cluster &cluster)
 {
-    s.c.answers_lost_pct = 0;
-    cluster_heal(&s.c);
-    for (int i = 0; i < 60 && operator_open(&s.c); i++)
-        s.run(500);
-    EXPECT_EQ(operator_open(&s.c), 0) << s.story();
-    operator_read(&s.c);
-    s.run(2000);
-    std::string found = config_register::check(config_register::calls_of(&s.c));
-    EXPECT_EQ(found, "") << s.story();
+    cluster.c.answers_lost_pct = 0;
+    cluster_heal(&cluster.c);
+    for (int i = 0; i < 60 && operator_open(&cluster.c); i++)
+        cluster.run(500);
+    EXPECT_EQ(operator_open(&cluster.c), 0) << cluster.story();
+    operator_read(&cluster.c);
+    cluster.run(2000);
+    std::string violation = config_register::check(config_register::calls_of(&cluster.c));
+    EXPECT_EQ(violation, "") << cluster.story();
 }
 
-// Sends changes and readings to random controllers for ms, so to each side of a cut. orders: changes in flight.
-inline void operate(Cluster &s, int64_t ms, int64_t orders)
+// Sends changes and readings to random controllers for ms, so to each side of a cut. in_flight: changes without a
+// result at a time.
+inline void operate(Cluster &cluster, int64_t ms, int64_t in_flight)
 {
     for (int64_t k = 0; k < ms; k += 500) {
-        if (operator_open(&s.c) < orders)
-            operator_crowd(&s.c, orders - operator_open(&s.c));
-        operator_read(&s.c);
-        s.run(250);
-        operator_read(&s.c);
-        s.run(250);
+        if (operator_open(&cluster.c) < in_flight)
+            operator_crowd(&cluster.c, in_flight - operator_open(&cluster.c));
+        operator_read(&cluster.c);
+        cluster.run(250);
+        operator_read(&cluster.c);
+        cluster.run(250);
     }
 }
 
