--- a/sim/cluster.h
+++ b/sim/cluster.h
@@ -168,9 +168,11 @@
     CLUSTER_EVENT_FLUSH,
     CLUSTER_EVENT_ACTION
 };
+/* An action of the scenario at a time; n is passed through. */
 typedef void cluster_action(struct cluster *cluster, void *arg, int64_t n);
 typedef void cluster_on_response(struct cluster *cluster, void *arg, int64_t tag, int status, const char *body);
 
+/* late: an executor carries the request out late; entry: enum entry of a request; n: argument of an action. */
 struct cluster_event {
     struct timed_event timed; /* must be the first member */
     int64_t generation, call, n, entry, late;
@@ -202,6 +204,12 @@
     char *text;
 };
 
+/* A simulated cluster and the scenario that runs on it. state: of the random numbers; n: number of hosts, of which
+ * disks are controllers that had a disk at the start; loss_pct: of datagrams; slow_link_ms: added to the delay of each
+ * link; clocks_jump: a wall clock jumped in this run; calm: the scenario injects no faults; judged: checks that the
+ * oracle made; violation_job: job of the first violation that concerns one; n_refused: jobs whose submissions were all
+ * refused; lost_core_ms: work that was done and not kept by a checkpoint; trace: 1 prints the trace, 2 also debug
+ * events. */
 struct cluster {
     uint64_t state;
     int64_t now_us, n_calls;
@@ -280,7 +288,7 @@
 int cluster_is_reachable(const struct cluster *cluster, const struct host *host);
 void cluster_core_trouble(struct cluster *cluster);
 void cluster_tell(struct cluster *cluster, int64_t job, const char *format, ...) __attribute__((format(printf, 3, 4)));
-char *cluster_story(const struct cluster *cluster); /* to be freed by the caller */
+char *cluster_story(const struct cluster *cluster); /* violations and trace, to be freed by the caller */
 
 /* --- cluster_net.c ---------------------------------------------------------------------------- */
 void cluster_push(struct cluster *cluster, struct cluster_event *event, int64_t at_us);
