--- a/src/home/home.c
+++ b/src/home/home.c
@@ -1,4 +1,5 @@
-/* The home's side of reservations, starts, stops and checks. */
+/* Owner of an executor: reports of executors, and messages of shard owners about reservations, starts, stops and
+ * checks. */
 #include "home/home.h"
 
 #include <stdio.h>
@@ -9,7 +10,7 @@
 #include "base/error.h"
 #include "node/node.h"
 
-enum { WANT_MS = 400 };
+enum { DENIED_KEEP_MS = 400 };
 
 struct home *home_find(struct node *node, const char *name)
 {
@@ -19,63 +20,63 @@
     return NULL;
 }
 
-static void home_free(struct home *home)
+static void executor_owner_free(struct home *owner)
 {
-    for (int64_t i = 0; i < home->n_rows; i++)
-        account_free(&home->rows[i]);
-    free(home->rows);
-    free(home->acks);
-    schema_free(&exec_state_schema, &home->state);
-    free(home->name);
-    free(home);
+    for (int64_t i = 0; i < owner->n_rows; i++)
+        allocation_free(&owner->rows[i]);
+    free(owner->rows);
+    free(owner->acks);
+    schema_free(&exec_state_schema, &owner->state);
+    free(owner->name);
+    free(owner);
 }
 
-void home_drop(struct node *node, struct home *home)
+void home_drop(struct node *node, struct home *owner)
 {
-    world_note(node->w, EV_HOME_LOST, "executor=%s epoch=%lld", home->name, (long long)home->epoch);
+    world_note(node->w, EV_HOME_LOST, "executor=%s epoch=%lld", owner->name, (long long)owner->epoch);
     for (int64_t i = 0; i < node->n_homes; i++)
-        if (node->homes[i] == home)
+        if (node->homes[i] == owner)
             node->homes[i] = node->homes[--node->n_homes];
-    home_free(home);
+    executor_owner_free(owner);
 }
 
 void homes_end(struct node *node)
 {
     while (node->n_homes)
-        home_free(node->homes[--node->n_homes]);
+        executor_owner_free(node->homes[--node->n_homes]);
     free(node->homes);
     node->homes = NULL;
 }
 
 struct home *home_take_duty(struct node *node, const char *name, int64_t epoch)
 {
-    struct home *home = home_find(node, name);
-    if (home && home->epoch >= epoch)
-        return home;
-    if (home)
-        home_drop(node, home);
-    home = must_alloc(sizeof *home);
-    home->name = must_dup(name);
-    home->epoch = epoch;
-    home->started_ms = home->heard_ms = world_ms(node->w);
-    /* the former home may have been given tickets until its gate closed */
-    home->ticket_ms = home->started_ms + ADMISSION_MS;
-    struct room *room = room_find(node, name); /* what the former home told everybody */
-    home->addr = room ? room->addr : 0;
-    *list_more(node->homes, node->n_homes) = home;
-    return home;
+    struct home *owner = home_find(node, name);
+    if (owner && owner->epoch >= epoch)
+        return owner;
+    if (owner)
+        home_drop(node, owner);
+    owner = must_alloc(sizeof *owner);
+    owner->name = must_dup(name);
+    owner->epoch = epoch;
+    owner->started_ms = owner->last_response_ms = world_ms(node->w);
+    /* the former owner could receive tickets until its admission closed, at most ADMISSION_MS after this */
+    owner->ticket_ms = owner->started_ms + ADMISSION_MS;
+    struct room *view = room_find(node, name); /* as the former owner sent it */
+    owner->addr = view ? view->addr : 0;
+    *list_more(node->homes, node->n_homes) = owner;
+    return owner;
 }
 
 /* --- reports ------------------------------------------------------------------------ */
 
-static void claimed(struct node *node, int64_t request, int error, const struct bytes *result)
+static void on_ownership_proposed(struct node *node, int64_t request, int error, const struct bytes *result)
 {
     (void)error, (void)result;
-    api_error(node, request, ERROR_NO_OWNER, "this executor is being given a home");
+    api_error(node, request, ERROR_NO_OWNER, "the owner of this executor is being assigned");
 }
 
-/* An executor nobody knows: whoever hears first proposes to be its home. */
-static void claim(struct node *node, int64_t request, const char *name)
+/* For an executor without an owner: proposes this node, as the one that received its report. */
+static void propose_ownership(struct node *node, int64_t request, const char *name)
 {
     struct config_tree_op op = {.kind = CH_DUTIES};
     struct bytes bytes = {0};
@@ -85,11 +86,11 @@
     duty->boot = node->boot;
     duty->epoch = 1;
     schema_pack(&config_tree_op_schema, &op, &bytes);
-    node_propose(node, GROUP_CONTROL, &bytes, 2000, claimed, request);
+    node_propose(node, GROUP_CONTROL, &bytes, 2000, on_ownership_proposed, request);
     schema_free(&config_tree_op_schema, &op);
 }
 
-static void answer_home(struct node *node, int64_t request)
+static void answer_owner_address(struct node *node, int64_t request)
 {
     api_json(node, request, 200, json_pack("{s:s}", "home", addr_text(node->w->http_addr)));
 }
@@ -103,231 +104,240 @@
         api_validation_error(node, request, &validation_error);
         return;
     }
-    struct home *home = home_find(node, state.name);
+    struct home *owner = home_find(node, state.name);
     snprintf(name, sizeof name, "home/%s", state.name);
     const struct duty *duty = config_tree_duty(&node->config_tree, name);
     if (strcmp(state.cluster, node->cluster_name))
         api_error(node, request, ERROR_BAD_FIELD, "this is another cluster");
     else if (!addr_parse(state.address))
         api_error(node, request, ERROR_BAD_FIELD, "address must be IP:PORT");
-    else if (home) {
-        home_take_state(node, home, &state, 0);
-        answer_home(node, request);
+    else if (owner) {
+        executor_owner_apply_state(node, owner, &state, 0);
+        answer_owner_address(node, request);
     } else if (duty && duty->owner != (int64_t)node->w->self)
         api_send_on(node, request, duty->owner,
                     &(struct api_call){.shard = -1, .method = "POST", .path = "/v1/executors/report", .body = body});
     else if (!duty && admission_open(node))
-        claim(node, request, state.name);
+        propose_ownership(node, request, state.name);
     else
-        api_error(node, request, ERROR_UNAVAILABLE, "no home yet");
+        api_error(node, request, ERROR_UNAVAILABLE, "the executor has no owner yet");
     schema_free(&exec_state_schema, &state);
 }
 
-/* --- what owners ask ------------------------------------------------------------------ */
+/* --- messages of shard owners ---------------------------------------------------------- */
 
-/* Neither below what was heard from the shard here, nor below its duty in the
- * configuration tree: a home that is new has heard from nobody yet. */
-static int epoch_ok(struct node *node, struct home *home, int64_t shard, int64_t epoch)
+/* Rejects an epoch of a shard lower than one seen before, from the shard's owner or in the configuration tree: a new
+ * executor owner has not received any from shard owners yet. */
+static int accept_shard_epoch(struct node *node, struct home *owner, int64_t shard, int64_t epoch)
 {
-    if (shard < 0 || shard >= SHARD_COUNT || epoch < home->shard_epochs[shard] || epoch < node->shards[shard].epoch)
+    if (shard < 0 || shard >= SHARD_COUNT || epoch < owner->shard_epochs[shard] || epoch < node->shards[shard].epoch)
         return 0;
-    home->shard_epochs[shard] = epoch;
+    owner->shard_epochs[shard] = epoch;
     return 1;
 }
 
-/* Room that becomes free is kept a moment for the most urgent that was denied:
- * owners on many nodes ask, each sees only its own order. left: what would
- * remain after this reservation. */
-static int room_for(struct node *node, struct home *home, int64_t urgency, int64_t left_cores, int64_t left_mb)
+/* Whether a reservation may take capacity; left_cores, left_mb: what would remain free. Capacity that becomes free is
+ * kept for DENIED_KEEP_MS for the most urgent reservation that was denied, since the shard owners, on many nodes, each
+ * see only their own tasks. A lower urgency is more urgent. */
+static int capacity_allows(struct node *node, struct home *owner, int64_t urgency, int64_t left_cores, int64_t left_mb)
 {
     int64_t now_ms = world_ms(node->w);
-    int waits = home->want_until_ms > now_ms;
+    int keeps = owner->denied_until_ms > now_ms;
     if (left_cores < 0 || left_mb < 0) {
-        if (waits && urgency >= home->want_urgency)
+        if (keeps && urgency >= owner->denied_urgency)
             return 0;
         int64_t cores, mem_mb;
-        account_room(home, &cores, &mem_mb);
-        home->want_urgency = urgency;
-        home->want_cores = cores - left_cores;
-        home->want_mb = mem_mb - left_mb;
-        home->want_until_ms = now_ms + WANT_MS;
+        allocations_free_capacity(owner, &cores, &mem_mb);
+        owner->denied_urgency = urgency;
+        owner->denied_cores = cores - left_cores;
+        owner->denied_mb = mem_mb - left_mb;
+        owner->denied_until_ms = now_ms + DENIED_KEEP_MS;
         return 0;
     }
-    if (waits && urgency > home->want_urgency && (left_cores < home->want_cores || left_mb < home->want_mb))
+    if (keeps && urgency > owner->denied_urgency && (left_cores < owner->denied_cores || left_mb < owner->denied_mb))
         return 0;
-    if (waits && urgency <= home->want_urgency)
-        home->want_until_ms = 0;
+    if (keeps && urgency <= owner->denied_urgency)
+        owner->denied_until_ms = 0;
     return 1;
 }
 
-static int may_reserve(struct node *node, struct home *home, const struct reserve *m)
+static int may_reserve(struct node *node, struct home *owner, const struct reserve *message)
 {
     int64_t cores, mem_mb;
-    if (!home || home->epoch != m->home_epoch || !home->opened || home->incarnation != m->incarnation ||
-        !admission_open(node) || node->leaving || !epoch_ok(node, home, m->shard, m->shard_epoch))
+    if (!owner || owner->epoch != message->home_epoch || !owner->opened || owner->incarnation != message->incarnation ||
+        !admission_open(node) || node->leaving ||
+        !accept_shard_epoch(node, owner, message->shard, message->shard_epoch))
         return 0;
-    int64_t state = home_room_state(node, home);
+    int64_t state = executor_owner_view_state(node, owner);
     if (state != ROOM_OPEN && state != ROOM_PROBATION)
         return 0;
-    account_room(home, &cores, &mem_mb);
-    for (int64_t i = 0; i < m->n_tasks; i++) {
-        cores -= m->tasks[i].cores;
-        mem_mb -= m->tasks[i].mem_mb;
+    allocations_free_capacity(owner, &cores, &mem_mb);
+    for (int64_t i = 0; i < message->n_tasks; i++) {
+        cores -= message->tasks[i].cores;
+        mem_mb -= message->tasks[i].mem_mb;
     }
-    if (state == ROOM_PROBATION && home->n_rows)
-        return 0; /* one at a time until it has proved itself */
-    return room_for(node, home, m->urgency, cores, mem_mb);
+    if (state == ROOM_PROBATION && owner->n_rows)
+        return 0; /* one task at a time */
+    return capacity_allows(node, owner, message->urgency, cores, mem_mb);
 }
 
-void home_on_reserve(struct node *node, int64_t from, const struct reserve *m)
+void home_on_reserve(struct node *node, int64_t from, const struct reserve *message)
 {
-    struct home *home = home_find(node, m->executor);
-    struct reserved reply = {.req = m->req, .executor = m->executor, .error = ERROR_REJECTED};
-    if (may_reserve(node, home, m)) {
+    struct home *owner = home_find(node, message->executor);
+    struct reserved reply = {.req = message->req, .executor = message->executor, .error = ERROR_REJECTED};
+    if (may_reserve(node, owner, message)) {
         reply.error = ERROR_NONE;
-        for (int64_t i = 0; i < m->n_tasks; i++) {
-            const struct task_ref *ref = &m->tasks[i];
-            if (account_find(home, ref->job, ref->no, ref->attempt))
+        for (int64_t i = 0; i < message->n_tasks; i++) {
+            const struct task_ref *ref = &message->tasks[i];
+            if (allocation_find(owner, ref->job, ref->no, ref->attempt))
                 continue;
-            struct account *row = list_more(home->rows, home->n_rows);
-            row->ref = *ref;
-            row->state = ACC_RESERVED;
-            row->since_ms = world_ms(node->w);
+            struct account *allocation = list_more(owner->rows, owner->n_rows);
+            allocation->ref = *ref;
+            allocation->state = ACC_RESERVED;
+            allocation->since_ms = world_ms(node->w);
         }
     }
     node_send(node, from, FRAME_RESERVED, &reserved_schema, &reply);
 }
 
-void home_on_release(struct node *node, int64_t from, const struct reserve *m)
+void home_on_release(struct node *node, int64_t from, const struct reserve *message)
 {
-    struct home *home = home_find(node, m->executor);
+    struct home *owner = home_find(node, message->executor);
     (void)from;
-    for (int64_t i = 0; home && i < m->n_tasks; i++) {
-        struct account *row = account_find(home, m->tasks[i].job, m->tasks[i].no, m->tasks[i].attempt);
-        if (row && row->state == ACC_RESERVED)
-            account_remove(home, row);
+    for (int64_t i = 0; owner && i < message->n_tasks; i++) {
+        struct account *allocation =
+            allocation_find(owner, message->tasks[i].job, message->tasks[i].no, message->tasks[i].attempt);
+        if (allocation && allocation->state == ACC_RESERVED)
+            allocation_remove(owner, allocation);
     }
     node->rooms_due_ms = 0;
 }
 
-/* A start whose reservation has lapsed is taken only if there is room anew;
- * otherwise it is told to have ended unstarted, and stays so. */
-void home_on_start(struct node *node, int64_t from, struct start_order *m)
+/* Without a reservation, for example because it expired, the start is accepted only if there is capacity. A start that
+ * is not accepted is reported as OUTCOME_NOT_STARTED, which is final. */
+void home_on_start(struct node *node, int64_t from, struct start_order *message)
 {
-    struct home *home = home_find(node, m->executor);
+    struct home *owner = home_find(node, message->executor);
     (void)from;
-    if (!home || home->epoch != m->home_epoch || !home->opened || !epoch_ok(node, home, m->shard, m->shard_epoch) ||
-        !admission_open(node))
+    if (!owner || owner->epoch != message->home_epoch || !owner->opened ||
+        !accept_shard_epoch(node, owner, message->shard, message->shard_epoch) || !admission_open(node))
         return;
-    const struct exec_start *s = &m->start;
-    struct account *row = account_find(home, s->job, s->no, s->attempt);
+    const struct exec_start *start = &message->start;
+    struct account *allocation = allocation_find(owner, start->job, start->no, start->attempt);
     int64_t cores, mem_mb;
-    if (row && row->state != ACC_RESERVED)
+    if (allocation && allocation->state != ACC_RESERVED)
         return;
-    if (!row) {
-        account_room(home, &cores, &mem_mb);
-        row = list_more(home->rows, home->n_rows);
-        row->ref = (struct task_ref){
-            .job = s->job, .no = s->no, .attempt = s->attempt, .cores = s->cores, .mem_mb = s->mem_mb};
-        row->since_ms = world_ms(node->w);
-        if (cores < s->cores || mem_mb < s->mem_mb) {
-            account_end(node, home, row, OUT_UNSTARTED, "no room left");
+    if (!allocation) {
+        allocations_free_capacity(owner, &cores, &mem_mb);
+        allocation = list_more(owner->rows, owner->n_rows);
+        allocation->ref = (struct task_ref){.job = start->job,
+                                            .no = start->no,
+                                            .attempt = start->attempt,
+                                            .cores = start->cores,
+                                            .mem_mb = start->mem_mb};
+        allocation->since_ms = world_ms(node->w);
+        if (cores < start->cores || mem_mb < start->mem_mb) {
+            allocation_end(node, owner, allocation, OUTCOME_NOT_STARTED, "no capacity left");
             return;
         }
     }
-    row->lease_ms = s->lease_ms;
-    row->stall_ms = s->stall_ms;
-    /* its room was reserved; what the executor gave to others since then is gone all the same */
-    account_room(home, &cores, &mem_mb);
+    allocation->lease_ms = start->lease_ms;
+    allocation->stall_ms = start->stall_ms;
+    /* the executor may have given reserved capacity to other work meanwhile */
+    allocations_free_capacity(owner, &cores, &mem_mb);
     if (cores < 0 || mem_mb < 0) {
-        account_end(node, home, row, OUT_UNSTARTED, "its room went to other work meanwhile");
+        allocation_end(node, owner, allocation, OUTCOME_NOT_STARTED, "its capacity was taken by other work meanwhile");
         return;
     }
-    if (m->incarnation != home->incarnation) {
-        account_end(node, home, row, OUT_UNSTARTED, "the executor came back anew");
+    if (message->incarnation != owner->incarnation) {
+        allocation_end(node, owner, allocation, OUTCOME_NOT_STARTED, "the executor was restarted");
         return;
     }
-    int64_t state = home_room_state(node, home);
+    int64_t state = executor_owner_view_state(node, owner);
     if (state == ROOM_LEAVING || state == ROOM_CLOSED) {
-        account_end(node, home, row, OUT_UNSTARTED, "the executor is leaving");
+        allocation_end(node, owner, allocation, OUTCOME_NOT_STARTED, "the executor is leaving");
         return;
     }
-    node_tell(node, s->job, s->no, s->attempt, s->hold ? "hold ordered" : "start ordered", home->name);
-    row->state = ACC_STARTING;
-    row->since_ms = world_ms(node->w);
-    row->start = must_alloc(sizeof *row->start);
-    *row->start = *s;
-    m->start = (struct exec_start){0}; /* its strings are ours now */
-    home->dirty = 1;
+    node_tell(node, start->job, start->no, start->attempt, start->hold ? "hold ordered" : "start ordered", owner->name);
+    allocation->state = ACC_STARTING;
+    allocation->since_ms = world_ms(node->w);
+    allocation->start = must_alloc(sizeof *allocation->start);
+    *allocation->start = *start;
+    message->start = (struct exec_start){0}; /* the allocation owns its strings now */
+    owner->dirty = 1;
 }
 
-void home_on_stop(struct node *node, int64_t from, const struct check *m)
+void home_on_stop(struct node *node, int64_t from, const struct check *message)
 {
-    struct home *home = home_find(node, m->executor);
+    struct home *owner = home_find(node, message->executor);
     (void)from;
-    if (!home || !home->opened || home->epoch != m->home_epoch || !epoch_ok(node, home, m->shard, m->shard_epoch))
+    if (!owner || !owner->opened || owner->epoch != message->home_epoch ||
+        !accept_shard_epoch(node, owner, message->shard, message->shard_epoch))
         return;
-    for (int64_t i = 0; i < m->n_tasks; i++) {
-        const struct task_ref *ref = &m->tasks[i];
-        struct account *row = account_find(home, ref->job, ref->no, ref->attempt);
-        if (!row || row->state == ACC_ENDED)
-            continue; /* a check tells what became of it */
-        if (row->state == ACC_RESERVED) {
-            account_end(node, home, row, OUT_UNSTARTED, "stopped before its start");
-        } else if (!row->stop_asked) {
-            row->stop_asked = 1;
-            home->dirty = 1;
+    for (int64_t i = 0; i < message->n_tasks; i++) {
+        const struct task_ref *ref = &message->tasks[i];
+        struct account *allocation = allocation_find(owner, ref->job, ref->no, ref->attempt);
+        if (!allocation || allocation->state == ACC_ENDED)
+            continue; /* its state is sent in response to a check */
+        if (allocation->state == ACC_RESERVED) {
+            allocation_end(node, owner, allocation, OUTCOME_NOT_STARTED, "stopped before its start");
+        } else if (!allocation->stop_requested) {
+            allocation->stop_requested = 1;
+            owner->dirty = 1;
         }
     }
 }
 
-/* The whole gang is held: this part of it may begin. */
-void home_on_go(struct node *node, const struct check *m)
+/* All members of a gang are held: those on this executor may run. */
+void home_on_go(struct node *node, const struct check *message)
 {
-    struct home *home = home_find(node, m->executor);
-    if (!home || home->epoch != m->home_epoch || !epoch_ok(node, home, m->shard, m->shard_epoch) ||
-        !admission_open(node))
+    struct home *owner = home_find(node, message->executor);
+    if (!owner || owner->epoch != message->home_epoch ||
+        !accept_shard_epoch(node, owner, message->shard, message->shard_epoch) || !admission_open(node))
         return;
-    for (int64_t i = 0; i < m->n_tasks; i++) {
-        struct account *row = account_find(home, m->tasks[i].job, m->tasks[i].no, m->tasks[i].attempt);
-        if (!row || row->state != ACC_HELD || row->go_asked || row->stop_asked)
+    for (int64_t i = 0; i < message->n_tasks; i++) {
+        struct account *allocation =
+            allocation_find(owner, message->tasks[i].job, message->tasks[i].no, message->tasks[i].attempt);
+        if (!allocation || allocation->state != ACC_HELD || allocation->go_requested || allocation->stop_requested)
             continue;
-        row->go_asked = 1;
-        home->dirty = 1;
+        allocation->go_requested = 1;
+        owner->dirty = 1;
     }
 }
 
-void home_on_check(struct node *node, int64_t from, const struct check *m)
+void home_on_check(struct node *node, int64_t from, const struct check *message)
 {
-    struct home *home = home_find(node, m->executor);
-    if (!home || !epoch_ok(node, home, m->shard, m->shard_epoch) || !admission_open(node))
+    struct home *owner = home_find(node, message->executor);
+    if (!owner || !accept_shard_epoch(node, owner, message->shard, message->shard_epoch) || !admission_open(node))
         return;
-    struct checked reply = {.executor = m->executor, .home_epoch = home->epoch, .incarnation = home->incarnation};
-    for (int64_t i = 0; i < m->n_tasks; i++) {
-        const struct task_ref *ref = &m->tasks[i];
-        struct account *row = account_find(home, ref->job, ref->no, ref->attempt);
-        struct checked_task t = {.job = ref->job, .no = ref->no, .attempt = ref->attempt, .state = CHECK_UNKNOWN};
-        if (row)
-            t.state = account_check_state(row);
-        else if (!home->opened && home->gone)
-            t.state = CHECK_GONE;
-        else if (!home->opened)
-            continue; /* nothing can be said before the executor answered us */
-        *list_more(reply.tasks, reply.n_tasks) = t;
+    struct checked reply = {
+        .executor = message->executor, .home_epoch = owner->epoch, .incarnation = owner->incarnation};
+    for (int64_t i = 0; i < message->n_tasks; i++) {
+        const struct task_ref *ref = &message->tasks[i];
+        struct account *allocation = allocation_find(owner, ref->job, ref->no, ref->attempt);
+        struct checked_task result = {.job = ref->job, .no = ref->no, .attempt = ref->attempt, .state = CHECK_UNKNOWN};
+        if (allocation)
+            result.state = allocation_check_state(allocation);
+        else if (!owner->opened && owner->leases_expired)
+            result.state = CHECK_LOST;
+        else if (!owner->opened)
+            continue; /* unknown until the executor has answered this owner */
+        *list_more(reply.tasks, reply.n_tasks) = result;
     }
     if (reply.n_tasks)
         node_send(node, from, FRAME_CHECKED, &checked_schema, &reply);
     free(reply.tasks);
 }
 
-void home_on_ended_ack(struct node *node, const struct ended *m)
+void home_on_ended_ack(struct node *node, const struct ended *message)
 {
-    struct home *home = home_find(node, m->executor);
-    struct account *row = home ? account_find(home, m->job, m->no, m->attempt) : NULL;
-    if (!row || row->state != ACC_ENDED)
+    struct home *owner = home_find(node, message->executor);
+    struct account *allocation = owner ? allocation_find(owner, message->job, message->no, message->attempt) : NULL;
+    if (!allocation || allocation->state != ACC_ENDED)
         return;
-    *list_more(home->acks, home->n_acks) = (struct exec_renew){.job = m->job, .no = m->no, .attempt = m->attempt};
-    account_remove(home, row);
-    home->dirty = 1;
+    *list_more(owner->acks, owner->n_acks) =
+        (struct exec_renew){.job = message->job, .no = message->no, .attempt = message->attempt};
+    allocation_remove(owner, allocation);
+    owner->dirty = 1;
     (void)node;
 }
--- a/src/home/home.h
+++ b/src/home/home.h
@@ -1,20 +1,24 @@
-/* A home speaks with one executor and keeps its room account. Its contract
- * with executors (JSON) and with the owners of shards (frames) is here. */
-#ifndef SAGEHITCH_HOME_H
-#define SAGEHITCH_HOME_H
+/* Owner of an executor: the one node that sends the executor its orders and accounts for its capacity. This header has
+ * the owner's messages to and from executors (JSON over HTTP) and shard owners (frames). */
+#ifndef SAGEHITCH_EXECUTOR_OWNER_H
+#define SAGEHITCH_EXECUTOR_OWNER_H
 #include "base/frame.h"
 #include "base/schema.h"
 
-/* --- contract with executors --------------------------------------------- */
+/* --- messages to and from executors --------------------------------------- */
 
+/* A task as the executor reports it: one attempt of task number no of a job. */
 struct exec_task {
     int64_t job, no, attempt, cores, mem_mb;
-    int64_t progress; /* only grows while the work goes on; -1: it has no mark */
-    char *state;      /* held, running, stopping; done, failed, stopped, lapsed, unstarted */
+    int64_t progress; /* rises while the task makes progress; -1: the task reports none */
+    char *state;      /* in running: held, running, stopping; in ended: done, failed, stopped, lapsed, unstarted */
     char *why;
 };
 
-/* What an executor says of itself, as a report and as the answer to orders. */
+/* The whole state of an executor: the body of its reports, and its response to orders.
+ * incarnation: identifies a start of the executor, later starts have higher ones; serial: rises with each state sent
+ * within an incarnation; ticket: when this state was sent, on the executor's clock, see struct exec_orders; epoch: the
+ * highest epoch of an owner that the executor knows. Running tasks include held and stopping ones. */
 struct exec_state {
     char *name, *cluster, *address, *kind, *rack;
     char **services;
@@ -28,16 +32,20 @@
     int64_t n_ended;
 };
 
-/* hold: keep the room and wait for a go; gangs start so. */
+/* Order to start a task. hold: allocate its capacity but wait for the go order, as members of gangs do; stall_ms: how
+ * long it may report no progress, 0: the default of the settings. */
 struct exec_start {
     int64_t job, no, attempt, cores, mem_mb, lease_ms, hold, stall_ms;
     char *service, *queue, *kind, *payload;
 };
+/* Any other order for a task. lease_ms: length of the renewed lease. */
 struct exec_renew {
     int64_t job, no, attempt, lease_ms;
 };
 
-/* ticket: the newest the executor gave; its leases count from there. */
+/* The body of a call to an executor. home: HTTP address of its owner; ticket: that of the newest state received from
+ * the executor; leases granted or renewed by these orders run from that time. acks: ended tasks whose end is recorded,
+ * the executor may forget them; goes: held tasks that may run. */
 struct exec_orders {
     char *cluster, *home;
     int64_t epoch, incarnation, ticket;
@@ -49,44 +57,52 @@
 
 extern const struct schema exec_task_schema, exec_state_schema, exec_orders_schema;
 
-/* --- contract with owners of shards -------------------------------------- */
+/* --- messages to and from shard owners ------------------------------------ */
 
+/* Only OPEN executors take reservations, and under PROBATION one task at a time. Values go over the wire. */
 enum room_state { ROOM_OPEN, ROOM_SILENT, ROOM_LEAVING, ROOM_QUARANTINE, ROOM_PROBATION, ROOM_CLOSED };
 
+/* An executor as its owner describes it to other nodes. home: address of that owner; epoch: epoch of its ownership. */
 struct room {
     char *executor, *kind, *rack;
     char **services;
     int64_t n_services;
     int64_t home, epoch, incarnation, state, cores, mem_mb, free_cores, free_mb;
-    int64_t wanted;   /* room is kept for work this urgent; INT64_MAX: for any */
-    int64_t leave_ms; /* fleet time at which it leaves; 0: it does not */
-    int64_t addr;     /* where it takes orders: the next home speaks with it at once */
-    /* of the reader's memory only; slow_pct: how long its work takes against its queue's, 100 as others */
-    int64_t seen_ms, slow_pct;
+    int64_t urgency_limit; /* free capacity is kept for tasks at least this urgent; INT64_MAX: for all */
+    int64_t leave_ms;      /* fleet time at which it leaves; 0: not planned */
+    int64_t addr;          /* takes orders here; lets the next owner call it at once */
+    /* Not sent, kept by the receiver. slow_pct: mean duration of its tasks in percent of others of their queue. */
+    int64_t received_ms, slow_pct;
 };
 struct rooms_msg {
-    struct room *rooms;
+    struct room *views;
     int64_t n;
 };
 
+/* An attempt to run task number no of a job. */
 struct task_ref {
     int64_t job, no, attempt, cores, mem_mb;
 };
+/* Asks an executor's owner to reserve capacity for tasks, or to release it again. req: number of the sender's staging;
+ * shard_epoch, home_epoch: epochs under which sender and receiver own the shard and the executor. */
 struct reserve {
     int64_t req, shard, shard_epoch, home_epoch, incarnation, urgency;
     char *executor;
     struct task_ref *tasks;
     int64_t n_tasks;
 };
+/* error: ERROR_NONE, all tasks have their reservation; or ERROR_REJECTED, none has. */
 struct reserved {
     int64_t req, error;
     char *executor;
 };
+/* Asks an executor's owner to start a task whose placement is committed. */
 struct start_order {
     int64_t shard, shard_epoch, home_epoch, incarnation;
     char *executor;
     struct exec_start start;
 };
+/* Asks an executor's owner for the state of tasks, to stop them, or to let held ones run. */
 struct check {
     int64_t shard, shard_epoch, home_epoch, incarnation;
     char *executor;
@@ -94,10 +110,13 @@
     int64_t n_tasks;
 };
 
-enum check_state { CHECK_UNKNOWN, CHECK_RESERVED, CHECK_WAITS, CHECK_HELD, CHECK_RUNS, CHECK_ENDED, CHECK_GONE };
+/* State of a task at the executor's owner. UNKNOWN: no allocation; RUNNING: or stopping; LOST: no allocation, and all
+ * leases granted by earlier owners have expired. Values go over the wire. */
+enum check_state { CHECK_UNKNOWN, CHECK_RESERVED, CHECK_STARTING, CHECK_HELD, CHECK_RUNNING, CHECK_ENDED, CHECK_LOST };
 struct checked_task {
     int64_t job, no, attempt, state;
 };
+/* Response to a check; also sent without one when a gang member becomes or ceases to be held. */
 struct checked {
     int64_t home_epoch, incarnation;
     char *executor;
@@ -105,7 +124,17 @@
     int64_t n_tasks;
 };
 
-enum outcome { OUT_DONE, OUT_FAILED, OUT_STOPPED, OUT_LAPSED, OUT_UNSTARTED, OUT_GONE };
+/* How an attempt ended. LEASE_EXPIRED: its executor stopped it for want of a lease; NOT_STARTED: it never ran and never
+ * will; LOST: the outcome is unknown, but it runs no longer. Values go over the wire. */
+enum outcome {
+    OUTCOME_DONE,
+    OUTCOME_FAILED,
+    OUTCOME_STOPPED,
+    OUTCOME_LEASE_EXPIRED,
+    OUTCOME_NOT_STARTED,
+    OUTCOME_LOST
+};
+/* Tells a shard's owner that an attempt ended, repeated until acknowledged; sent back as the acknowledgement. */
 struct ended {
     int64_t job, no, attempt, outcome;
     char *executor, *why;
@@ -114,73 +143,102 @@
 extern const struct schema room_schema, rooms_msg_schema, reserve_schema, reserved_schema, start_order_schema,
     check_schema, checked_schema, ended_schema;
 
-/* --- the account --------------------------------------------------------- */
+/* --- allocations ----------------------------------------------------------- */
 
-enum account_state { ACC_RESERVED, ACC_STARTING, ACC_HELD, ACC_RUNNING, ACC_STOPPING, ACC_ENDED };
+enum allocation_state { ACC_RESERVED, ACC_STARTING, ACC_HELD, ACC_RUNNING, ACC_STOPPING, ACC_ENDED };
 
-/* Invariant: a row holds its room from the reservation until the executor
- * says it has ended, stops included. */
+/* Capacity of an executor that is allocated to a task. Invariant: the capacity counts as used from the reservation
+ * until the executor reports the end of the task, also while the task is being stopped. */
 struct account {
     struct task_ref ref;
-    int64_t state, since_ms, lease_ms, in_state, outcome, told_ms, stop_asked, go_asked;
-    int64_t progress, still_ms, marked_ms, stall_ms, stalled; /* how long no progress was seen */
-    int64_t offered_ticket;   /* the newest ticket its start went out with; 0: it never did */
-    struct exec_start *start; /* while ACC_STARTING */
-    char *why;
-};
-
-/* Invariants: epoch never falls; opened only after the executor answered
- * under this epoch; ticket_ms is when we got the ticket we use, so every
- * lease given with it ends before ticket_ms + lease on any clock. */
+    /* state: enum allocation_state; since_ms: when it was reserved or its start ordered; reported_serial: serial of the
+     * newest state of the executor that lists the task; outcome: enum outcome, of ACC_ENDED; ended_sent_ms: when the
+     * end was last sent to the shard's owner */
+    int64_t state, since_ms, lease_ms, reported_serial, outcome, ended_sent_ms, stop_requested, go_requested;
+    /* stalled_ms: how long no progress was observed, at most stall_ms; stalled: it is being stopped for that */
+    int64_t progress, stalled_ms, progress_checked_ms, stall_ms, stalled;
+    int64_t sent_ticket;      /* ticket of the newest orders with its start; 0: not sent yet */
+    struct exec_start *start; /* used while ACC_STARTING */
+    char *why;                /* of ACC_ENDED */
+};
+
+/* Owner of one executor. opened: the executor's state is known and orders may be sent; dirty: send orders at the next
+ * tick; silent: the executor does not answer calls; leases_expired: it has been without contact for longer than any
+ * lease, so nothing runs there any more.
+ * Invariants: epoch never falls; opened is set only after the executor answered a call under this epoch; ticket_ms is
+ * when the ticket in use was received, so every lease granted with it ends before ticket_ms + lease on any clock. */
 struct home {
     char *name;
-    int64_t epoch, held, opened, started_ms;
-    struct exec_state state;
-    int64_t addr, incarnation, serial, ticket_ms, heard_ms, leave_ms;
-    /* the most urgent reservation lately denied for lack of room */
-    int64_t want_urgency, want_cores, want_mb, want_until_ms;
-    int64_t calling, call_due_ms, dirty, silent, gone, misses;
-    struct account *rows;
+    int64_t epoch, acks_in_flight, opened, started_ms; /* acks_in_flight: how many acks the current call contains */
+    struct exec_state state;                           /* the newest received */
+    int64_t addr, incarnation, serial, ticket_ms, last_response_ms, leave_ms;
+    /* the most urgent reservation recently denied for lack of capacity: its capacity is kept until denied_until_ms */
+    int64_t denied_urgency, denied_cores, denied_mb, denied_until_ms;
+    int64_t call_in_flight, next_call_ms, dirty, silent, leases_expired, failed_calls;
+    struct account *rows; /* the executor's allocations */
     int64_t n_rows;
     struct exec_renew *acks;
     int64_t n_acks;
-    int64_t shard_epochs[64];
-    /* health by outcomes */
-    uint64_t window;
-    int64_t window_n, quarantine_until_ms, quarantines, probation;
+    int64_t shard_epochs[64]; /* highest epoch received from the owner of each shard */
+    uint64_t recent_outcomes; /* a bit each, the newest is the lowest; 1: failed */
+    /* quarantines: how many in a row; probation: tasks that must still succeed before it ends */
+    int64_t n_recent_outcomes, quarantine_until_ms, quarantines, probation;
 };
 
 struct node;
+/* The owner of the executor of this name, NULL: this node is not. */
 struct home *home_find(struct node *node, const char *name);
+/* Makes this node the owner of the executor under epoch, in place of any ownership under a lower one. */
 struct home *home_take_duty(struct node *node, const char *name, int64_t epoch);
-void home_drop(struct node *node, struct home *home);
+/* Gives up the ownership and frees owner. */
+void home_drop(struct node *node, struct home *owner);
+/* To be called on each tick: checks leases and silence, repeats messages, sends orders and executor views. */
 void homes_on_timer(struct node *node);
+/* Frees all owners of the node. */
 void homes_end(struct node *node);
+/* Answers POST /v1/executors/report, a state sent by an executor itself. */
 void home_report(struct node *node, int64_t request, const char *body, int64_t len);
-void home_on_reserve(struct node *node, int64_t from, const struct reserve *m);
-void home_on_release(struct node *node, int64_t from, const struct reserve *m);
-void home_on_start(struct node *node, int64_t from, struct start_order *m);
-void home_on_stop(struct node *node, int64_t from, const struct check *m);
-void home_on_go(struct node *node, const struct check *m);
-int64_t account_check_state(const struct account *row);
-void home_on_check(struct node *node, int64_t from, const struct check *m);
-void home_on_ended_ack(struct node *node, const struct ended *m);
+/* Handle messages from shard owners. home_on_start() takes over the start order's strings. */
+void home_on_reserve(struct node *node, int64_t from, const struct reserve *message);
+void home_on_release(struct node *node, int64_t from, const struct reserve *message);
+void home_on_start(struct node *node, int64_t from, struct start_order *message);
+void home_on_stop(struct node *node, int64_t from, const struct check *message);
+void home_on_go(struct node *node, const struct check *message);
+/* State of an allocation as an enum check_state. */
+int64_t allocation_check_state(const struct account *allocation);
+void home_on_check(struct node *node, int64_t from, const struct check *message);
+void home_on_ended_ack(struct node *node, const struct ended *message);
 
 /* home_account.c */
-struct account *account_find(struct home *home, int64_t job, int64_t no, int64_t attempt);
-void account_free(struct account *row);
-void account_remove(struct home *home, struct account *row);
-void account_room(const struct home *home, int64_t *cores, int64_t *mem_mb);
-void account_merge(struct node *node, struct home *home);
-void account_all_gone(struct node *node, struct home *home, const char *why);
-void account_end(struct node *node, struct home *home, struct account *row, int64_t outcome, const char *why);
-int outcome_of(const char *text);
+/* NULL: none. Pointers to allocations are valid until one is added or removed. */
+struct account *allocation_find(struct home *owner, int64_t job, int64_t no, int64_t attempt);
+/* Frees what the allocation owns; allocation_remove() also takes it from the list. */
+void allocation_free(struct account *allocation);
+void allocation_remove(struct home *owner, struct account *allocation);
+/* Capacity that can still be reserved; negative after the executor gave some to other work. */
+void allocations_free_capacity(const struct home *owner, int64_t *cores, int64_t *mem_mb);
+/* Updates the allocations from the executor's state. */
+void allocations_reconcile(struct node *node, struct home *owner);
+/* Ends all allocations whose start was ordered as OUTCOME_LOST. */
+void allocations_end_all(struct node *node, struct home *owner, const char *why);
+/* Ends an allocation; does nothing if it has ended. */
+void allocation_end(struct node *node, struct home *owner, struct account *allocation, int64_t outcome,
+                    const char *why);
+/* The outcome of this outer name, OUTCOME_LOST for any other text. */
+int outcome_parse(const char *text);
 
 /* home_orders.c */
-void home_take_state(struct node *node, struct home *home, struct exec_state *state, int answered);
-void home_call(struct node *node, struct home *home);
-void home_health(struct node *node, struct home *home, int64_t outcome);
-void home_shut_out(struct node *node, struct home *home); /* for quarantine_ms, unless half of its kind is */
-int64_t home_room_state(struct node *node, struct home *home);
-void home_tell_rooms(struct node *node);
+/* Takes over a state of the executor unless it is older than the current one. is_response: it answers a call of this
+ * owner, so it is not a report. */
+void executor_owner_apply_state(struct node *node, struct home *owner, struct exec_state *state, int is_response);
+/* Calls the executor with its orders if some are pending or a heartbeat is due, one call at a time. */
+void executor_owner_send_orders(struct node *node, struct home *owner);
+/* Counts an outcome and may quarantine the executor. */
+void executor_owner_count_outcome(struct node *node, struct home *owner, int64_t outcome);
+/* Quarantines the executor, unless half of the executors of its kind are quarantined or on probation. */
+void executor_owner_quarantine(struct node *node, struct home *owner);
+/* The executor's enum room_state. */
+int64_t executor_owner_view_state(struct node *node, struct home *owner);
+/* Sends views of this node's executors to other nodes. */
+void executor_views_send(struct node *node);
 #endif
--- a/src/home/home_account.c
+++ b/src/home/home_account.c
@@ -1,4 +1,4 @@
-/* The room account: reservations, starts, running and stopping work. */
+/* Allocations of an executor: capacity that is reserved or used by its tasks, and the state of those tasks. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -6,185 +6,195 @@
 #include "home/home.h"
 #include "node/node.h"
 
-enum { STILL_STEP_MS = 2000 };
+enum { STALL_STEP_MAX_MS = 2000 };
 
-void account_free(struct account *row)
+void allocation_free(struct account *allocation)
 {
-    if (row->start) {
-        free(row->start->service);
-        free(row->start->queue);
-        free(row->start->kind);
-        free(row->start->payload);
-        free(row->start);
+    if (allocation->start) {
+        free(allocation->start->service);
+        free(allocation->start->queue);
+        free(allocation->start->kind);
+        free(allocation->start->payload);
+        free(allocation->start);
     }
-    free(row->why);
+    free(allocation->why);
 }
 
-void account_remove(struct home *home, struct account *row)
+void allocation_remove(struct home *owner, struct account *allocation)
 {
-    account_free(row);
-    *row = home->rows[--home->n_rows];
+    allocation_free(allocation);
+    *allocation = owner->rows[--owner->n_rows];
 }
 
-struct account *account_find(struct home *home, int64_t job, int64_t no, int64_t attempt)
+struct account *allocation_find(struct home *owner, int64_t job, int64_t no, int64_t attempt)
 {
-    for (int64_t i = 0; i < home->n_rows; i++) {
-        const struct task_ref *ref = &home->rows[i].ref;
+    for (int64_t i = 0; i < owner->n_rows; i++) {
+        const struct task_ref *ref = &owner->rows[i].ref;
         if (ref->job == job && ref->no == no && ref->attempt == attempt)
-            return &home->rows[i];
+            return &owner->rows[i];
     }
     return NULL;
 }
 
-/* What may still be reserved: never more than the whole less all we hold, nor
- * more than the executor said was free less what it had not counted yet. */
-void account_room(const struct home *home, int64_t *cores, int64_t *mem_mb)
+/* The smaller of two figures: the executor's whole capacity less all allocations; and the free capacity that it
+ * reported, less the allocations that are not in that report. */
+void allocations_free_capacity(const struct home *owner, int64_t *cores, int64_t *mem_mb)
 {
-    const struct exec_state *s = &home->state;
-    int64_t whole_cores = s->cores, whole_mb = s->mem_mb, free_cores = s->free_cores, free_mb = s->free_mb;
-    for (int64_t i = 0; i < home->n_rows; i++) {
-        const struct account *row = &home->rows[i];
-        if (row->state == ACC_ENDED)
+    const struct exec_state *state = &owner->state;
+    int64_t whole_cores = state->cores, whole_mb = state->mem_mb, free_cores = state->free_cores,
+            free_mb = state->free_mb;
+    for (int64_t i = 0; i < owner->n_rows; i++) {
+        const struct account *allocation = &owner->rows[i];
+        if (allocation->state == ACC_ENDED)
             continue;
-        whole_cores -= row->ref.cores;
-        whole_mb -= row->ref.mem_mb;
-        if (row->in_state != home->serial) {
-            free_cores -= row->ref.cores;
-            free_mb -= row->ref.mem_mb;
+        whole_cores -= allocation->ref.cores;
+        whole_mb -= allocation->ref.mem_mb;
+        if (allocation->reported_serial != owner->serial) {
+            free_cores -= allocation->ref.cores;
+            free_mb -= allocation->ref.mem_mb;
         }
     }
     *cores = whole_cores < free_cores ? whole_cores : free_cores;
     *mem_mb = whole_mb < free_mb ? whole_mb : free_mb;
 }
 
-int64_t account_check_state(const struct account *row)
+int64_t allocation_check_state(const struct account *allocation)
 {
     static const int64_t states[] = {
-        [ACC_RESERVED] = CHECK_RESERVED, /* its start went missing */
-        [ACC_STARTING] = CHECK_WAITS,    [ACC_HELD] = CHECK_HELD,  [ACC_RUNNING] = CHECK_RUNS,
-        [ACC_STOPPING] = CHECK_RUNS,     [ACC_ENDED] = CHECK_ENDED};
-    return states[row->state];
+        [ACC_RESERVED] = CHECK_RESERVED, /* the start order was lost */
+        [ACC_STARTING] = CHECK_STARTING, [ACC_HELD] = CHECK_HELD,  [ACC_RUNNING] = CHECK_RUNNING,
+        [ACC_STOPPING] = CHECK_RUNNING,  [ACC_ENDED] = CHECK_ENDED};
+    return states[allocation->state];
 }
 
-/* A gang waits for this word: it is told at once, and again when asked. */
-static void tell_state(struct node *node, struct home *home, const struct account *row)
+/* Sends the task's state to the shard's owner without a check, since its gang waits for it. */
+static void send_state(struct node *node, struct home *owner, const struct account *allocation)
 {
-    struct checked_task task = {
-        .job = row->ref.job, .no = row->ref.no, .attempt = row->ref.attempt, .state = account_check_state(row)};
-    struct checked m = {.executor = home->name,
-                        .home_epoch = home->epoch,
-                        .incarnation = home->incarnation,
-                        .tasks = &task,
-                        .n_tasks = 1};
-    node_send(node, shard_owner(node, job_shard(row->ref.job)), FRAME_CHECKED, &checked_schema, &m);
+    struct checked_task task = {.job = allocation->ref.job,
+                                .no = allocation->ref.no,
+                                .attempt = allocation->ref.attempt,
+                                .state = allocation_check_state(allocation)};
+    struct checked message = {.executor = owner->name,
+                              .home_epoch = owner->epoch,
+                              .incarnation = owner->incarnation,
+                              .tasks = &task,
+                              .n_tasks = 1};
+    node_send(node, shard_owner(node, job_shard(allocation->ref.job)), FRAME_CHECKED, &checked_schema, &message);
 }
 
-int outcome_of(const char *text)
+int outcome_parse(const char *text)
 {
     static const char *const names[] = {"done", "failed", "stopped", "lapsed", "unstarted"};
     for (int i = 0; text && i < COUNT_OF(names); i++)
         if (!strcmp(text, names[i]))
             return i;
-    return OUT_GONE;
+    return OUTCOME_LOST;
 }
 
-void account_end(struct node *node, struct home *home, struct account *row, int64_t outcome, const char *why)
+void allocation_end(struct node *node, struct home *owner, struct account *allocation, int64_t outcome, const char *why)
 {
-    if (row->state == ACC_ENDED)
+    if (allocation->state == ACC_ENDED)
         return;
-    if (row->state >= ACC_STARTING)
-        home_health(node, home, outcome == OUT_STOPPED && row->stalled ? OUT_FAILED : outcome);
+    if (allocation->state >= ACC_STARTING)
+        executor_owner_count_outcome(node, owner,
+                                     outcome == OUTCOME_STOPPED && allocation->stalled ? OUTCOME_FAILED : outcome);
     static const char *const outcomes[] = {"done", "failed", "stopped", "lapsed", "unstarted", "gone"};
-    node_tell(node, row->ref.job, row->ref.no, row->ref.attempt, outcomes[outcome], home->name);
-    row->state = ACC_ENDED;
-    row->outcome = outcome;
-    row->told_ms = 0;
-    free(row->why);
-    row->why = must_dup(row->stalled && outcome == OUT_STOPPED ? "stood still and was stopped" : why);
+    node_tell(node, allocation->ref.job, allocation->ref.no, allocation->ref.attempt, outcomes[outcome], owner->name);
+    allocation->state = ACC_ENDED;
+    allocation->outcome = outcome;
+    allocation->ended_sent_ms = 0;
+    free(allocation->why);
+    allocation->why =
+        must_dup(allocation->stalled && outcome == OUTCOME_STOPPED ? "stopped for lack of progress" : why);
     node->rooms_due_ms = 0;
 }
 
-/* Another incarnation: what the former one held has stopped, its end unknown. */
-void account_all_gone(struct node *node, struct home *home, const char *why)
+/* For a new incarnation: the tasks of the former one run no longer, their outcome is unknown. */
+void allocations_end_all(struct node *node, struct home *owner, const char *why)
 {
-    for (int64_t i = 0; i < home->n_rows; i++)
-        if (home->rows[i].state > ACC_RESERVED)
-            account_end(node, home, &home->rows[i], OUT_GONE, why);
+    for (int64_t i = 0; i < owner->n_rows; i++)
+        if (owner->rows[i].state > ACC_RESERVED)
+            allocation_end(node, owner, &owner->rows[i], OUTCOME_LOST, why);
 }
 
-static struct account *adopt(struct node *node, struct home *home, const struct exec_task *t)
+static struct account *find_or_add(struct node *node, struct home *owner, const struct exec_task *task)
 {
-    struct account *row = account_find(home, t->job, t->no, t->attempt);
-    if (row)
-        return row;
-    for (int64_t i = 0; i < home->n_acks; i++)
-        if (home->acks[i].job == t->job && home->acks[i].no == t->no && home->acks[i].attempt == t->attempt)
-            return NULL; /* acknowledged, the executor does not know yet */
-    row = list_more(home->rows, home->n_rows);
-    row->ref =
-        (struct task_ref){.job = t->job, .no = t->no, .attempt = t->attempt, .cores = t->cores, .mem_mb = t->mem_mb};
-    row->state = ACC_RUNNING;
-    row->since_ms = world_ms(node->w);
-    row->lease_ms = node->root_settings.lease_ms;
-    return row;
+    struct account *allocation = allocation_find(owner, task->job, task->no, task->attempt);
+    if (allocation)
+        return allocation;
+    for (int64_t i = 0; i < owner->n_acks; i++)
+        if (owner->acks[i].job == task->job && owner->acks[i].no == task->no && owner->acks[i].attempt == task->attempt)
+            return NULL; /* acknowledged, but the executor does not know that yet */
+    allocation = list_more(owner->rows, owner->n_rows);
+    allocation->ref = (struct task_ref){
+        .job = task->job, .no = task->no, .attempt = task->attempt, .cores = task->cores, .mem_mb = task->mem_mb};
+    allocation->state = ACC_RUNNING;
+    allocation->since_ms = world_ms(node->w);
+    allocation->lease_ms = node->root_settings.lease_ms;
+    return allocation;
 }
 
-/* Judged by progress, over what was seen of it, so that a sleep of the executor or
- * a silence of ours is not taken for a standstill. */
-static void watch_progress(struct node *node, struct home *home, struct account *row, int64_t progress)
+/* Stops a task that reports no progress for stall_ms. Each state received adds at most STALL_STEP_MAX_MS, so that a
+ * time in which the executor slept or no state was received does not count. */
+static void check_progress(struct node *node, struct home *owner, struct account *allocation, int64_t progress)
 {
-    int64_t now_ms = world_ms(node->w), since_ms = now_ms - row->marked_ms;
-    int first = !row->marked_ms;
-    row->marked_ms = now_ms;
-    if (first || progress > row->progress || progress < 0) {
-        row->progress = progress;
-        row->still_ms = 0;
+    int64_t now_ms = world_ms(node->w), since_ms = now_ms - allocation->progress_checked_ms;
+    int first = !allocation->progress_checked_ms;
+    allocation->progress_checked_ms = now_ms;
+    if (first || progress > allocation->progress || progress < 0) {
+        allocation->progress = progress;
+        allocation->stalled_ms = 0;
         return;
     }
-    row->still_ms += since_ms < STILL_STEP_MS ? since_ms : STILL_STEP_MS;
-    if (row->still_ms < (row->stall_ms ? row->stall_ms : node->root_settings.stall_ms) || row->stop_asked)
+    allocation->stalled_ms += since_ms < STALL_STEP_MAX_MS ? since_ms : STALL_STEP_MAX_MS;
+    if (allocation->stalled_ms < (allocation->stall_ms ? allocation->stall_ms : node->root_settings.stall_ms) ||
+        allocation->stop_requested)
         return;
-    world_note(node->w, EV_TASK_STILL, "executor=%s job=%lld no=%lld stillMs=%lld", home->name, (long long)row->ref.job,
-               (long long)row->ref.no, (long long)row->still_ms);
-    node_tell(node, row->ref.job, row->ref.no, row->ref.attempt, "stands still, stop ordered", home->name);
-    row->stalled = row->stop_asked = 1;
-    home->dirty = 1;
-    home_shut_out(node, home);
+    world_note(node->w, EV_TASK_STILL, "executor=%s job=%lld no=%lld stillMs=%lld", owner->name,
+               (long long)allocation->ref.job, (long long)allocation->ref.no, (long long)allocation->stalled_ms);
+    node_tell(node, allocation->ref.job, allocation->ref.no, allocation->ref.attempt, "no progress, stop ordered",
+              owner->name);
+    allocation->stalled = allocation->stop_requested = 1;
+    owner->dirty = 1;
+    executor_owner_quarantine(node, owner);
 }
 
-/* Folds the executor's own lists into the account. */
-void account_merge(struct node *node, struct home *home)
+void allocations_reconcile(struct node *node, struct home *owner)
 {
-    const struct exec_state *s = &home->state;
-    for (int64_t i = 0; i < s->n_running; i++) {
-        struct account *row = adopt(node, home, &s->running[i]);
-        if (!row || row->state == ACC_ENDED)
+    const struct exec_state *state = &owner->state;
+    for (int64_t i = 0; i < state->n_running; i++) {
+        struct account *allocation = find_or_add(node, owner, &state->running[i]);
+        if (!allocation || allocation->state == ACC_ENDED)
             continue;
-        row->in_state = home->serial;
-        const char *now = s->running[i].state ? s->running[i].state : "";
-        int64_t was = row->state;
-        row->state = !strcmp(now, "held") ? ACC_HELD : !strcmp(now, "stopping") ? ACC_STOPPING : ACC_RUNNING;
-        if (row->state == ACC_RUNNING)
-            watch_progress(node, home, row, s->running[i].progress);
-        if (row->state != was)
-            node_tell(node, row->ref.job, row->ref.no, row->ref.attempt, now[0] == 'h' ? "held" : "running",
-                      home->name);
-        if (row->state != was && (row->state == ACC_HELD || was == ACC_HELD))
-            tell_state(node, home, row);
+        allocation->reported_serial = owner->serial;
+        const char *reported = state->running[i].state ? state->running[i].state : "";
+        int64_t old_state = allocation->state;
+        allocation->state = !strcmp(reported, "held")       ? ACC_HELD
+                            : !strcmp(reported, "stopping") ? ACC_STOPPING
+                                                            : ACC_RUNNING;
+        if (allocation->state == ACC_RUNNING)
+            check_progress(node, owner, allocation, state->running[i].progress);
+        if (allocation->state != old_state)
+            node_tell(node, allocation->ref.job, allocation->ref.no, allocation->ref.attempt,
+                      reported[0] == 'h' ? "held" : "running", owner->name);
+        if (allocation->state != old_state && (allocation->state == ACC_HELD || old_state == ACC_HELD))
+            send_state(node, owner, allocation);
     }
-    for (int64_t i = 0; i < s->n_ended; i++) {
-        struct account *row = adopt(node, home, &s->ended[i]);
-        if (!row)
+    for (int64_t i = 0; i < state->n_ended; i++) {
+        struct account *allocation = find_or_add(node, owner, &state->ended[i]);
+        if (!allocation)
             continue;
-        row->in_state = home->serial;
-        account_end(node, home, row, outcome_of(s->ended[i].state), s->ended[i].why);
+        allocation->reported_serial = owner->serial;
+        allocation_end(node, owner, allocation, outcome_parse(state->ended[i].state), state->ended[i].why);
     }
-    for (int64_t i = 0; i < home->n_rows; i++) {
-        struct account *row = &home->rows[i];
-        if (row->state >= ACC_HELD && row->state < ACC_ENDED && row->in_state != home->serial)
-            account_end(node, home, row, OUT_GONE, "the executor no longer knows it");
-        /* It speaks and does not hear: a start that went out with an older ticket is refused by now. */
-        if (row->state == ACC_STARTING && home->silent && s->ticket > row->offered_ticket + row->lease_ms)
-            account_end(node, home, row, OUT_UNSTARTED, "its start never arrived");
+    for (int64_t i = 0; i < owner->n_rows; i++) {
+        struct account *allocation = &owner->rows[i];
+        if (allocation->state >= ACC_HELD && allocation->state < ACC_ENDED &&
+            allocation->reported_serial != owner->serial)
+            allocation_end(node, owner, allocation, OUTCOME_LOST, "the executor no longer knows it");
+        /* The executor reports but does not answer calls: by this ticket it would refuse the start if it got it. */
+        if (allocation->state == ACC_STARTING && owner->silent &&
+            state->ticket > allocation->sent_ticket + allocation->lease_ms)
+            allocation_end(node, owner, allocation, OUTCOME_NOT_STARTED, "its start never arrived");
     }
 }
--- a/src/home/home_orders.c
+++ b/src/home/home_orders.c
@@ -1,5 +1,5 @@
-/* Speaking with the executor: one call at a time, everything in it may be
- * repeated; what it answers is its whole state. */
+/* Calls to the executor with its orders, its state in response, its health, and the views of executors sent to other
+ * nodes. At most one call is in flight; orders may be repeated, and each response is the executor's whole state. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -9,189 +9,199 @@
 #include "home/home.h"
 #include "node/node.h"
 
-enum { CALL_MS = 1000, BEAT_MS = 400, ROOMS_MS = 300, ROOMS_ALL_MS = 5000, ROOMS_EACH_MS = 100, STARTS_A_CALL = 64 };
+enum {
+    CALL_TIMEOUT_MS = 1000,
+    HEARTBEAT_MS = 400,
+    VIEWS_INTERVAL_MS = 300,
+    VIEWS_TO_ALL_MIN_MS = 5000,
+    VIEWS_TO_ALL_PER_PEER_MS = 100,
+    STARTS_PER_CALL_MAX = 64
+};
 
 /* --- health ------------------------------------------------------------------------- */
 
-static int64_t others_quarantined(struct node *node, const char *kind, int64_t *all)
+static int64_t count_quarantined(struct node *node, const char *kind, int64_t *total)
 {
     int64_t n = 0;
     for (int64_t i = 0; i < node->n_rooms; i++) {
         if (strcmp(node->rooms[i].kind, kind))
             continue;
-        *all += 1;
+        *total += 1;
         n += node->rooms[i].state == ROOM_QUARANTINE || node->rooms[i].state == ROOM_PROBATION;
     }
     return n;
 }
 
-/* Judged by outcomes alone. Where half of a kind looks ill it is the work, not
- * the executors, and nobody more is shut out. */
-void home_health(struct node *node, struct home *home, int64_t outcome)
+/* Judges by outcomes alone. Once half of the executors of a kind are quarantined, the cause is taken to be the work
+ * rather than the executors, and executor_owner_quarantine() does nothing. */
+void executor_owner_count_outcome(struct node *node, struct home *owner, int64_t outcome)
 {
-    const struct settings *p = &node->root_settings;
-    int64_t bad = 0;
-    if (outcome != OUT_DONE && outcome != OUT_FAILED)
+    const struct settings *settings = &node->root_settings;
+    int64_t failures = 0;
+    if (outcome != OUTCOME_DONE && outcome != OUTCOME_FAILED)
         return;
-    home->window = home->window << 1 | (outcome == OUT_FAILED);
-    if (home->window_n < p->quarantine_window)
-        home->window_n++;
-    if (outcome == OUT_DONE && home->probation > 0 && --home->probation == 0)
-        home->window = home->window_n = home->quarantines = 0;
-    for (int64_t i = 0; i < home->window_n; i++)
-        bad += (int64_t)((home->window >> i) & 1);
-    int again = home->probation > 0 && outcome == OUT_FAILED;
-    if (!again && (home->window_n < p->quarantine_window / 2 || bad * 100 < home->window_n * p->quarantine_pct))
+    owner->recent_outcomes = owner->recent_outcomes << 1 | (outcome == OUTCOME_FAILED);
+    if (owner->n_recent_outcomes < settings->quarantine_window)
+        owner->n_recent_outcomes++;
+    if (outcome == OUTCOME_DONE && owner->probation > 0 && --owner->probation == 0)
+        owner->recent_outcomes = owner->n_recent_outcomes = owner->quarantines = 0;
+    for (int64_t i = 0; i < owner->n_recent_outcomes; i++)
+        failures += (int64_t)((owner->recent_outcomes >> i) & 1);
+    int failed_on_probation = owner->probation > 0 && outcome == OUTCOME_FAILED;
+    if (!failed_on_probation && (owner->n_recent_outcomes < settings->quarantine_window / 2 ||
+                                 failures * 100 < owner->n_recent_outcomes * settings->quarantine_pct))
         return;
-    home_shut_out(node, home);
+    executor_owner_quarantine(node, owner);
 }
 
-void home_shut_out(struct node *node, struct home *home)
+void executor_owner_quarantine(struct node *node, struct home *owner)
 {
-    const struct settings *p = &node->root_settings;
-    int64_t all = 0;
-    if (!home->state.kind || others_quarantined(node, home->state.kind, &all) * 2 >= all ||
-        world_ms(node->w) < home->quarantine_until_ms)
+    const struct settings *settings = &node->root_settings;
+    int64_t total = 0;
+    if (!owner->state.kind || count_quarantined(node, owner->state.kind, &total) * 2 >= total ||
+        world_ms(node->w) < owner->quarantine_until_ms)
         return;
-    /* each time in a row twice as long, up to eight times */
-    int64_t for_ms = p->quarantine_ms << (home->quarantines < 3 ? home->quarantines : 3);
-    home->quarantines++;
-    home->quarantine_until_ms = world_ms(node->w) + for_ms;
-    home->probation = p->probation_tasks;
-    home->window = 0;
-    home->window_n = 0;
-    world_note(node->w, EV_QUARANTINE, "executor=%s forMs=%lld", home->name, (long long)for_ms);
+    /* doubled for each quarantine in a row, up to 8 times quarantine_ms */
+    int64_t duration_ms = settings->quarantine_ms << (owner->quarantines < 3 ? owner->quarantines : 3);
+    owner->quarantines++;
+    owner->quarantine_until_ms = world_ms(node->w) + duration_ms;
+    owner->probation = settings->probation_tasks;
+    owner->recent_outcomes = 0;
+    owner->n_recent_outcomes = 0;
+    world_note(node->w, EV_QUARANTINE, "executor=%s forMs=%lld", owner->name, (long long)duration_ms);
 }
 
-int64_t home_room_state(struct node *node, struct home *home)
+int64_t executor_owner_view_state(struct node *node, struct home *owner)
 {
-    if (!home->opened)
+    if (!owner->opened)
         return ROOM_CLOSED;
-    if (home->state.leaving)
+    if (owner->state.leaving)
         return ROOM_LEAVING;
-    if (home->silent)
+    if (owner->silent)
         return ROOM_SILENT;
-    if (world_ms(node->w) < home->quarantine_until_ms)
+    if (world_ms(node->w) < owner->quarantine_until_ms)
         return ROOM_QUARANTINE;
-    return home->probation > 0 ? ROOM_PROBATION : ROOM_OPEN;
+    return owner->probation > 0 ? ROOM_PROBATION : ROOM_OPEN;
 }
 
 /* --- state ----------------------------------------------------------------------------- */
 
-/* answered: it came as the answer to our own call, not as a report. */
-void home_take_state(struct node *node, struct home *home, struct exec_state *state, int answered)
+void executor_owner_apply_state(struct node *node, struct home *owner, struct exec_state *state, int is_response)
 {
     int64_t now_ms = world_ms(node->w);
-    if (state->incarnation < home->incarnation ||
-        (state->incarnation == home->incarnation && state->serial <= home->serial))
+    if (state->incarnation < owner->incarnation ||
+        (state->incarnation == owner->incarnation && state->serial <= owner->serial))
         return;
-    if (state->incarnation > home->incarnation && home->incarnation) {
-        account_all_gone(node, home, "the executor came back anew");
-        home->opened = 0;
-        home->n_acks = 0;
-        home->serial = 0;
-        home->window = 0;
-        home->window_n = 0;
+    if (state->incarnation > owner->incarnation && owner->incarnation) {
+        allocations_end_all(node, owner, "the executor was restarted");
+        owner->opened = 0;
+        owner->n_acks = 0;
+        owner->serial = 0;
+        owner->recent_outcomes = 0;
+        owner->n_recent_outcomes = 0;
     }
-    if (state->leaving && !home->state.leaving)
-        world_note(node->w, EV_EXECUTOR_LEAVING, "executor=%s inMs=%lld", home->name, (long long)state->leaving_in_ms);
-    if (state->epoch > home->epoch)
-        return; /* another home speaks with it under a higher epoch */
-    schema_free(&exec_state_schema, &home->state);
-    home->state = *state;
-    home->leave_ms = state->leaving ? node_fleet_ms(node) + (state->leaving_in_ms > 0 ? state->leaving_in_ms : 0) : 0;
+    if (state->leaving && !owner->state.leaving)
+        world_note(node->w, EV_EXECUTOR_LEAVING, "executor=%s inMs=%lld", owner->name, (long long)state->leaving_in_ms);
+    if (state->epoch > owner->epoch)
+        return; /* it has an owner of a higher epoch */
+    schema_free(&exec_state_schema, &owner->state);
+    owner->state = *state;
+    owner->leave_ms = state->leaving ? node_fleet_ms(node) + (state->leaving_in_ms > 0 ? state->leaving_in_ms : 0) : 0;
     memset(state, 0, sizeof *state);
-    home->incarnation = home->state.incarnation;
-    home->serial = home->state.serial;
-    home->addr = (int64_t)addr_parse(home->state.address);
-    home->ticket_ms = now_ms;
-    if (answered) {
-        home->heard_ms = now_ms;
-        home->misses = 0;
+    owner->incarnation = owner->state.incarnation;
+    owner->serial = owner->state.serial;
+    owner->addr = (int64_t)addr_parse(owner->state.address);
+    owner->ticket_ms = now_ms;
+    if (is_response) {
+        owner->last_response_ms = now_ms;
+        owner->failed_calls = 0;
     }
-    if (home->state.epoch == home->epoch && !home->opened && answered) {
-        home->opened = 1;
-        world_note(node->w, EV_HOME_OPEN, "executor=%s epoch=%lld incarnation=%lld running=%lld", home->name,
-                   (long long)home->epoch, (long long)home->incarnation, (long long)home->state.n_running);
+    if (owner->state.epoch == owner->epoch && !owner->opened && is_response) {
+        owner->opened = 1;
+        world_note(node->w, EV_HOME_OPEN, "executor=%s epoch=%lld incarnation=%lld running=%lld", owner->name,
+                   (long long)owner->epoch, (long long)owner->incarnation, (long long)owner->state.n_running);
     }
-    if (home->opened)
-        account_merge(node, home);
+    if (owner->opened)
+        allocations_reconcile(node, owner);
     else
-        home->dirty = 1;
+        owner->dirty = 1;
     node->rooms_due_ms = node->rooms_due_ms > now_ms + 30 ? now_ms + 30 : node->rooms_due_ms;
 }
 
-static void answered(void *arg, int64_t tag, int status, const char *body, int64_t len)
+static void on_orders_response(void *arg, int64_t tag, int status, const char *body, int64_t len)
 {
     struct node *node = arg;
     struct exec_state state = {0};
     struct validation_error validation_error;
-    struct home *home = NULL;
-    /* the home may have moved away meanwhile: found again by its epoch and name */
+    struct home *owner = NULL;
+    /* the tag is a hash of the executor's name: this node may have lost its ownership meanwhile */
     for (int64_t i = 0; i < node->n_homes; i++)
         if ((int64_t)(hash_text(node->homes[i]->name) >> 8) == (tag & ((1LL << 56) - 1)))
-            home = node->homes[i];
-    if (!home)
+            owner = node->homes[i];
+    if (!owner)
         return;
-    home->calling = 0;
+    owner->call_in_flight = 0;
     if (!status || schema_from_text(&exec_state_schema, &state, body, len, &validation_error)) {
-        home->call_due_ms = world_ms(node->w) + BEAT_MS / 2;
-        home->misses++;
+        owner->next_call_ms = world_ms(node->w) + HEARTBEAT_MS / 2;
+        owner->failed_calls++;
         return;
     }
-    if (!strcmp(state.name, home->name)) {
-        /* what was acknowledged in this call is forgotten over there */
-        if (status == 200 && state.epoch == home->epoch) {
-            int64_t told = home->held < home->n_acks ? home->held : home->n_acks;
-            home->n_acks -= told;
-            if (home->n_acks)
-                memmove(home->acks, home->acks + told, sizeof *home->acks * (size_t)home->n_acks);
-            home->held = 0;
+    if (!strcmp(state.name, owner->name)) {
+        /* the executor has forgotten the ended tasks that this call acknowledged */
+        if (status == 200 && state.epoch == owner->epoch) {
+            int64_t n_acked = owner->acks_in_flight < owner->n_acks ? owner->acks_in_flight : owner->n_acks;
+            owner->n_acks -= n_acked;
+            if (owner->n_acks)
+                memmove(owner->acks, owner->acks + n_acked, sizeof *owner->acks * (size_t)owner->n_acks);
+            owner->acks_in_flight = 0;
         }
-        home_take_state(node, home, &state, 1);
+        executor_owner_apply_state(node, owner, &state, 1);
     }
     schema_free(&exec_state_schema, &state);
 }
 
-void home_call(struct node *node, struct home *home)
+void executor_owner_send_orders(struct node *node, struct home *owner)
 {
     int64_t now_ms = world_ms(node->w);
-    if (home->calling || !home->addr || (!home->dirty && now_ms < home->call_due_ms))
+    if (owner->call_in_flight || !owner->addr || (!owner->dirty && now_ms < owner->next_call_ms))
         return;
     struct exec_orders orders = {.cluster = node->cluster_name,
                                  .home = (char *)(uintptr_t)addr_text(node->w->http_addr),
-                                 .epoch = home->epoch,
-                                 .incarnation = home->incarnation,
-                                 .ticket = home->state.ticket,
-                                 .acks = home->acks,
-                                 .n_acks = home->n_acks};
-    for (int64_t i = 0; i < home->n_rows && home->opened; i++) {
-        struct account *row = &home->rows[i];
-        struct exec_renew at = {
-            .job = row->ref.job, .no = row->ref.no, .attempt = row->ref.attempt, .lease_ms = row->lease_ms};
-        if (row->state == ACC_STARTING && !row->stop_asked && !home->silent && orders.n_starts < STARTS_A_CALL) {
-            *list_more(orders.starts, orders.n_starts) = *row->start;
-            row->offered_ticket = orders.ticket;
-        } else if (row->stop_asked && row->state >= ACC_STARTING && row->state < ACC_ENDED)
-            *list_more(orders.stops, orders.n_stops) = at;
-        else if (row->state == ACC_RUNNING || row->state == ACC_HELD)
-            *list_more(orders.renews, orders.n_renews) = at;
-        if (row->state == ACC_HELD && row->go_asked && !row->stop_asked)
-            *list_more(orders.goes, orders.n_goes) = at;
+                                 .epoch = owner->epoch,
+                                 .incarnation = owner->incarnation,
+                                 .ticket = owner->state.ticket,
+                                 .acks = owner->acks,
+                                 .n_acks = owner->n_acks};
+    for (int64_t i = 0; i < owner->n_rows && owner->opened; i++) {
+        struct account *allocation = &owner->rows[i];
+        struct exec_renew order = {.job = allocation->ref.job,
+                                   .no = allocation->ref.no,
+                                   .attempt = allocation->ref.attempt,
+                                   .lease_ms = allocation->lease_ms};
+        if (allocation->state == ACC_STARTING && !allocation->stop_requested && !owner->silent &&
+            orders.n_starts < STARTS_PER_CALL_MAX) {
+            *list_more(orders.starts, orders.n_starts) = *allocation->start;
+            allocation->sent_ticket = orders.ticket;
+        } else if (allocation->stop_requested && allocation->state >= ACC_STARTING && allocation->state < ACC_ENDED)
+            *list_more(orders.stops, orders.n_stops) = order;
+        else if (allocation->state == ACC_RUNNING || allocation->state == ACC_HELD)
+            *list_more(orders.renews, orders.n_renews) = order;
+        if (allocation->state == ACC_HELD && allocation->go_requested && !allocation->stop_requested)
+            *list_more(orders.goes, orders.n_goes) = order;
     }
     char *body = schema_to_text(&exec_orders_schema, &orders);
-    home->held = home->n_acks;
-    home->calling = 1;
-    home->dirty = 0;
-    home->call_due_ms = now_ms + BEAT_MS;
-    node->w->calls->call(node->w, &(struct http_call){.to = (uint64_t)home->addr,
+    owner->acks_in_flight = owner->n_acks;
+    owner->call_in_flight = 1;
+    owner->dirty = 0;
+    owner->next_call_ms = now_ms + HEARTBEAT_MS;
+    node->w->calls->call(node->w, &(struct http_call){.to = (uint64_t)owner->addr,
                                                       .method = "POST",
                                                       .path = "/v1/orders",
                                                       .body = body,
-                                                      .wait_ms = CALL_MS,
-                                                      .done = answered,
+                                                      .wait_ms = CALL_TIMEOUT_MS,
+                                                      .done = on_orders_response,
                                                       .arg = node,
-                                                      .tag = (int64_t)(hash_text(home->name) >> 8)});
+                                                      .tag = (int64_t)(hash_text(owner->name) >> 8)});
     free(body);
     free(orders.starts);
     free(orders.stops);
@@ -199,22 +209,23 @@
     free(orders.goes);
 }
 
-/* --- rooms ------------------------------------------------------------------------------- */
+/* --- executor views ------------------------------------------------------------------------ */
 
-/* What everybody goes by, other than how much is free just now. */
-static int64_t rooms_hash(const struct rooms_msg *m)
+/* Hash of what all nodes use of the views: not of the free capacity, which only shard owners use. */
+static int64_t views_hash(const struct rooms_msg *message)
 {
     uint64_t hash = 1;
-    for (int64_t i = 0; i < m->n; i++) {
-        const struct room *r = &m->rooms[i];
-        hash = hash_mix(hash_mix(hash, hash_text(r->executor)),
-                        (uint64_t)(r->state << 8 ^ r->epoch << 16 ^ r->incarnation));
-        hash = hash_mix(hash_mix(hash, (uint64_t)r->addr), (uint64_t)(r->cores << 20 ^ r->mem_mb ^ (r->leave_ms != 0)));
+    for (int64_t i = 0; i < message->n; i++) {
+        const struct room *view = &message->views[i];
+        hash = hash_mix(hash_mix(hash, hash_text(view->executor)),
+                        (uint64_t)(view->state << 8 ^ view->epoch << 16 ^ view->incarnation));
+        hash = hash_mix(hash_mix(hash, (uint64_t)view->addr),
+                        (uint64_t)(view->cores << 20 ^ view->mem_mb ^ (view->leave_ms != 0)));
     }
     return (int64_t)(hash | 1);
 }
 
-static int is_in(const int64_t *addrs, int64_t n, int64_t addr)
+static int contains_address(const int64_t *addrs, int64_t n, int64_t addr)
 {
     for (int64_t i = 0; i < n; i++)
         if (addrs[i] == addr)
@@ -222,50 +233,51 @@
     return 0;
 }
 
-/* Free room to the owners of shards, who place by it and are no more than there are
- * shards; to all others what changed otherwise, and everything now and then. Telling
- * all of them always grew with the square of the fleet. */
-void home_tell_rooms(struct node *node)
+/* Sends the views to the shard owners, which place by the free capacity and are at most SHARD_COUNT. All other nodes
+ * get them only when something else than the free capacity changed, and once in a while: sending to all nodes each time
+ * made the traffic grow with the square of their number. */
+void executor_views_send(struct node *node)
 {
-    struct rooms_msg m = {0};
+    struct rooms_msg message = {0};
     int64_t now_ms = world_ms(node->w), owners[SHARD_COUNT];
-    node->rooms_due_ms = now_ms + ROOMS_MS;
+    node->rooms_due_ms = now_ms + VIEWS_INTERVAL_MS;
     node->rooms_told_ms = now_ms;
     for (int64_t i = 0; i < node->n_homes; i++) {
-        struct home *home = node->homes[i];
-        if (!home->state.kind)
+        struct home *owner = node->homes[i];
+        if (!owner->state.kind)
             continue;
-        struct room *room = list_more(m.rooms, m.n);
-        *room = (struct room){.executor = home->name,
-                              .kind = home->state.kind,
-                              .rack = home->state.rack,
-                              .services = home->state.services,
-                              .n_services = home->state.n_services,
+        struct room *view = list_more(message.views, message.n);
+        *view = (struct room){.executor = owner->name,
+                              .kind = owner->state.kind,
+                              .rack = owner->state.rack,
+                              .services = owner->state.services,
+                              .n_services = owner->state.n_services,
                               .home = (int64_t)node->w->self,
-                              .epoch = home->epoch,
-                              .incarnation = home->incarnation,
-                              .state = home_room_state(node, home),
-                              .cores = home->state.cores,
-                              .mem_mb = home->state.mem_mb,
-                              .addr = home->addr,
-                              .leave_ms = home->leave_ms,
-                              .wanted = home->want_until_ms > now_ms ? home->want_urgency : INT64_MAX};
-        account_room(home, &room->free_cores, &room->free_mb);
+                              .epoch = owner->epoch,
+                              .incarnation = owner->incarnation,
+                              .state = executor_owner_view_state(node, owner),
+                              .cores = owner->state.cores,
+                              .mem_mb = owner->state.mem_mb,
+                              .addr = owner->addr,
+                              .leave_ms = owner->leave_ms,
+                              .urgency_limit = owner->denied_until_ms > now_ms ? owner->denied_urgency : INT64_MAX};
+        allocations_free_capacity(owner, &view->free_cores, &view->free_mb);
     }
-    int64_t hash = rooms_hash(&m);
-    int64_t every_ms = ROOMS_EACH_MS * node->peers.n;
-    int all =
-        hash != node->rooms_hash || now_ms - node->rooms_all_ms >= (every_ms > ROOMS_ALL_MS ? every_ms : ROOMS_ALL_MS);
+    int64_t hash = views_hash(&message);
+    int64_t every_ms = VIEWS_TO_ALL_PER_PEER_MS * node->peers.n;
+    int to_all = hash != node->rooms_hash ||
+                 now_ms - node->rooms_all_ms >= (every_ms > VIEWS_TO_ALL_MIN_MS ? every_ms : VIEWS_TO_ALL_MIN_MS);
     node->rooms_hash = hash;
-    if (all)
+    if (to_all)
         node->rooms_all_ms = now_ms;
     for (int64_t i = 0; i < SHARD_COUNT; i++)
         owners[i] = shard_owner(node, i);
-    struct blob *frame = blob_new(); /* built once for all */
-    frame_build(&frame->bytes, FRAME_ROOMS, node->cluster, node->w->self, &rooms_msg_schema, &m);
-    for (int64_t i = -1; m.n && i < node->peers.n; i++) {
+    struct blob *frame = blob_new(); /* the same for all receivers */
+    frame_build(&frame->bytes, FRAME_ROOMS, node->cluster, node->w->self, &rooms_msg_schema, &message);
+    for (int64_t i = -1; message.n && i < node->peers.n; i++) {
         const struct peer_news *news = i < 0 ? &node->peers.self : &node->peers.all[i].news;
-        if (news->role != ROLE_NODE || news->state >= SIB_SUSPECT || (!all && !is_in(owners, SHARD_COUNT, news->addr)))
+        if (news->role != ROLE_NODE || news->state >= SIB_SUSPECT ||
+            (!to_all && !contains_address(owners, SHARD_COUNT, news->addr)))
             continue;
         if (i < 0)
             node_take(node, frame->bytes.at, frame->bytes.len);
@@ -273,5 +285,5 @@
             node->w->calls->send(node->w, (uint64_t)news->addr, frame, 0);
     }
     blob_drop(frame);
-    free(m.rooms);
+    free(message.views);
 }
--- a/src/home/home_schemas.c
+++ b/src/home/home_schemas.c
@@ -1,3 +1,4 @@
+/* Schemas of the messages between executors, their owners and the owners of shards. */
 #include "home/home.h"
 
 static const struct field task_fields[] = {INT(exec_task, job),
@@ -72,12 +73,12 @@
                                            INT_NAMED(room, mem_mb, "memMb"),
                                            INT_NAMED(room, free_cores, "freeCores"),
                                            INT_NAMED(room, free_mb, "freeMb"),
-                                           INT(room, wanted),
+                                           INT_NAMED(room, urgency_limit, "wanted"),
                                            INT(room, addr),
                                            INT_NAMED(room, leave_ms, "leaveMs")};
 SCHEMA(room_schema, room, room_fields);
 
-static const struct field rooms_fields[] = {LIST(rooms_msg, rooms, n, room_schema)};
+static const struct field rooms_fields[] = {LIST_NAMED(rooms_msg, views, "rooms", n, room_schema)};
 SCHEMA(rooms_msg_schema, rooms_msg, rooms_fields);
 
 static const struct field ref_fields[] = {INT(task_ref, job), INT(task_ref, no), INT(task_ref, attempt),
--- a/src/home/home_timers.c
+++ b/src/home/home_timers.c
@@ -1,77 +1,79 @@
-/* What an executor's owner does as time passes: reservations lapse, ends are told again, silence is judged. */
+/* Timers of an executor's owner: expiry of reservations and leases, repeated messages about ended tasks. */
 #include "home/home.h"
 
 #include "base/error.h"
 #include "base/events.h"
 #include "node/node.h"
 
-enum { RESERVED_KEEP_MS = 8000, TELL_MS = 300, ROOMS_LEAST_MS = 40 };
+enum { RESERVATION_TTL_MS = 8000, ENDED_RESEND_MS = 300, VIEWS_MIN_INTERVAL_MS = 40 };
 
-static void reservations_lapse(struct home *home, int64_t now_ms)
+static void expire_reservations(struct home *owner, int64_t now_ms)
 {
-    for (int64_t i = 0; i < home->n_rows; i++)
-        if (home->rows[i].state == ACC_RESERVED && now_ms - home->rows[i].since_ms > RESERVED_KEEP_MS)
-            account_remove(home, &home->rows[i--]);
+    for (int64_t i = 0; i < owner->n_rows; i++)
+        if (owner->rows[i].state == ACC_RESERVED && now_ms - owner->rows[i].since_ms > RESERVATION_TTL_MS)
+            allocation_remove(owner, &owner->rows[i--]);
 }
 
-static void tell_ended(struct node *node, struct home *home, int64_t now_ms)
+static void send_ended(struct node *node, struct home *owner, int64_t now_ms)
 {
-    for (int64_t i = 0; i < home->n_rows; i++) {
-        struct account *row = &home->rows[i];
-        if (row->state != ACC_ENDED || now_ms - row->told_ms < TELL_MS)
+    for (int64_t i = 0; i < owner->n_rows; i++) {
+        struct account *allocation = &owner->rows[i];
+        if (allocation->state != ACC_ENDED || now_ms - allocation->ended_sent_ms < ENDED_RESEND_MS)
             continue;
-        row->told_ms = now_ms;
-        struct ended m = {.job = row->ref.job,
-                          .no = row->ref.no,
-                          .attempt = row->ref.attempt,
-                          .outcome = row->outcome,
-                          .executor = home->name,
-                          .why = row->why};
-        int64_t before = home->n_rows;
-        node_send(node, shard_owner(node, job_shard(row->ref.job)), FRAME_ENDED, &ended_schema, &m);
-        if (home->n_rows < before)
-            i--; /* an owner on this node acknowledged it already */
+        allocation->ended_sent_ms = now_ms;
+        struct ended message = {.job = allocation->ref.job,
+                                .no = allocation->ref.no,
+                                .attempt = allocation->ref.attempt,
+                                .outcome = allocation->outcome,
+                                .executor = owner->name,
+                                .why = allocation->why};
+        int64_t before = owner->n_rows;
+        node_send(node, shard_owner(node, job_shard(allocation->ref.job)), FRAME_ENDED, &ended_schema, &message);
+        if (owner->n_rows < before)
+            i--; /* a shard owner on this node acknowledged it during the call and the allocation was removed */
     }
 }
 
-/* Beyond the longest lease given, whatever ran there has stopped by itself. */
-static void watch_silence(struct node *node, struct home *home, int64_t now_ms)
+/* Ends allocations whose lease has expired for lack of contact: the executor has stopped them by itself. Likewise,
+ * after the longest lease that may have been granted, nothing of a former owner runs there any more. */
+static void check_silence(struct node *node, struct home *owner, int64_t now_ms)
 {
-    int64_t margin_ms = node->root_settings.margin_ms, longest = node->root_settings.lease_ms;
-    int silent = now_ms - home->heard_ms > node->root_settings.silent_ms || home->misses >= 2;
-    if (silent && !home->silent)
-        world_note(node->w, EV_EXECUTOR_SILENT, "executor=%s", home->name);
-    home->silent = silent;
-    for (int64_t i = 0; i < home->n_rows; i++) {
-        struct account *row = &home->rows[i];
-        if (row->lease_ms > longest)
-            longest = row->lease_ms;
-        if (row->state > ACC_RESERVED && row->state < ACC_ENDED && now_ms - home->ticket_ms > row->lease_ms + margin_ms)
-            account_end(node, home, row, OUT_GONE, "executor silent beyond its licence");
+    int64_t margin_ms = node->root_settings.margin_ms, longest_lease_ms = node->root_settings.lease_ms;
+    int silent = now_ms - owner->last_response_ms > node->root_settings.silent_ms || owner->failed_calls >= 2;
+    if (silent && !owner->silent)
+        world_note(node->w, EV_EXECUTOR_SILENT, "executor=%s", owner->name);
+    owner->silent = silent;
+    for (int64_t i = 0; i < owner->n_rows; i++) {
+        struct account *allocation = &owner->rows[i];
+        if (allocation->lease_ms > longest_lease_ms)
+            longest_lease_ms = allocation->lease_ms;
+        if (allocation->state > ACC_RESERVED && allocation->state < ACC_ENDED &&
+            now_ms - owner->ticket_ms > allocation->lease_ms + margin_ms)
+            allocation_end(node, owner, allocation, OUTCOME_LOST, "executor silent beyond its lease");
     }
     for (int64_t i = 0; i < node->n_queues; i++)
-        if (node_settings(node, i)->lease_ms > longest)
-            longest = node_settings(node, i)->lease_ms;
-    /* before it is opened we give no lease, whatever it reports: the former home's count */
-    int64_t given_ms = home->opened ? home->ticket_ms : home->started_ms + ADMISSION_MS;
-    int gone = now_ms - given_ms > longest + margin_ms;
-    if (gone && !home->gone)
-        world_note(node->w, EV_EXECUTOR_GONE, "executor=%s", home->name);
-    home->gone = gone;
+        if (node_settings(node, i)->lease_ms > longest_lease_ms)
+            longest_lease_ms = node_settings(node, i)->lease_ms;
+    /* before it is opened this owner grants no lease, whatever the executor reports: those of the former owner count */
+    int64_t granted_ms = owner->opened ? owner->ticket_ms : owner->started_ms + ADMISSION_MS;
+    int leases_expired = now_ms - granted_ms > longest_lease_ms + margin_ms;
+    if (leases_expired && !owner->leases_expired)
+        world_note(node->w, EV_EXECUTOR_GONE, "executor=%s", owner->name);
+    owner->leases_expired = leases_expired;
 }
 
 void homes_on_timer(struct node *node)
 {
     int64_t now_ms = world_ms(node->w);
     for (int64_t i = 0; i < node->n_homes; i++) {
-        struct home *home = node->homes[i];
+        struct home *owner = node->homes[i];
         if (!admission_open(node))
             continue;
-        watch_silence(node, home, now_ms);
-        reservations_lapse(home, now_ms);
-        tell_ended(node, home, now_ms);
-        home_call(node, home);
+        check_silence(node, owner, now_ms);
+        expire_reservations(owner, now_ms);
+        send_ended(node, owner, now_ms);
+        executor_owner_send_orders(node, owner);
     }
-    if (now_ms >= node->rooms_due_ms && now_ms - node->rooms_told_ms >= ROOMS_LEAST_MS && admission_open(node))
-        home_tell_rooms(node);
+    if (now_ms >= node->rooms_due_ms && now_ms - node->rooms_told_ms >= VIEWS_MIN_INTERVAL_MS && admission_open(node))
+        executor_views_send(node);
 }
--- a/src/shard/assign.c
+++ b/src/shard/assign.c
@@ -1,11 +1,12 @@
-/* Choosing an executor for a task: first what is permitted, then the best. */
+/* Choice of an executor for a task: of those that satisfy all constraints, the one with the best score. Also keeps the
+ * node's views of executors. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "base/error.h"
 #include "node/node.h"
 
-enum { ROOM_FRESH_MS = 2000 };
+enum { VIEW_FRESH_MS = 2000 };
 
 struct room *room_find(struct node *node, const char *executor)
 {
@@ -15,240 +16,241 @@
     return NULL;
 }
 
-void rooms_take(struct node *node, int64_t from, struct rooms_msg *m)
+void rooms_take(struct node *node, int64_t from, struct rooms_msg *message)
 {
-    for (int64_t i = 0; i < m->n; i++) {
-        struct room *room = &m->rooms[i];
-        if (!room->executor || !room->kind || !room->rack || room->home != from)
+    for (int64_t i = 0; i < message->n; i++) {
+        struct room *view = &message->views[i];
+        if (!view->executor || !view->kind || !view->rack || view->home != from)
             continue;
-        struct room *have = room_find(node, room->executor);
-        if (have && room->epoch < have->epoch)
+        struct room *known = room_find(node, view->executor);
+        if (known && view->epoch < known->epoch)
             continue;
-        int64_t slow_pct = have ? have->slow_pct : 100;
-        if (!have)
-            have = list_more(node->rooms, node->n_rooms);
+        int64_t slow_pct = known ? known->slow_pct : 100;
+        if (!known)
+            known = list_more(node->rooms, node->n_rooms);
         else
-            schema_free(&room_schema, have);
-        *have = *room;
-        have->slow_pct = slow_pct;
-        have->seen_ms = world_ms(node->w);
-        memset(room, 0, sizeof *room); /* its strings are ours now */
+            schema_free(&room_schema, known);
+        *known = *view;
+        known->slow_pct = slow_pct;
+        known->received_ms = world_ms(node->w);
+        memset(view, 0, sizeof *view); /* the known view owns its strings now */
     }
 }
 
-static int serves(const struct room *room, const char *service)
+static int serves(const struct room *view, const char *service)
 {
-    for (int64_t i = 0; i < room->n_services; i++)
-        if (!strcmp(room->services[i], service))
+    for (int64_t i = 0; i < view->n_services; i++)
+        if (!strcmp(view->services[i], service))
             return 1;
     return 0;
 }
 
-static int rack_named(const struct step_spec *step)
+static int has_named_rack(const struct step_spec *step)
 {
     return step->rack && *step->rack && strcmp(step->rack, "any") && strcmp(step->rack, "one");
 }
 
-/* How many of the step's tasks are on the executor, on its rack; and the rack
- * the step already keeps to. Work being reserved counts as if it were there. */
-struct crowd {
+/* How many of a step's tasks are on an executor and on its rack, and a rack that the step uses (NULL: none yet).
+ * Tasks that are being placed count, too. */
+struct placed_counts {
     int64_t on_executor, on_rack;
     const char *rack;
 };
 
-static void crowd_add(struct node *node, struct crowd *crowd, const struct room *room, const char *executor)
+static void count_placed(struct node *node, struct placed_counts *counts, const struct room *view, const char *executor)
 {
     struct room *other = room_find(node, executor);
-    crowd->on_executor += !strcmp(executor, room->executor);
-    crowd->on_rack += other && !strcmp(other->rack, room->rack);
+    counts->on_executor += !strcmp(executor, view->executor);
+    counts->on_rack += other && !strcmp(other->rack, view->rack);
     if (other)
-        crowd->rack = other->rack;
+        counts->rack = other->rack;
 }
 
-static struct crowd crowd_of(struct node *node, const struct job *job, int64_t step, const struct room *room,
-                             const struct staging *own)
+static struct placed_counts count_step(struct node *node, const struct job *job, int64_t step, const struct room *view,
+                                       const struct staging *current)
 {
-    struct crowd crowd = {0};
+    struct placed_counts counts = {0};
     int64_t first = spec_first(&job->spec, step), n = job->spec.steps[step].n_tasks;
     for (int64_t i = first; i < first + n; i++)
         if (job->rows[i].state == ROW_PLACED ||
             (job->rows[i].state == ROW_DONE && !strcmp(job->spec.steps[step].rack, "one")))
             if (job->rows[i].executor) {
-                struct crowd one = crowd;
-                crowd_add(node, &one, room, job->rows[i].executor);
+                struct placed_counts updated = counts;
+                count_placed(node, &updated, view, job->rows[i].executor);
                 if (job->rows[i].state != ROW_PLACED)
-                    one.on_executor = crowd.on_executor, one.on_rack = crowd.on_rack;
-                crowd = one;
+                    updated.on_executor = counts.on_executor, updated.on_rack = counts.on_rack;
+                counts = updated;
             }
     for (int64_t i = 0; i < node->stagings.cap; i++) {
         struct staging *staging = slab_at(&node->stagings, slab_number(&node->stagings, i));
-        if (!staging || staging == own || staging->job != job->id || staging->step != step)
+        if (!staging || staging == current || staging->job != job->id || staging->step != step)
             continue;
         for (int64_t k = 0; k < staging->n_places; k++)
             if (staging->places[k].executor)
-                crowd_add(node, &crowd, room, staging->places[k].executor);
+                count_placed(node, &counts, view, staging->places[k].executor);
     }
-    for (int64_t k = 0; own && k < own->n_places; k++)
-        if (own->places[k].executor)
-            crowd_add(node, &crowd, room, own->places[k].executor);
-    return crowd;
+    for (int64_t k = 0; current && k < current->n_places; k++)
+        if (current->places[k].executor)
+            count_placed(node, &counts, view, current->places[k].executor);
+    return counts;
 }
 
-static const char *denies(struct node *node, const struct job *job, int64_t no, const struct room *room,
-                          const struct staging *own)
+/* Why the executor cannot take the task, or NULL. current: the staging that the task is in; NULL: only checked. */
+static const char *rejection(struct node *node, const struct job *job, int64_t no, const struct room *view,
+                             const struct staging *current)
 {
     int64_t step = 0, now_ms = node_fleet_ms(node);
     const struct task_spec *task = spec_task(&job->spec, no, &step);
-    const struct step_spec *s = &job->spec.steps[step];
+    const struct step_spec *step_spec = &job->spec.steps[step];
     static const char *const states[] = {NULL, "silent", "leaving", "in quarantine", NULL, "closed"};
-    if (!serves(room, job->spec.service))
+    if (!serves(view, job->spec.service))
         return "does not serve this service";
-    if (strcmp(room->kind, task->kind))
+    if (strcmp(view->kind, task->kind))
         return "is of another kind";
-    if (room->cores < task->cores || room->mem_mb < task->mem_mb)
-        return "could never hold it";
-    if (rack_named(s) && strcmp(s->rack, room->rack))
+    if (view->cores < task->cores || view->mem_mb < task->mem_mb)
+        return "is too small for it";
+    if (has_named_rack(step_spec) && strcmp(step_spec->rack, view->rack))
         return "is not on the named rack";
-    if (states[room->state])
-        return states[room->state];
-    if (world_ms(node->w) - room->seen_ms > ROOM_FRESH_MS)
-        return "its home has not been heard";
-    if (config_tree_drained(&node->config_tree, room->executor, now_ms, node_settings(node, job->queue)->lease_ms))
-        return "the calendar drains it";
-    if ((!own || !own->bold) && (room->free_cores < task->cores || room->free_mb < task->mem_mb))
-        return "has no room now";
-    if (own && !own->bold && own->urgency > room->wanted)
-        return "keeps its room for more urgent work";
-    struct crowd crowd = crowd_of(node, job, step, room, own);
-    if (s->per_executor && crowd.on_executor >= s->per_executor)
-        return "holds as many of this step as allowed";
-    if (s->per_rack && crowd.on_rack >= s->per_rack)
-        return "its rack holds as many of this step as allowed";
-    if (s->rack && !strcmp(s->rack, "one") && crowd.rack && strcmp(crowd.rack, room->rack))
-        return "the step keeps to another rack";
+    if (states[view->state])
+        return states[view->state];
+    if (world_ms(node->w) - view->received_ms > VIEW_FRESH_MS)
+        return "has no recent report from its owner";
+    if (config_tree_drained(&node->config_tree, view->executor, now_ms, node_settings(node, job->queue)->lease_ms))
+        return "is drained by the calendar";
+    if ((!current || !current->bold) && (view->free_cores < task->cores || view->free_mb < task->mem_mb))
+        return "has no free capacity now";
+    if (current && !current->bold && current->urgency > view->urgency_limit)
+        return "keeps its capacity for more urgent work";
+    struct placed_counts counts = count_step(node, job, step, view, current);
+    if (step_spec->per_executor && counts.on_executor >= step_spec->per_executor)
+        return "has as many tasks of this step as allowed";
+    if (step_spec->per_rack && counts.on_rack >= step_spec->per_rack)
+        return "its rack has as many tasks of this step as allowed";
+    if (step_spec->rack && !strcmp(step_spec->rack, "one") && counts.rack && strcmp(counts.rack, view->rack))
+        return "is not on the rack that the step uses";
     return NULL;
 }
 
-const char *assign_denies(struct node *node, const struct job *job, int64_t no, const struct room *room)
+const char *assign_denies(struct node *node, const struct job *job, int64_t no, const struct room *view)
 {
-    return denies(node, job, no, room, NULL);
+    return rejection(node, job, no, view, NULL);
 }
 
-static int64_t score(struct node *node, const struct room *room)
+static int64_t score(struct node *node, const struct room *view)
 {
-    int64_t free = room->cores ? room->free_cores * 1000 / room->cores : 0;
-    /* judged by progress: one that takes twice as long as the others counts as full by a third */
-    if (room->slow_pct > 125)
-        free -= (room->slow_pct < 1000 ? room->slow_pct - 100 : 900) * 3;
+    int64_t free = view->cores ? view->free_cores * 1000 / view->cores : 0;
+    /* its tasks take longer than others: each 100 % more costs 300 of the 1000 points for free cores */
+    if (view->slow_pct > 125)
+        free -= (view->slow_pct < 1000 ? view->slow_pct - 100 : 900) * 3;
     return free * 64 + (int64_t)(world_random(node->w) % 4096);
 }
 
-/* A task is done: how long that took, against its queue's other work. Kept per
- * node from what its own shards see; an executor is slow to it, not by its word. */
+/* Updates the pace of the executor from the duration of a task that is done, relative to the mean of its queue. Each
+ * node uses the tasks of its own shards; what an executor reports about itself does not count. */
 void assign_learn(struct node *node, const struct job *job, int64_t no)
 {
     const struct row *row = &job->rows[no];
-    struct queue *q = &node->queues[job->queue];
-    struct room *room = row->executor ? room_find(node, row->executor) : NULL;
+    struct queue *queue = &node->queues[job->queue];
+    struct room *view = row->executor ? room_find(node, row->executor) : NULL;
     int64_t took_ms = row->ended_ms - row->placed_ms;
-    if (!room || took_ms < 1)
+    if (!view || took_ms < 1)
         return;
-    int64_t pct = q->mean_ms ? took_ms * 100 / q->mean_ms : 100;
-    room->slow_pct += ((pct < 2000 ? pct : 2000) - room->slow_pct) / 4;
-    /* a slow executor must not become the measure of its queue */
-    if (!q->mean_ms)
-        q->mean_ms = took_ms;
+    int64_t pct = queue->mean_ms ? took_ms * 100 / queue->mean_ms : 100;
+    view->slow_pct += ((pct < 2000 ? pct : 2000) - view->slow_pct) / 4;
+    /* durations are capped so that a slow executor does not raise the mean of its queue much */
+    if (!queue->mean_ms)
+        queue->mean_ms = took_ms;
     else
-        q->mean_ms += ((took_ms < 2 * q->mean_ms ? took_ms : 2 * q->mean_ms) - q->mean_ms) / 16;
-    if (q->mean_ms < 1)
-        q->mean_ms = 1;
+        queue->mean_ms += ((took_ms < 2 * queue->mean_ms ? took_ms : 2 * queue->mean_ms) - queue->mean_ms) / 16;
+    if (queue->mean_ms < 1)
+        queue->mean_ms = 1;
 }
 
-static struct room *best_room(struct node *node, const struct job *job, int64_t no, const struct staging *own,
+static struct room *best_view(struct node *node, const struct job *job, int64_t no, const struct staging *current,
                               const char *rack)
 {
     struct room *best = NULL;
     int64_t best_score = 0;
     for (int64_t i = 0; i < node->n_rooms; i++) {
-        struct room *room = &node->rooms[i];
-        if ((rack && strcmp(rack, room->rack)) || denies(node, job, no, room, own))
+        struct room *view = &node->rooms[i];
+        if ((rack && strcmp(rack, view->rack)) || rejection(node, job, no, view, current))
             continue;
-        int64_t value = score(node, room);
+        int64_t value = score(node, view);
         if (best && value <= best_score)
             continue;
-        best = room;
+        best = view;
         best_score = value;
     }
     return best;
 }
 
-static void give_back(struct node *node, const struct job *job, struct staging *staging)
+static void unassign(struct node *node, const struct job *job, struct staging *staging)
 {
     for (int64_t i = 0; i < staging->n_places; i++) {
-        struct staging_place *place = &staging->places[i];
-        struct room *room = place->executor ? room_find(node, place->executor) : NULL;
-        const struct task_spec *task = spec_task(&job->spec, place->no, NULL);
-        if (room) {
-            room->free_cores += task->cores;
-            room->free_mb += task->mem_mb;
+        struct staging_place *placement = &staging->places[i];
+        struct room *view = placement->executor ? room_find(node, placement->executor) : NULL;
+        const struct task_spec *task = spec_task(&job->spec, placement->no, NULL);
+        if (view) {
+            view->free_cores += task->cores;
+            view->free_mb += task->mem_mb;
         }
-        free(place->executor);
-        place->executor = NULL;
+        free(placement->executor);
+        placement->executor = NULL;
     }
 }
 
-static int assign_on(struct node *node, const struct job *job, struct staging *staging, const char *rack)
+static int assign_on_rack(struct node *node, const struct job *job, struct staging *staging, const char *rack)
 {
     for (int64_t i = 0; i < staging->n_places; i++) {
-        struct staging_place *place = &staging->places[i];
-        struct room *room = best_room(node, job, place->no, staging, rack);
-        const struct task_spec *task = spec_task(&job->spec, place->no, NULL);
-        if (!room) {
-            give_back(node, job, staging);
+        struct staging_place *placement = &staging->places[i];
+        struct room *view = best_view(node, job, placement->no, staging, rack);
+        const struct task_spec *task = spec_task(&job->spec, placement->no, NULL);
+        if (!view) {
+            unassign(node, job, staging);
             return ERROR_REJECTED;
         }
-        place->executor = must_dup(room->executor);
-        place->home_epoch = room->epoch;
-        place->incarnation = room->incarnation;
-        place->home = room->home;
-        room->free_cores -= task->cores; /* until the home says better */
-        room->free_mb -= task->mem_mb;
+        placement->executor = must_dup(view->executor);
+        placement->home_epoch = view->epoch;
+        placement->incarnation = view->incarnation;
+        placement->home = view->home;
+        view->free_cores -= task->cores; /* until its owner sends a new view */
+        view->free_mb -= task->mem_mb;
     }
     return ERROR_NONE;
 }
 
-/* Fills in every place, or none. A gang on one rack tries each rack in turn. */
+/* Chooses an executor for every task of the staging, or for none. For a gang on one rack, tries each rack in turn. */
 int assign_places(struct node *node, struct shard *shard, struct job *job, struct staging *staging)
 {
     const struct step_spec *step = &job->spec.steps[staging->step];
     (void)shard;
     if (staging->n_places == 1 || !step->rack || strcmp(step->rack, "one"))
-        return assign_on(node, job, staging, NULL);
+        return assign_on_rack(node, job, staging, NULL);
     for (int64_t i = 0; i < node->n_rooms; i++) {
         int seen = 0;
         for (int64_t k = 0; k < i && !seen; k++)
             seen = !strcmp(node->rooms[k].rack, node->rooms[i].rack);
-        if (!seen && !assign_on(node, job, staging, node->rooms[i].rack))
+        if (!seen && !assign_on_rack(node, job, staging, node->rooms[i].rack))
             return ERROR_NONE;
     }
     return ERROR_REJECTED;
 }
 
-/* Most of the step's tasks that a rack (NULL: all) could hold at once, empty;
- * never too few: it counts every task as the least demanding. */
-static int64_t most_at_once(struct node *node, const struct job_spec *spec, const struct step_spec *step,
-                            const char *rack)
+/* An upper bound of how many of the step's tasks the executors of a rack (NULL: of all racks) could run at once when
+ * empty: every task counts with the cores of the smallest. */
+static int64_t step_capacity(struct node *node, const struct job_spec *spec, const struct step_spec *step,
+                             const char *rack)
 {
     int64_t least = INT64_MAX, n = 0;
     for (int64_t t = 0; t < step->n_tasks; t++)
         if (step->tasks[t].cores < least)
             least = step->tasks[t].cores;
     for (int64_t i = 0; i < node->n_rooms; i++) {
-        const struct room *room = &node->rooms[i];
-        if (!serves(room, spec->service) || strcmp(room->kind, step->tasks[0].kind) ||
-            (rack && strcmp(rack, room->rack)))
+        const struct room *view = &node->rooms[i];
+        if (!serves(view, spec->service) || strcmp(view->kind, step->tasks[0].kind) ||
+            (rack && strcmp(rack, view->rack)))
             continue;
-        int64_t here = least > 0 ? room->cores / least : step->n_tasks;
+        int64_t here = least > 0 ? view->cores / least : step->n_tasks;
         n += step->per_executor && here > step->per_executor ? step->per_executor : here;
     }
     return n;
@@ -260,19 +262,20 @@
         return 1;
     for (int64_t t = 1; t < step->n_tasks; t++)
         if (strcmp(step->tasks[t].kind, step->tasks[0].kind))
-            return 1; /* of several kinds: left to the placing */
-    if (rack_named(step))
-        return most_at_once(node, spec, step, step->rack) >= step->n_tasks;
+            return 1; /* several kinds are not checked here */
+    if (has_named_rack(step))
+        return step_capacity(node, spec, step, step->rack) >= step->n_tasks;
     if (!step->rack || strcmp(step->rack, "one"))
-        return most_at_once(node, spec, step, NULL) >= step->n_tasks;
+        return step_capacity(node, spec, step, NULL) >= step->n_tasks;
     for (int64_t i = 0; i < node->n_rooms; i++)
-        if (most_at_once(node, spec, step, node->rooms[i].rack) >= step->n_tasks &&
+        if (step_capacity(node, spec, step, node->rooms[i].rack) >= step->n_tasks &&
             (!step->per_rack || step->per_rack >= step->n_tasks))
             return 1;
     return 0;
 }
 
-/* Could any executor known ever hold each task? 1 while not all are known. */
+/* Whether each task would fit some executor if that were empty; *bad_no: the first that does not. 1 while not every
+ * executor is known. */
 int assign_could_fit(struct node *node, const struct job_spec *spec, int64_t *bad_no)
 {
     int64_t homes = 0, no = 0;
@@ -288,10 +291,10 @@
             const struct task_spec *task = &spec->steps[s].tasks[t];
             int fits = 0;
             for (int64_t i = 0; i < node->n_rooms && !fits; i++) {
-                const struct room *room = &node->rooms[i];
-                fits = serves(room, spec->service) && !strcmp(room->kind, task->kind) && room->cores >= task->cores &&
-                       room->mem_mb >= task->mem_mb &&
-                       (!rack_named(&spec->steps[s]) || !strcmp(spec->steps[s].rack, room->rack));
+                const struct room *view = &node->rooms[i];
+                fits = serves(view, spec->service) && !strcmp(view->kind, task->kind) && view->cores >= task->cores &&
+                       view->mem_mb >= task->mem_mb &&
+                       (!has_named_rack(&spec->steps[s]) || !strcmp(spec->steps[s].rack, view->rack));
             }
             *bad_no = no;
             if (!fits)
--- a/src/shard/enqueue.c
+++ b/src/shard/enqueue.c
@@ -1,5 +1,5 @@
-/* Jobs from callers: checked, buffered with a promise, answered when the jobs
- * log has them. Timed runs come in the same way, once an occurrence. */
+/* Requests of callers for jobs. A new job is validated, buffered, and answered once it is committed to the jobs log.
+ * Scheduled runs of the calendar are enqueued in the same way, each occurrence as a job. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,7 +8,7 @@
 #include "base/error.h"
 #include "node/node.h"
 
-enum { RUN_CATCH_UP_MS = 3600000, LIST_PAGE = 100 };
+enum { CATCH_UP_MAX_MS = 3600000, LIST_PAGE_MAX = 100 };
 
 static void answer_job(struct node *node, int64_t request, const struct job *job, int status)
 {
@@ -24,37 +24,39 @@
     return hash;
 }
 
-/* To the owner of a shard that is not ours. */
-static void send_on(struct node *node, int64_t request, int64_t shard, const char *body)
+/* Passes a submission on to the owner of another shard. */
+static void forward_job(struct node *node, int64_t request, int64_t shard, const char *body)
 {
     const struct api_call call = {.shard = shard, .method = "POST", .path = "/v1/jobs", .body = body};
     api_send_on(node, request, shard_owner(node, shard), &call);
 }
 
-/* The key is known here: the same job again, another body, or sent on. */
-static void answer_known(struct node *node, struct shard *shard, int64_t request, int64_t known, int64_t hash,
-                         const char *body)
+/* Answers a submission whose key exists: with its job, with an error if that has another body, or from the shard that
+ * the key is redirected to. */
+static void answer_existing(struct node *node, struct shard *shard, int64_t request, int64_t existing, int64_t hash,
+                            const char *body)
 {
-    if (known < 0) {
-        int64_t to = -1 - known, owner = shard_owner(node, to);
+    if (existing < 0) {
+        int64_t to = -1 - existing, owner = shard_owner(node, to);
         if (owner == (int64_t)node->w->self) {
-            struct request *r = slab_at(&node->requests, request);
-            if (r)
-                r->shard = to;
+            struct request *pending = slab_at(&node->requests, request);
+            if (pending)
+                pending->shard = to;
             enqueue_job(node, request, body, (int64_t)strlen(body));
         } else {
-            send_on(node, request, to, body);
+            forward_job(node, request, to, body);
         }
         return;
     }
-    const struct job *job = rows_job(&shard->rows, known);
+    const struct job *job = rows_job(&shard->rows, existing);
     if (job->body_hash != hash)
         api_error(node, request, ERROR_KEY_TAKEN, "this key names a job with another body");
     else
         answer_job(node, request, job, 200);
 }
 
-static int reject(struct node *node, struct shard *shard, int64_t request, const struct job_spec *spec, int64_t queue)
+static int reject_job(struct node *node, struct shard *shard, int64_t request, const struct job_spec *spec,
+                      int64_t queue)
 {
     const struct settings *settings = node_settings(node, queue);
     int64_t bad_no = 0;
@@ -68,11 +70,11 @@
     if (!assign_could_fit(node, spec, &bad_no))
         return api_error(node, request, ERROR_NEVER_FITS,
                          "task %lld: no executor of its kind, service and rack could "
-                         "ever hold it, or its gang could never stand whole",
+                         "ever hold it, or its gang could never run at once",
                          (long long)bad_no),
                1;
     if (shard->rows.n_live + shard->n_buffer >= settings->queued_max)
-        return api_error(node, request, ERROR_OVERLOAD, "the queue holds as much as it may"), 1;
+        return api_error(node, request, ERROR_OVERLOAD, "the queue is full"), 1;
     if (shard->n_buffer >= node->root_settings.buffer_max)
         return api_error(node, request, ERROR_OVERLOAD, "the shard's buffer is full"), 1;
     if (shard->breaker.open_until_ms > world_ms(node->w))
@@ -80,8 +82,8 @@
     return 0;
 }
 
-/* The next shard of another node, to which an overloaded owner sends on. */
-static int64_t other_shard(struct node *node, int64_t shard)
+/* The next shard that another live node owns, for jobs that this shard is too loaded for; -1: none. */
+static int64_t overflow_shard(struct node *node, int64_t shard)
 {
     for (int64_t i = 1; i < SHARD_COUNT; i++) {
         int64_t to = (shard + i) % SHARD_COUNT, owner = shard_owner(node, to);
@@ -104,18 +106,18 @@
     schema_copy(&job_spec_schema, op->spec, spec);
 }
 
-static void take_job(struct node *node, struct shard *shard, int64_t request, const struct job_spec *spec,
-                     const char *body)
+static void accept_job(struct node *node, struct shard *shard, int64_t request, const struct job_spec *spec,
+                       const char *body)
 {
-    int64_t hash = body_hash(spec), known = rows_key(&shard->rows, spec->key);
+    int64_t hash = body_hash(spec), existing = rows_key(&shard->rows, spec->key);
     int64_t queue = node_queue(node, spec->service, spec->queue);
-    struct request *r = slab_at(&node->requests, request);
+    struct request *pending = slab_at(&node->requests, request);
     int redirected = key_shard(spec->key) != shard->no;
-    if (known) {
-        answer_known(node, shard, request, known, hash, body);
-    } else if (!reject(node, shard, request, spec, queue)) {
-        int64_t to = shard->rows.n_live > node->root_settings.send_on_above && !redirected && r
-                         ? other_shard(node, shard->no)
+    if (existing) {
+        answer_existing(node, shard, request, existing, hash, body);
+    } else if (!reject_job(node, shard, request, spec, queue)) {
+        int64_t to = shard->rows.n_live > node->root_settings.send_on_above && !redirected && pending
+                         ? overflow_shard(node, shard->no)
                          : -1;
         if (to < 0) {
             buffer_job(node, shard, request, spec, hash);
@@ -124,7 +126,7 @@
         struct op *op = worker_buffer(node, shard, OP_REDIRECT, 0, request, 0);
         op->key = must_dup(spec->key);
         op->to_shard = to;
-        op->spec = must_alloc(sizeof *op->spec); /* kept for sending on, not needed by the fold */
+        op->spec = must_alloc(sizeof *op->spec); /* to pass the job on after the commit; not used by rows */
         schema_copy(&job_spec_schema, op->spec, spec);
     }
 }
@@ -133,7 +135,7 @@
 {
     struct job_spec spec = {0};
     struct validation_error validation_error = {0};
-    struct request *r = slab_at(&node->requests, request);
+    struct request *pending = slab_at(&node->requests, request);
     int rc = schema_from_text(&job_spec_schema, &spec, body, len, &validation_error);
     if (!rc)
         rc = spec_check(&spec, &validation_error);
@@ -142,21 +144,21 @@
         schema_free(&job_spec_schema, &spec);
         return;
     }
-    int64_t no = r && r->shard >= 0 && r->shard < SHARD_COUNT ? r->shard : key_shard(spec.key);
+    int64_t no = pending && pending->shard >= 0 && pending->shard < SHARD_COUNT ? pending->shard : key_shard(spec.key);
     int64_t owner = shard_owner(node, no);
     struct shard *shard = &node->shards[no];
     if (owner != (int64_t)node->w->self)
-        send_on(node, request, no, body);
+        forward_job(node, request, no, body);
     else if (shard->state != SHARD_OPEN)
         api_error(node, request, ERROR_NO_OWNER, "the shard is being opened");
     else
-        take_job(node, shard, request, &spec, body);
+        accept_job(node, shard, request, &spec, body);
     schema_free(&job_spec_schema, &spec);
 }
 
-void enqueue_committed(struct node *node, struct shard *shard, const struct buffered *b, int folded)
+void enqueue_committed(struct node *node, struct shard *shard, const struct buffered *buffered, int folded)
 {
-    const struct op *op = &b->op;
+    const struct op *op = &buffered->op;
     if (op->kind == OP_JOB) {
         struct job *job = folded ? NULL : rows_job(&shard->rows, op->job);
         if (job) {
@@ -164,21 +166,21 @@
             ready_new(node, shard, job);
             node_tell(node, job->id, -1, 0, "accepted", job->spec.key);
             world_note(node->w, EV_JOB_TAKEN, "job=%lld key=%s", (long long)job->id, job->spec.key);
-            if (b->request)
-                answer_job(node, b->request, job, 201);
-        } else if (b->request) {
-            int64_t known = rows_key(&shard->rows, op->spec->key);
+            if (buffered->request)
+                answer_job(node, buffered->request, job, 201);
+        } else if (buffered->request) {
+            int64_t existing = rows_key(&shard->rows, op->spec->key);
             char *body = schema_to_text(&job_spec_schema, op->spec);
-            if (known)
-                answer_known(node, shard, b->request, known, op->body_hash, body);
+            if (existing)
+                answer_existing(node, shard, buffered->request, existing, op->body_hash, body);
             else
-                api_error(node, b->request, ERROR_GAVE_UP, "ask again");
+                api_error(node, buffered->request, ERROR_GAVE_UP, "retry with the same key");
             free(body);
         }
-    } else if (op->kind == OP_REDIRECT && b->request) {
+    } else if (op->kind == OP_REDIRECT && buffered->request) {
         char *body = schema_to_text(&job_spec_schema, op->spec);
-        int64_t known = rows_key(&shard->rows, op->key);
-        answer_known(node, shard, b->request, known ? known : -1 - op->to_shard, op->body_hash, body);
+        int64_t existing = rows_key(&shard->rows, op->key);
+        answer_existing(node, shard, buffered->request, existing ? existing : -1 - op->to_shard, op->body_hash, body);
         free(body);
     } else if (op->kind == OP_CANCEL) {
         struct job *job = rows_job(&shard->rows, op->job);
@@ -188,10 +190,10 @@
                 track_stop(node, shard, job, i);
         if (job && job_ended(job) && !folded)
             ready_time(shard, job->ended_ms + node_settings(node, job->queue)->keep_ms, job->id, 0);
-        if (job && b->request)
-            answer_job(node, b->request, job, 200);
-        else if (b->request)
-            api_error(node, b->request, ERROR_NO_SUCH, "no such job");
+        if (job && buffered->request)
+            answer_job(node, buffered->request, job, 200);
+        else if (buffered->request)
+            api_error(node, buffered->request, ERROR_NO_SUCH, "no such job");
     }
 }
 
@@ -229,7 +231,7 @@
     free(task);
 }
 
-/* One page of one shard; "next" names where to go on, absent at the end. */
+/* One page of a shard's jobs; "next" in the response is where the next page starts, absent after the last one. */
 void enqueue_list(struct node *node, int64_t request, int64_t no, const char *path)
 {
     struct shard *shard = open_shard(node, request, no);
@@ -241,12 +243,12 @@
     int64_t id = dot ? (no << SHARD_BITS) | text_to_int64(dot + 1) : 0, n = 0;
     struct job *job = NULL;
     if (key) {
-        int64_t known = rows_key(&shard->rows, key);
-        if (known > 0)
-            json_array_append_new(list, job_view(rows_job(&shard->rows, known), 0));
+        int64_t existing = rows_key(&shard->rows, key);
+        if (existing > 0)
+            json_array_append_new(list, job_view(rows_job(&shard->rows, existing), 0));
     } else {
         char next[48];
-        while (n < LIST_PAGE && (job = rows_next(&shard->rows, &id))) {
+        while (n < LIST_PAGE_MAX && (job = rows_next(&shard->rows, &id))) {
             json_array_append_new(list, job_view(job, 0));
             n++;
         }
@@ -260,48 +262,49 @@
     free(from);
 }
 
-/* --- timed runs --------------------------------------------------------------------- */
+/* --- scheduled runs ----------------------------------------------------------------- */
 
-static void run_once(struct node *node, const struct planned *p, int64_t at_ms)
+static void enqueue_occurrence(struct node *node, const struct planned *run, int64_t at_ms)
 {
     struct job_spec spec = {0};
     struct validation_error validation_error;
     char key[200];
-    snprintf(key, sizeof key, "run:%.100s:%lld", p->id, (long long)at_ms);
+    snprintf(key, sizeof key, "run:%.100s:%lld", run->id, (long long)at_ms);
     struct shard *shard = &node->shards[key_shard(key)];
     if (shard->state != SHARD_OPEN || rows_key(&shard->rows, key))
         return;
     for (int64_t i = 0; i < shard->n_buffer; i++)
         if (shard->buffer[i].op.kind == OP_JOB && !strcmp(shard->buffer[i].op.spec->key, key))
             return;
-    json_t *json = json_loads(p->json, 0, NULL);
+    json_t *json = json_loads(run->json, 0, NULL);
     json_object_set_new(json, "key", json_string(key));
     if (!schema_from_json(&job_spec_schema, &spec, json, 0, &validation_error) &&
         !spec_check(&spec, &validation_error)) {
         spec.start_at_ms = at_ms;
         buffer_job(node, shard, 0, &spec, body_hash(&spec));
-        world_note(node->w, EV_PLANNED, "run=%s at=%lld", p->id, (long long)at_ms);
+        world_note(node->w, EV_PLANNED, "run=%s at=%lld", run->id, (long long)at_ms);
     }
     schema_free(&job_spec_schema, &spec);
     json_decref(json);
 }
 
-/* Each owner makes the occurrences whose key falls into its shards. */
+/* Enqueues the occurrences whose key belongs to a shard of this node. Those missed by more than CATCH_UP_MAX_MS are
+ * skipped. */
 void enqueue_runs(struct node *node)
 {
     int64_t now_ms = node_fleet_ms(node);
     for (int64_t i = 0; i < node->config_tree.n_calendar; i++) {
-        const struct planned *p = &node->config_tree.calendar[i];
-        if (strcmp(p->kind, "run") || p->at_ms > now_ms)
+        const struct planned *run = &node->config_tree.calendar[i];
+        if (strcmp(run->kind, "run") || run->at_ms > now_ms)
             continue;
-        int64_t first = p->at_ms, until = p->until_ms && p->until_ms < now_ms ? p->until_ms : now_ms;
-        if (p->every_ms && first < now_ms - RUN_CATCH_UP_MS)
-            first += (now_ms - RUN_CATCH_UP_MS - first + p->every_ms - 1) / p->every_ms * p->every_ms;
-        if (!p->every_ms && first < now_ms - RUN_CATCH_UP_MS)
+        int64_t first_ms = run->at_ms, until_ms = run->until_ms && run->until_ms < now_ms ? run->until_ms : now_ms;
+        if (run->every_ms && first_ms < now_ms - CATCH_UP_MAX_MS)
+            first_ms += (now_ms - CATCH_UP_MAX_MS - first_ms + run->every_ms - 1) / run->every_ms * run->every_ms;
+        if (!run->every_ms && first_ms < now_ms - CATCH_UP_MAX_MS)
             continue;
-        for (int64_t at = first; at <= until; at += p->every_ms) {
-            run_once(node, p, at);
-            if (!p->every_ms)
+        for (int64_t at_ms = first_ms; at_ms <= until_ms; at_ms += run->every_ms) {
+            enqueue_occurrence(node, run, at_ms);
+            if (!run->every_ms)
                 break;
         }
     }
--- a/src/shard/gang.c
+++ b/src/shard/gang.c
@@ -1,11 +1,10 @@
-/* Gangs start together or not at all: every member is first held at its
- * executor, with its room, and only when all are held does any begin. What
- * cannot be held in time is given back whole; what began without the rest,
- * because an executor died in between, is stopped. */
+/* Gangs: all members run at once or none does. Each member is started in the held state, which allocates its capacity
+ * at its executor, and only when all are held do they get the go order. If that takes too long, or some run without the
+ * others because an executor was lost, all of them are stopped. */
 #include "base/error.h"
 #include "node/node.h"
 
-enum { HOLD_MS = 1200 };
+enum { GANG_START_TIMEOUT_MS = 1200 };
 
 int gang_is(const struct job *job, int64_t no)
 {
@@ -14,7 +13,8 @@
     return job->spec.steps[step].gang && job->spec.steps[step].n_tasks > 1;
 }
 
-static void members(const struct job *job, int64_t no, int64_t *first, int64_t *end)
+/* The numbers of the gang's tasks, first to end - 1. */
+static void gang_range(const struct job *job, int64_t no, int64_t *first, int64_t *end)
 {
     int64_t step = 0;
     spec_task(&job->spec, no, &step);
@@ -22,13 +22,14 @@
     *end = *first + job->spec.steps[step].n_tasks;
 }
 
-/* Not while some members are still out: what is left starts together again. */
+/* Whether the row may be staged. A gang member may not while others are placed or staged, so that all the remaining
+ * ones start together. */
 int gang_may_stage(const struct job *job, int64_t no)
 {
     int64_t first, end;
     if (!gang_is(job, no))
         return 1;
-    members(job, no, &first, &end);
+    gang_range(job, no, &first, &end);
     for (int64_t i = first; i < end; i++)
         if (job->rows[i].state == ROW_PLACED || (job->rows[i].state == ROW_READY && job->rows[i].staged))
             return 0;
@@ -38,51 +39,50 @@
 void gang_placed(struct node *node, struct job *job, int64_t no)
 {
     struct row *row = &job->rows[no];
-    row->held = row->runs = row->gang_ms = 0;
+    row->held = row->running = row->gang_since_ms = 0;
     if (gang_is(job, no))
-        row->gang_ms = world_ms(node->w);
+        row->gang_since_ms = world_ms(node->w);
 }
 
 void gang_stop(struct node *node, struct shard *shard, struct job *job, int64_t no)
 {
     int64_t first, end;
-    members(job, no, &first, &end);
+    gang_range(job, no, &first, &end);
     for (int64_t i = first; i < end; i++)
         if (job->rows[i].state == ROW_PLACED && !job->rows[i].stopping && !job->rows[i].staged)
             track_stop(node, shard, job, i);
 }
 
-/* A home's word on one member. Once all are held or more, those held may go;
- * after a change of owner the words are gathered again, and one that already
- * runs means that the go was given. */
+/* Takes in the state of a member as its executor's owner reports it. Once all members are held or running, the go order
+ * is sent to those not running. A new shard owner collects the states again; a member that runs counts as held. */
 void gang_seen(struct node *node, struct shard *shard, struct job *job, int64_t no, int64_t state)
 {
     int64_t first, end;
     struct row *row = &job->rows[no];
-    row->held = row->held || state == CHECK_HELD || state == CHECK_RUNS;
-    row->runs = row->runs || state == CHECK_RUNS || state == CHECK_ENDED;
-    members(job, no, &first, &end);
+    row->held = row->held || state == CHECK_HELD || state == CHECK_RUNNING;
+    row->running = row->running || state == CHECK_RUNNING || state == CHECK_ENDED;
+    gang_range(job, no, &first, &end);
     for (int64_t i = first; i < end; i++) {
         const struct row *other = &job->rows[i];
         if (other->state != ROW_DONE && (other->state != ROW_PLACED || !other->held || other->stopping))
             return;
     }
     for (int64_t i = first; i < end; i++)
-        if (job->rows[i].state == ROW_PLACED && !job->rows[i].runs)
+        if (job->rows[i].state == ROW_PLACED && !job->rows[i].running)
             track_go(node, shard, job, i);
 }
 
-/* Too long without the whole gang running: all of it is stopped. */
+/* Stops the gang if not all members run within GANG_START_TIMEOUT_MS. */
 void gang_watch(struct node *node, struct shard *shard, struct job *job, int64_t no)
 {
     int64_t first, end, now_ms = world_ms(node->w);
     struct row *row = &job->rows[no];
-    if (now_ms - row->gang_ms < HOLD_MS)
+    if (now_ms - row->gang_since_ms < GANG_START_TIMEOUT_MS)
         return;
-    members(job, no, &first, &end);
-    row->gang_ms = 0; /* judged once; a member that vanishes later ends by its lease */
+    gang_range(job, no, &first, &end);
+    row->gang_since_ms = 0; /* checked once; a member that is lost later ends by its lease */
     for (int64_t i = first; i < end; i++)
-        if (job->rows[i].state == ROW_PLACED && !job->rows[i].runs) {
+        if (job->rows[i].state == ROW_PLACED && !job->rows[i].running) {
             gang_stop(node, shard, job, no);
             return;
         }
--- a/src/shard/owner.c
+++ b/src/shard/owner.c
@@ -1,4 +1,4 @@
-/* Owning a shard: opened under the epoch of the duty, given up on a higher one. */
+/* Ownership of shards: a shard is opened in the jobs log under its owner's epoch, and given up under a higher one. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -7,7 +7,7 @@
 #include "base/error.h"
 #include "node/node.h"
 
-enum { OPEN_WAIT_MS = 2000 };
+enum { OPEN_TIMEOUT_MS = 2000 };
 
 int64_t shard_owner(const struct node *node, int64_t shard)
 {
@@ -17,7 +17,7 @@
     return duty ? duty->owner : 0;
 }
 
-static void buffered_free(struct buffered *b) { schema_free(&op_schema, &b->op); }
+static void buffered_free(struct buffered *buffered) { schema_free(&op_schema, &buffered->op); }
 
 void shard_lose(struct node *node, struct shard *shard, const char *why)
 {
@@ -32,7 +32,8 @@
     shard->n_buffer = shard->in_flight = shard->proposal = 0;
     for (int64_t i = 0; i < n; i++) {
         if (buffer[i].request)
-            api_error(node, buffer[i].request, ERROR_NO_OWNER, "the shard moved; ask again with the same key");
+            api_error(node, buffer[i].request, ERROR_NO_OWNER,
+                      "the shard moved to another owner; retry with the same key");
         buffered_free(&buffer[i]);
     }
     free(buffer);
@@ -49,7 +50,7 @@
     rows_end(&shard->rows);
 }
 
-static void opened(struct node *node, int64_t tag, int error, const struct bytes *bytes)
+static void on_open_result(struct node *node, int64_t tag, int error, const struct bytes *bytes)
 {
     struct shard *shard = &node->shards[tag % SHARD_COUNT];
     struct batch_result result = {0};
@@ -60,7 +61,7 @@
     if (error || schema_unpack(&batch_result_schema, &result, bytes->at, bytes->len))
         return;
     if (result.error == ERROR_EPOCH) {
-        shard_lose(node, shard, "a higher epoch is open");
+        shard_lose(node, shard, "it is open under a higher epoch");
     } else if (!result.error && !rows_restore(&shard->rows, &result.snapshot)) {
         shard->state = SHARD_OPEN;
         shard->seq = result.seq;
@@ -73,19 +74,20 @@
     schema_free(&batch_result_schema, &result);
 }
 
-static void open_send(struct node *node, struct shard *shard)
+static void propose_open(struct node *node, struct shard *shard)
 {
     struct batch batch = {.shard = shard->no, .epoch = shard->epoch, .open = 1};
     struct bytes op = {0};
     schema_pack(&batch_schema, &batch, &op);
-    shard->proposal = node_propose(node, GROUP_JOBS, &op, OPEN_WAIT_MS, opened, shard->epoch * SHARD_COUNT + shard->no);
+    shard->proposal =
+        node_propose(node, GROUP_JOBS, &op, OPEN_TIMEOUT_MS, on_open_result, shard->epoch * SHARD_COUNT + shard->no);
 }
 
 void shard_follow(struct node *node, struct shard *shard, int64_t epoch, int mine)
 {
     if (epoch <= shard->epoch)
         return;
-    shard_lose(node, shard, "duty moved");
+    shard_lose(node, shard, "another owner was assigned");
     shard->epoch = epoch;
     if (!mine)
         return;
@@ -97,11 +99,11 @@
 void shards_on_timer(struct node *node)
 {
     int64_t now_ms = world_ms(node->w);
-    int scan_due = 0;
+    int any_open = 0;
     for (int64_t i = 0; i < SHARD_COUNT; i++) {
         struct shard *shard = &node->shards[i];
         if (shard->state == SHARD_OPENING && !shard->proposal && now_ms >= shard->retry_ms)
-            open_send(node, shard);
+            propose_open(node, shard);
         if (shard->state != SHARD_OPEN)
             continue;
         if (admission_open(node)) {
@@ -110,9 +112,9 @@
         }
         if (shard->state == SHARD_OPEN)
             worker_on_timer(node, shard);
-        scan_due = 1;
+        any_open = 1;
     }
-    if (scan_due && admission_open(node) && now_ms >= node->runs_due_ms) {
+    if (any_open && admission_open(node) && now_ms >= node->runs_due_ms) {
         node->runs_due_ms = now_ms + 200;
         enqueue_runs(node);
     }
--- a/src/shard/place.c
+++ b/src/shard/place.c
@@ -1,5 +1,6 @@
-/* Placing: stage what the merge picks, reserve at the homes, commit, start. A
- * gang reserves everywhere and commits once, or gives everything back. */
+/* Placement of ready rows: choose executors (a staging), reserve capacity at the executors' owners, commit the
+ * placement to the jobs log, start the tasks. A gang is committed as a whole once all its reservations are made; if one
+ * fails, all are released. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -7,9 +8,9 @@
 #include "base/error.h"
 #include "node/node.h"
 
-enum { RESERVE_MS = 800, PICKS_A_ON_TIMER = 64, AGAIN_MS = 100, BLOCK_MS = 40 };
+enum { RESERVE_TIMEOUT_MS = 800, PICKS_PER_TICK_MAX = 64, RETRY_MS = 100, QUEUE_BLOCK_MS = 40 };
 
-static struct staging *staging_at(struct node *node, int64_t number) { return slab_at(&node->stagings, number); }
+static struct staging *staging_find(struct node *node, int64_t number) { return slab_at(&node->stagings, number); }
 
 static struct job *staging_job(struct node *node, const struct staging *staging)
 {
@@ -18,7 +19,7 @@
 
 void place_forget(struct node *node, int64_t number)
 {
-    struct staging *staging = staging_at(node, number);
+    struct staging *staging = staging_find(node, number);
     if (!staging)
         return;
     for (int64_t i = 0; i < staging->n_places; i++)
@@ -28,66 +29,69 @@
     slab_free(&node->stagings, number);
 }
 
-/* The places of one executor, from index i on, as one message. */
-static int64_t gather(struct node *node, const struct staging *staging, int64_t number, int64_t i, struct reserve *m)
+/* Fills in the request for all tasks of the staging on the executor of entry i. Returns how many there are, or 0 if an
+ * earlier entry has the same executor. */
+static int64_t build_request(struct node *node, const struct staging *staging, int64_t number, int64_t i,
+                             struct reserve *message)
 {
     const struct staging_place *first = &staging->places[i];
     struct job *job = staging_job(node, staging);
-    *m = (struct reserve){.req = number,
-                          .shard = staging->shard,
-                          .shard_epoch = staging->shard_epoch,
-                          .home_epoch = first->home_epoch,
-                          .incarnation = first->incarnation,
-                          .executor = first->executor,
-                          .urgency = staging->urgency};
+    *message = (struct reserve){.req = number,
+                                .shard = staging->shard,
+                                .shard_epoch = staging->shard_epoch,
+                                .home_epoch = first->home_epoch,
+                                .incarnation = first->incarnation,
+                                .executor = first->executor,
+                                .urgency = staging->urgency};
     for (int64_t k = 0; k < i; k++)
         if (!strcmp(staging->places[k].executor, first->executor))
-            return 0; /* went with an earlier one */
+            return 0; /* contained in the request of that entry */
     for (int64_t k = i; k < staging->n_places; k++) {
-        const struct staging_place *place = &staging->places[k];
-        if (strcmp(place->executor, first->executor))
+        const struct staging_place *placement = &staging->places[k];
+        if (strcmp(placement->executor, first->executor))
             continue;
-        const struct task_spec *task = spec_task(&job->spec, place->no, NULL);
-        *list_more(m->tasks, m->n_tasks) = (struct task_ref){.job = job->id,
-                                                             .no = place->no,
-                                                             .attempt = job->rows[place->no].attempt + 1,
-                                                             .cores = task->cores,
-                                                             .mem_mb = task->mem_mb};
+        const struct task_spec *task = spec_task(&job->spec, placement->no, NULL);
+        *list_more(message->tasks, message->n_tasks) =
+            (struct task_ref){.job = job->id,
+                              .no = placement->no,
+                              .attempt = job->rows[placement->no].attempt + 1,
+                              .cores = task->cores,
+                              .mem_mb = task->mem_mb};
     }
-    return m->n_tasks;
+    return message->n_tasks;
 }
 
-static void each_executor(struct node *node, int64_t number, enum frame_kind kind)
+static void send_to_owners(struct node *node, int64_t number, enum frame_kind kind)
 {
-    struct staging copy = *staging_at(node, number);
-    struct reserve m;
+    struct staging copy = *staging_find(node, number);
+    struct reserve message;
     for (int64_t i = 0; i < copy.n_places; i++) {
-        if (gather(node, &copy, number, i, &m))
-            node_send(node, copy.places[i].home, kind, &reserve_schema, &m);
-        free(m.tasks);
-        /* a home on this node may have answered and ended the staging already */
-        if (!staging_at(node, number))
+        if (build_request(node, &copy, number, i, &message))
+            node_send(node, copy.places[i].home, kind, &reserve_schema, &message);
+        free(message.tasks);
+        /* an executor owner on this node may have answered during the call, which can end the staging */
+        if (!staging_find(node, number))
             return;
     }
 }
 
-/* Gives everything back; the rows become ready again a little later. */
-static void undo(struct node *node, int64_t number)
+/* Releases all reservations of the staging and frees it. Its rows are examined again a little later. */
+static void roll_back(struct node *node, int64_t number)
 {
-    struct staging *staging = staging_at(node, number);
+    struct staging *staging = staging_find(node, number);
     struct shard *shard = &node->shards[staging->shard];
     struct job *job = staging_job(node, staging);
     int64_t now_ms = node_fleet_ms(node);
     if (job) {
-        each_executor(node, number, FRAME_RELEASE);
-        staging = staging_at(node, number);
+        send_to_owners(node, number, FRAME_RELEASE);
+        staging = staging_find(node, number);
         for (int64_t i = 0; i < staging->n_places; i++) {
             struct row *row = &job->rows[staging->places[i].no];
             row->staged = 0;
-            node_tell(node, job->id, staging->places[i].no, row->attempt + 1, "given back",
+            node_tell(node, job->id, staging->places[i].no, row->attempt + 1, "reservation released",
                       staging->places[i].executor);
-            /* a random wait lets two gangs that want the same rooms miss each other */
-            ready_time(shard, now_ms + 20 + (int64_t)(world_random(node->w) % AGAIN_MS), job->id,
+            /* random, so that two gangs that compete for the same executors do not collide again */
+            ready_time(shard, now_ms + 20 + (int64_t)(world_random(node->w) % RETRY_MS), job->id,
                        staging->places[i].no);
         }
     }
@@ -96,68 +100,69 @@
 
 static void commit(struct node *node, int64_t number)
 {
-    struct staging *staging = staging_at(node, number);
+    struct staging *staging = staging_find(node, number);
     struct shard *shard = &node->shards[staging->shard];
     struct job *job = staging_job(node, staging);
     int64_t lease_ms = node_settings(node, staging->queue)->lease_ms;
     staging->committing = 1;
     struct op *op = worker_buffer(node, shard, OP_PLACED, job->id, 0, number);
     for (int64_t i = 0; i < staging->n_places; i++) {
-        const struct staging_place *place = &staging->places[i];
-        *list_more(op->places, op->n_places) = (struct place){.no = place->no,
-                                                              .attempt = job->rows[place->no].attempt + 1,
-                                                              .incarnation = place->incarnation,
-                                                              .home_epoch = place->home_epoch,
-                                                              .lease_ms = lease_ms,
-                                                              .executor = must_dup(place->executor)};
+        const struct staging_place *placement = &staging->places[i];
+        *list_more(op->placements, op->n_placements) =
+            (struct placement){.no = placement->no,
+                               .attempt = job->rows[placement->no].attempt + 1,
+                               .incarnation = placement->incarnation,
+                               .home_epoch = placement->home_epoch,
+                               .lease_ms = lease_ms,
+                               .executor = must_dup(placement->executor)};
     }
 }
 
-void place_on_reserved(struct node *node, const struct reserved *m)
+void place_on_reserved(struct node *node, const struct reserved *message)
 {
-    struct staging *staging = staging_at(node, m->req);
-    if (!staging || staging->committing || !m->executor)
+    struct staging *staging = staging_find(node, message->req);
+    if (!staging || staging->committing || !message->executor)
         return;
     int64_t waiting = 0;
     for (int64_t i = 0; i < staging->n_places; i++) {
-        struct staging_place *place = &staging->places[i];
-        if (!strcmp(place->executor, m->executor))
-            place->answered = 1;
-        waiting += !place->answered;
+        struct staging_place *placement = &staging->places[i];
+        if (!strcmp(placement->executor, message->executor))
+            placement->answered = 1;
+        waiting += !placement->answered;
     }
-    struct room *room = room_find(node, m->executor);
-    if (m->error) {
+    struct room *view = room_find(node, message->executor);
+    if (message->error) {
         staging->failed = 1;
-        if (room)
-            room->free_cores = 0; /* our view was wrong: wait for the home's next word */
+        if (view)
+            view->free_cores = 0; /* this node's view is outdated: nothing more there until its owner sends a new one */
     }
     if (waiting)
         return;
     struct job *job = staging_job(node, staging);
     if (staging->failed || !job || job->state != JOB_ACTIVE || !admission_open(node))
-        undo(node, m->req);
+        roll_back(node, message->req);
     else
-        commit(node, m->req);
+        commit(node, message->req);
 }
 
 void place_committed(struct node *node, struct shard *shard, int64_t number, const struct op *op, int folded)
 {
-    struct staging *staging = staging_at(node, number);
+    struct staging *staging = staging_find(node, number);
     struct job *job = rows_job(&shard->rows, op->job);
     if (folded) {
         if (staging && job) {
-            each_executor(node, number, FRAME_RELEASE);
-            for (int64_t i = 0; i < op->n_places; i++) {
-                job->rows[op->places[i].no].staged = 0;
-                ready_row(node, shard, job, op->places[i].no);
+            send_to_owners(node, number, FRAME_RELEASE);
+            for (int64_t i = 0; i < op->n_placements; i++) {
+                job->rows[op->placements[i].no].staged = 0;
+                ready_row(node, shard, job, op->placements[i].no);
             }
         }
         place_forget(node, number);
         return;
     }
-    for (int64_t i = 0; i < op->n_places; i++) {
-        int64_t no = op->places[i].no;
-        node_tell(node, job->id, no, op->places[i].attempt, "placed", op->places[i].executor);
+    for (int64_t i = 0; i < op->n_placements; i++) {
+        int64_t no = op->placements[i].no;
+        node_tell(node, job->id, no, op->placements[i].attempt, "placed", op->placements[i].executor);
         job->rows[no].staged = 0;
         job->rows[no].stopping = 0;
         job->rows[no].checked_ms = world_ms(node->w);
@@ -173,21 +178,21 @@
     place_forget(node, number);
 }
 
-/* --- picking --------------------------------------------------------------------- */
+/* --- staging ---------------------------------------------------------------------- */
 
 static void stage(struct node *node, struct shard *shard, const struct ready_item *item)
 {
     struct job *job = rows_job(&shard->rows, item->job);
     int64_t number = slab_take(&node->stagings, sizeof(struct staging)), step = 0;
-    int64_t now_ms = node_fleet_ms(node), latest = gang_may_stage(job, item->no) ? 0 : now_ms + AGAIN_MS;
+    int64_t now_ms = node_fleet_ms(node), not_before_ms = gang_may_stage(job, item->no) ? 0 : now_ms + RETRY_MS;
     spec_task(&job->spec, item->no, &step);
-    struct staging *staging = staging_at(node, number);
+    struct staging *staging = staging_find(node, number);
     *staging = (struct staging){.shard = shard->no,
                                 .shard_epoch = shard->epoch,
                                 .job = job->id,
                                 .queue = job->queue,
                                 .step = step,
-                                .until_ms = world_ms(node->w) + RESERVE_MS,
+                                .until_ms = world_ms(node->w) + RESERVE_TIMEOUT_MS,
                                 .urgency = row_urgency(node, job->queue, item->priority, item->due_ms, now_ms)};
     if (job->spec.steps[step].gang) {
         int64_t first = spec_first(&job->spec, step), n = job->spec.steps[step].n_tasks;
@@ -195,8 +200,8 @@
             if (job->rows[i].state != ROW_READY || job->rows[i].staged)
                 continue;
             list_more(staging->places, staging->n_places)->no = i;
-            if (job->rows[i].due_ms > latest)
-                latest = job->rows[i].due_ms;
+            if (job->rows[i].due_ms > not_before_ms)
+                not_before_ms = job->rows[i].due_ms;
         }
     } else {
         list_more(staging->places, staging->n_places)->no = item->no;
@@ -204,17 +209,19 @@
     node->queues[job->queue].staged += staging->n_places;
     for (int64_t i = 0; i < staging->n_places; i++)
         job->rows[staging->places[i].no].staged = 1;
-    int rc = latest > now_ms ? ERROR_REJECTED : assign_places(node, shard, job, staging);
-    if (rc && latest <= now_ms) {
-        /* no room for the head: ask all the same, so a home knows what waits, and spare the queue the search */
+    int rc = not_before_ms > now_ms ? ERROR_REJECTED : assign_places(node, shard, job, staging);
+    if (rc && not_before_ms <= now_ms) {
+        /* No executor has capacity for the queue's most urgent row. Try to reserve all the same, so that an executor's
+         * owner keeps capacity for it, and do not search for the queue's other rows for a while. */
         staging->bold = 1;
         rc = assign_places(node, shard, job, staging);
-        node->queues[job->queue].blocked_ms = world_ms(node->w) + BLOCK_MS;
+        node->queues[job->queue].blocked_ms = world_ms(node->w) + QUEUE_BLOCK_MS;
     }
     if (rc) {
         for (int64_t i = 0; i < staging->n_places; i++) {
             job->rows[staging->places[i].no].staged = 0;
-            ready_time(shard, (latest > now_ms ? latest : now_ms + AGAIN_MS), job->id, staging->places[i].no);
+            ready_time(shard, (not_before_ms > now_ms ? not_before_ms : now_ms + RETRY_MS), job->id,
+                       staging->places[i].no);
         }
         place_forget(node, number);
         return;
@@ -222,7 +229,7 @@
     for (int64_t i = 0; i < staging->n_places; i++)
         node_tell(node, job->id, staging->places[i].no, job->rows[staging->places[i].no].attempt + 1, "reserving",
                   staging->places[i].executor);
-    each_executor(node, number, FRAME_RESERVE);
+    send_to_owners(node, number, FRAME_RESERVE);
 }
 
 void place_on_timer(struct node *node)
@@ -232,20 +239,20 @@
     struct ready_item item;
     for (int64_t i = 0; i < node->stagings.cap; i++) {
         int64_t number = slab_number(&node->stagings, i);
-        struct staging *staging = staging_at(node, number);
+        struct staging *staging = staging_find(node, number);
         if (staging && !staging->committing && now_ms >= staging->until_ms)
-            undo(node, number);
+            roll_back(node, number);
     }
     if (now_ms >= node->rate_due_ms) {
         node->rate_due_ms = now_ms + 500;
         for (int64_t i = 0; i < node->n_queues; i++) {
-            struct queue *q = &node->queues[i];
-            q->rate = (q->rate + q->drained * 2) / 2; /* placements a second, smoothed */
-            q->drained = 0;
+            struct queue *queue = &node->queues[i];
+            queue->rate = (queue->rate + queue->drained * 2) / 2; /* placements a second, smoothed */
+            queue->drained = 0;
         }
     }
     if (!admission_open(node) || node->leaving)
         return;
-    for (int i = 0; i < PICKS_A_ON_TIMER && ready_pick(node, node_fleet_ms(node), &shard, &item); i++)
+    for (int i = 0; i < PICKS_PER_TICK_MAX && ready_pick(node, node_fleet_ms(node), &shard, &item); i++)
         stage(node, shard, &item);
 }
--- a/src/shard/ready.c
+++ b/src/shard/ready.c
@@ -1,5 +1,5 @@
-/* What is ready, by priority then older due time; what falls due later, by
- * time; and the merge of all shards' heads into one order. */
+/* Rows that are ready to be placed: a heap for each queue of a shard, by priority, then due time; rows to be examined
+ * at a later time, by that time; and the choice of the most urgent row over all shards. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -16,8 +16,8 @@
     return job->spec.priority >= 0 ? job->spec.priority : node_settings(node, job->queue)->priority;
 }
 
-/* Lower is more urgent. Waiting makes more urgent, as fast as the queue says:
- * that is all by which one queue may starve another. */
+/* Lower is more urgent. Urgency grows while a task waits, by age_per_second of its queue: this ageing is all that
+ * bounds how long one queue can starve another. */
 int64_t row_urgency(struct node *node, int64_t queue, int64_t priority, int64_t due_ms, int64_t now_ms)
 {
     int64_t waited_ms = now_ms > due_ms ? now_ms - due_ms : 0;
@@ -26,7 +26,7 @@
 
 /* --- the heap of one queue in one shard ------------------------------------------- */
 
-static int before(const struct ready_item *a, const struct ready_item *b)
+static int is_before(const struct ready_item *a, const struct ready_item *b)
 {
     if (a->priority != b->priority)
         return a->priority < b->priority;
@@ -41,10 +41,10 @@
 {
     *list_more(ready->items, ready->n) = item;
     int64_t i = ready->n - 1;
-    while (i > 0 && before(&ready->items[i], &ready->items[(i - 1) / 2])) {
-        struct ready_item t = ready->items[i];
+    while (i > 0 && is_before(&ready->items[i], &ready->items[(i - 1) / 2])) {
+        struct ready_item swap = ready->items[i];
         ready->items[i] = ready->items[(i - 1) / 2];
-        ready->items[(i - 1) / 2] = t;
+        ready->items[(i - 1) / 2] = swap;
         i = (i - 1) / 2;
     }
 }
@@ -53,21 +53,21 @@
 {
     ready->items[0] = ready->items[--ready->n];
     for (int64_t i = 0;;) {
-        int64_t least = i, l = 2 * i + 1, r = l + 1;
-        if (l < ready->n && before(&ready->items[l], &ready->items[least]))
-            least = l;
-        if (r < ready->n && before(&ready->items[r], &ready->items[least]))
-            least = r;
+        int64_t least = i, left = 2 * i + 1, right = left + 1;
+        if (left < ready->n && is_before(&ready->items[left], &ready->items[least]))
+            least = left;
+        if (right < ready->n && is_before(&ready->items[right], &ready->items[least]))
+            least = right;
         if (least == i)
             return;
-        struct ready_item t = ready->items[i];
+        struct ready_item swap = ready->items[i];
         ready->items[i] = ready->items[least];
-        ready->items[least] = t;
+        ready->items[least] = swap;
         i = least;
     }
 }
 
-static struct ready *ready_of(struct shard *shard, int64_t queue)
+static struct ready *ready_queue(struct shard *shard, int64_t queue)
 {
     for (int64_t i = 0; i < shard->n_readies; i++)
         if (shard->readies[i].queue == queue)
@@ -77,15 +77,15 @@
     return ready;
 }
 
-/* --- times -------------------------------------------------------------------------- */
+/* --- rows to be examined at a time ---------------------------------------------------- */
 
 void ready_time(struct shard *shard, int64_t ms, int64_t job, int64_t no)
 {
     Word_t key = (Word_t)(ms > shard->checkpoint_ms ? ms : shard->checkpoint_ms + 1);
-    PWord_t at = (PWord_t)JudyLIns(&shard->times, key, NULL);
-    if (!*at)
-        *at = (Word_t)must_alloc(sizeof(struct time_list));
-    struct time_list *list = (struct time_list *)*at;
+    PWord_t slot = (PWord_t)JudyLIns(&shard->times, key, NULL);
+    if (!*slot)
+        *slot = (Word_t)must_alloc(sizeof(struct time_list));
+    struct time_list *list = (struct time_list *)*slot;
     *list_more(list->refs, list->n) = (struct task_ref){.job = job, .no = no};
 }
 
@@ -100,17 +100,17 @@
     }
     row->indexed = 1;
     heap_push(
-        ready_of(shard, job->queue),
+        ready_queue(shard, job->queue),
         (struct ready_item){.priority = row_priority(node, job), .due_ms = row->due_ms, .job = job->id, .no = no});
 }
 
-/* When the row has to be looked at even if nothing happens to it. */
-static void row_limits(struct node *node, struct shard *shard, struct job *job, int64_t no)
+/* Schedules checks for the row's ttl and deadline. */
+static void schedule_expiry(struct node *node, struct shard *shard, struct job *job, int64_t no)
 {
     const struct task_spec *task = spec_task(&job->spec, no, NULL);
     const struct settings *settings = node_settings(node, job->queue);
-    int64_t from = job->spec.start_at_ms > job->created_ms ? job->spec.start_at_ms : job->created_ms;
-    ready_time(shard, from + (task->ttl_ms ? task->ttl_ms : settings->ttl_ms), job->id, no);
+    int64_t start_ms = job->spec.start_at_ms > job->created_ms ? job->spec.start_at_ms : job->created_ms;
+    ready_time(shard, start_ms + (task->ttl_ms ? task->ttl_ms : settings->ttl_ms), job->id, no);
     if (task->deadline_ms)
         ready_time(shard, job->created_ms + task->deadline_ms, job->id, no);
 }
@@ -124,18 +124,18 @@
 void ready_new(struct node *node, struct shard *shard, struct job *job)
 {
     for (int64_t i = 0; i < job->n_rows; i++)
-        row_limits(node, shard, job, i);
+        schedule_expiry(node, shard, job, i);
     ready_job(node, shard, job);
 }
 
 void ready_clear(struct shard *shard)
 {
     Word_t key = 0;
-    PWord_t at = (PWord_t)JudyLFirst(shard->times, &key, NULL);
-    while (at) {
-        free(((struct time_list *)*at)->refs);
-        free((struct time_list *)*at);
-        at = (PWord_t)JudyLNext(shard->times, &key, NULL);
+    PWord_t slot = (PWord_t)JudyLFirst(shard->times, &key, NULL);
+    while (slot) {
+        free(((struct time_list *)*slot)->refs);
+        free((struct time_list *)*slot);
+        slot = (PWord_t)JudyLNext(shard->times, &key, NULL);
     }
     JudyLFreeArray(&shard->times, NULL);
     for (int64_t i = 0; i < shard->n_readies; i++)
@@ -160,10 +160,10 @@
         for (int64_t i = 0; i < job->n_rows; i++) {
             if (row_ended(&job->rows[i]))
                 continue;
-            row_limits(node, shard, job, i);
+            schedule_expiry(node, shard, job, i);
             if (job->rows[i].state == ROW_PLACED) {
                 *list_more(shard->placed, shard->n_placed) = (struct task_ref){.job = id, .no = i};
-                job->rows[i].stopping = row_preempted(&job->rows[i]); /* the stop goes on under a new owner */
+                job->rows[i].stopping = row_preempted(&job->rows[i]); /* a new owner goes on with the stop */
                 ready_time(shard, job->rows[i].placed_ms + node_settings(node, job->queue)->run_max_ms, id, i);
             }
         }
@@ -171,8 +171,8 @@
     }
 }
 
-/* One row's time has come: for what, the row itself says. */
-static void row_due(struct node *node, struct shard *shard, struct job *job, int64_t no, int64_t now_ms)
+/* A time scheduled for the row was reached. Which of its limits it was for is not stored, so all are checked. */
+static void on_row_time(struct node *node, struct shard *shard, struct job *job, int64_t no, int64_t now_ms)
 {
     const struct settings *settings = node_settings(node, job->queue);
     struct row *row = &job->rows[no];
@@ -184,35 +184,36 @@
     if (row_ended(row))
         return;
     const struct task_spec *task = spec_task(&job->spec, no, NULL);
-    int64_t from = job->spec.start_at_ms > job->created_ms ? job->spec.start_at_ms : job->created_ms;
-    int late = task->deadline_ms && now_ms >= job->created_ms + task->deadline_ms;
-    int stale = now_ms >= from + (task->ttl_ms ? task->ttl_ms : settings->ttl_ms);
+    int64_t start_ms = job->spec.start_at_ms > job->created_ms ? job->spec.start_at_ms : job->created_ms;
+    int deadline_passed = task->deadline_ms && now_ms >= job->created_ms + task->deadline_ms;
+    int ttl_passed = now_ms >= start_ms + (task->ttl_ms ? task->ttl_ms : settings->ttl_ms);
     if (row->state == ROW_PLACED) {
-        if (late || now_ms >= row->placed_ms + settings->run_max_ms)
+        if (deadline_passed || now_ms >= row->placed_ms + settings->run_max_ms)
             track_stop(node, shard, job, no);
-    } else if ((late || stale) && !row->staged) {
+    } else if ((deadline_passed || ttl_passed) && !row->staged) {
         struct op *op = worker_buffer(node, shard, OP_END, job->id, 0, 0);
         op->no = no;
         op->attempt = row->attempt;
         op->state = ROW_EXPIRED;
-        op->meta = must_dup(late ? "cutoff passed before it could start" : "ttl passed before it could start");
+        op->meta =
+            must_dup(deadline_passed ? "cutoff passed before it could start" : "ttl passed before it could start");
         row->staged = 1;
-    } else if (late || stale) {
-        ready_time(shard, now_ms + 100, job->id, no); /* being placed just now: look again */
+    } else if (deadline_passed || ttl_passed) {
+        ready_time(shard, now_ms + 100, job->id, no); /* being placed now: check again */
     } else {
         ready_row(node, shard, job, no);
     }
 }
 
-/* Bounded below by the checkpoint, above by now: each time is passed once. */
+/* Handles all scheduled times after the checkpoint up to now, each once. */
 void ready_scan(struct node *node, struct shard *shard)
 {
     int64_t now_ms = node_fleet_ms(node);
     Word_t key = 0;
-    PWord_t at;
-    while ((at = (PWord_t)JudyLFirst(shard->times, &key, NULL)) && (int64_t)key <= now_ms) {
-        struct time_list list = *(struct time_list *)*at;
-        free((struct time_list *)*at);
+    PWord_t slot;
+    while ((slot = (PWord_t)JudyLFirst(shard->times, &key, NULL)) && (int64_t)key <= now_ms) {
+        struct time_list list = *(struct time_list *)*slot;
+        free((struct time_list *)*slot);
         JudyLDel(&shard->times, key, NULL);
         if ((int64_t)key > shard->checkpoint_ms)
             shard->checkpoint_ms = (int64_t)key;
@@ -220,15 +221,16 @@
             struct job *job = rows_job(&shard->rows, list.refs[i].job);
             shard->scanned++;
             if (job)
-                row_due(node, shard, job, list.refs[i].no, now_ms);
+                on_row_time(node, shard, job, list.refs[i].no, now_ms);
         }
         free(list.refs);
         key = 0;
     }
 }
 
-/* --- the merge ------------------------------------------------------------------------ */
+/* --- choice of the next row ------------------------------------------------------------ */
 
+/* The queue's most urgent row; removes items that are outdated. NULL: none is ready. */
 static struct ready_item *valid_head(struct node *node, struct shard *shard, struct ready *ready, int64_t now_ms)
 {
     while (ready->n) {
@@ -249,16 +251,16 @@
     return NULL;
 }
 
-/* Refill in proportion to how fast a queue drains: its share of staged rows. */
-static int queue_full(struct node *node, int64_t queue, int64_t now_ms)
+/* Whether the queue has as many staged rows as it may: in proportion to the rate at which its rows are placed. */
+static int queue_saturated(struct node *node, int64_t queue, int64_t now_ms)
 {
-    struct queue *q = &node->queues[queue];
+    struct queue *queue_state = &node->queues[queue];
     const struct settings *root = &node->root_settings;
-    int64_t limit = q->rate > root->prefetch_min ? q->rate : root->prefetch_min;
+    int64_t limit = queue_state->rate > root->prefetch_min ? queue_state->rate : root->prefetch_min;
     limit = limit * node_settings(node, queue)->weight / 10;
     if (limit > root->prefetch_max)
         limit = root->prefetch_max;
-    return q->blocked_ms > now_ms || q->staged >= (limit > 0 ? limit : 1);
+    return queue_state->blocked_ms > now_ms || queue_state->staged >= (limit > 0 ? limit : 1);
 }
 
 int ready_pick(struct node *node, int64_t now_ms, struct shard **shard, struct ready_item *item)
@@ -266,21 +268,21 @@
     struct ready *best = NULL;
     int64_t best_urgency = 0;
     for (int64_t i = 0; i < SHARD_COUNT; i++) {
-        struct shard *s = &node->shards[i];
-        if (s->state != SHARD_OPEN)
+        struct shard *candidate = &node->shards[i];
+        if (candidate->state != SHARD_OPEN)
             continue;
-        for (int64_t k = 0; k < s->n_readies; k++) {
-            if (!s->readies[k].n || queue_full(node, s->readies[k].queue, world_ms(node->w)))
+        for (int64_t k = 0; k < candidate->n_readies; k++) {
+            if (!candidate->readies[k].n || queue_saturated(node, candidate->readies[k].queue, world_ms(node->w)))
                 continue;
-            struct ready_item *head = valid_head(node, s, &s->readies[k], now_ms);
+            struct ready_item *head = valid_head(node, candidate, &candidate->readies[k], now_ms);
             if (!head)
                 continue;
-            int64_t urgency = row_urgency(node, s->readies[k].queue, head->priority, head->due_ms, now_ms);
-            if (best && (urgency > best_urgency || (urgency == best_urgency && !before(head, &best->items[0]))))
+            int64_t urgency = row_urgency(node, candidate->readies[k].queue, head->priority, head->due_ms, now_ms);
+            if (best && (urgency > best_urgency || (urgency == best_urgency && !is_before(head, &best->items[0]))))
                 continue;
-            best = &s->readies[k];
+            best = &candidate->readies[k];
             best_urgency = urgency;
-            *shard = s;
+            *shard = candidate;
         }
     }
     if (!best)
--- a/src/shard/rows.c
+++ b/src/shard/rows.c
@@ -9,55 +9,55 @@
                                                INT_NAMED(redirect, time_ms, "timeMs")};
 static SCHEMA(redirect_schema, redirect, redirect_fields);
 
-/* The snapshot's form: jobs in one list, strings lent by the jobs themselves. */
-struct rows_form {
+/* The contents of a snapshot. Jobs are shallow copies: what they point to stays owned by the jobs in struct rows. */
+struct rows_image {
     int64_t shard, epoch, seq, next_job, checkpoint_ms;
     struct job *jobs;
     int64_t n_jobs;
     struct redirect *redirects;
     int64_t n_redirects;
 };
-static const struct field form_fields[] = {INT(rows_form, shard),
-                                           INT(rows_form, epoch),
-                                           INT(rows_form, seq),
-                                           INT_NAMED(rows_form, next_job, "nextJob"),
-                                           INT_NAMED(rows_form, checkpoint_ms, "checkpointMs"),
-                                           LIST(rows_form, jobs, n_jobs, job_schema),
-                                           LIST(rows_form, redirects, n_redirects, redirect_schema)};
-static SCHEMA(form_schema, rows_form, form_fields);
+static const struct field image_fields[] = {INT(rows_image, shard),
+                                            INT(rows_image, epoch),
+                                            INT(rows_image, seq),
+                                            INT_NAMED(rows_image, next_job, "nextJob"),
+                                            INT_NAMED(rows_image, checkpoint_ms, "checkpointMs"),
+                                            LIST(rows_image, jobs, n_jobs, job_schema),
+                                            LIST(rows_image, redirects, n_redirects, redirect_schema)};
+static SCHEMA(image_schema, rows_image, image_fields);
 
 void rows_start(struct rows *rows, int64_t shard) { *rows = (struct rows){.shard = shard, .next_job = 1}; }
 
 struct job *rows_job(const struct rows *rows, int64_t id)
 {
-    PWord_t at = (PWord_t)JudyLGet((Pcvoid_t)rows->jobs, (Word_t)id, NULL);
-    return at ? (struct job *)*at : NULL;
+    PWord_t slot = (PWord_t)JudyLGet((Pcvoid_t)rows->jobs, (Word_t)id, NULL);
+    return slot ? (struct job *)*slot : NULL;
 }
 
 struct job *rows_next(const struct rows *rows, int64_t *id)
 {
     Word_t index = (Word_t)*id;
-    PWord_t at = (PWord_t)JudyLNext((Pcvoid_t)rows->jobs, &index, NULL);
+    PWord_t slot = (PWord_t)JudyLNext((Pcvoid_t)rows->jobs, &index, NULL);
     *id = (int64_t)index;
-    return at ? (struct job *)*at : NULL;
+    return slot ? (struct job *)*slot : NULL;
 }
 
 int64_t rows_key(const struct rows *rows, const char *key)
 {
-    PWord_t at = (PWord_t)JudySLGet((Pcvoid_t)rows->keys, (const uint8_t *)key, NULL);
-    return at ? (int64_t)*at : 0;
+    PWord_t slot = (PWord_t)JudySLGet((Pcvoid_t)rows->keys, (const uint8_t *)key, NULL);
+    return slot ? (int64_t)*slot : 0;
 }
 
 static void set_key(struct rows *rows, const char *key, int64_t value)
 {
-    PWord_t at = (PWord_t)JudySLIns(&rows->keys, (const uint8_t *)key, NULL);
-    *at = (Word_t)value;
+    PWord_t slot = (PWord_t)JudySLIns(&rows->keys, (const uint8_t *)key, NULL);
+    *slot = (Word_t)value;
 }
 
 static void add_job(struct rows *rows, struct job *job)
 {
-    PWord_t at = (PWord_t)JudyLIns(&rows->jobs, (Word_t)job->id, NULL);
-    *at = (Word_t)job;
+    PWord_t slot = (PWord_t)JudyLIns(&rows->jobs, (Word_t)job->id, NULL);
+    *slot = (Word_t)job;
     set_key(rows, job->spec.key, job->id);
     rows->n_jobs++;
     job->live = 0;
@@ -66,7 +66,7 @@
     rows->n_live += job->live;
 }
 
-static void drop_job(struct rows *rows, struct job *job)
+static void remove_job(struct rows *rows, struct job *job)
 {
     if (rows_key(rows, job->spec.key) == job->id)
         JudySLDel(&rows->keys, (const uint8_t *)job->spec.key, NULL);
@@ -82,7 +82,7 @@
     int64_t id = 0;
     struct job *job;
     while ((job = rows_next(rows, &id)))
-        drop_job(rows, job);
+        remove_job(rows, job);
     JudySLFreeArray(&rows->keys, NULL);
     for (int64_t i = 0; i < rows->n_redirects; i++)
         schema_free(&redirect_schema, &rows->redirects[i]);
@@ -91,17 +91,17 @@
     rows_start(rows, shard);
 }
 
-/* --- folding ------------------------------------------------------------- */
+/* --- applying ops ---------------------------------------------------------- */
 
-/* Rows whose steps before are all done become ready. */
+/* Makes the rows of each step ready whose earlier steps are done. */
 static void unblock(struct job *job)
 {
     int64_t no = 0;
-    for (int64_t s = 0; s < job->spec.n_steps; s++) {
-        const struct step_spec *step = &job->spec.steps[s];
-        if (job->rows[no].state == ROW_BLOCKED && job_step_ready(job, s))
-            for (int64_t i = 0; i < step->n_tasks; i++) {
-                struct row *row = &job->rows[no + i];
+    for (int64_t i = 0; i < job->spec.n_steps; i++) {
+        const struct step_spec *step = &job->spec.steps[i];
+        if (job->rows[no].state == ROW_BLOCKED && job_step_ready(job, i))
+            for (int64_t k = 0; k < step->n_tasks; k++) {
+                struct row *row = &job->rows[no + k];
                 row->state = ROW_READY;
                 row->due_ms = step->start_at_ms > job->spec.start_at_ms ? step->start_at_ms : job->spec.start_at_ms;
             }
@@ -109,7 +109,7 @@
     }
 }
 
-static int fold_job(struct rows *rows, const struct op *op)
+static int apply_job(struct rows *rows, const struct op *op)
 {
     if (!op->spec || rows_key(rows, op->spec->key) || rows_job(rows, op->job))
         return ERROR_REJECTED;
@@ -136,19 +136,19 @@
     row->ended_ms = time_ms;
     job->live--;
     rows->n_live--;
-    /* the row is deleted, only its result is kept */
+    /* only the result is needed from here on */
     free(task->payload);
     task->payload = NULL;
 }
 
-static void stop_unplaced(struct rows *rows, struct job *job, int64_t time_ms)
+static void cancel_unplaced(struct rows *rows, struct job *job, int64_t time_ms)
 {
     for (int64_t i = 0; i < job->n_rows; i++)
         if (job->rows[i].state == ROW_BLOCKED || job->rows[i].state == ROW_READY)
             end_row(rows, job, i, ROW_CANCELLED, time_ms);
 }
 
-static void settle(struct job *job, int64_t time_ms)
+static void end_job_if_complete(struct job *job, int64_t time_ms)
 {
     if (job->live)
         return;
@@ -159,38 +159,38 @@
         job->state = job->state == JOB_FAILING ? JOB_FAILED : JOB_DONE;
 }
 
-static int fold_placed(struct job *job, const struct op *op)
+static int apply_placed(struct job *job, const struct op *op)
 {
-    /* all or none: a gang is one op */
-    if (job->state != JOB_ACTIVE || !op->n_places)
+    /* an op places all its rows or none: it is a whole gang */
+    if (job->state != JOB_ACTIVE || !op->n_placements)
         return ERROR_REJECTED;
-    for (int64_t i = 0; i < op->n_places; i++) {
-        const struct place *p = &op->places[i];
-        if (p->no < 0 || p->no >= job->n_rows || job->rows[p->no].state != ROW_READY || !p->executor ||
-            job->rows[p->no].attempt + 1 != p->attempt)
+    for (int64_t i = 0; i < op->n_placements; i++) {
+        const struct placement *placement = &op->placements[i];
+        if (placement->no < 0 || placement->no >= job->n_rows || job->rows[placement->no].state != ROW_READY ||
+            !placement->executor || job->rows[placement->no].attempt + 1 != placement->attempt)
             return ERROR_REJECTED;
     }
-    for (int64_t i = 0; i < op->n_places; i++) {
-        const struct place *p = &op->places[i];
-        struct row *row = &job->rows[p->no];
+    for (int64_t i = 0; i < op->n_placements; i++) {
+        const struct placement *placement = &op->placements[i];
+        struct row *row = &job->rows[placement->no];
         row->state = ROW_PLACED;
-        row->attempt = p->attempt;
-        row->incarnation = p->incarnation;
-        row->home_epoch = p->home_epoch;
-        row->lease_ms = p->lease_ms;
+        row->attempt = placement->attempt;
+        row->incarnation = placement->incarnation;
+        row->home_epoch = placement->home_epoch;
+        row->lease_ms = placement->lease_ms;
         row->placed_ms = op->time_ms;
         free(row->executor);
-        row->executor = must_dup(p->executor);
+        row->executor = must_dup(placement->executor);
     }
     return ERROR_NONE;
 }
 
-static int fold_ended(struct rows *rows, struct job *job, const struct op *op)
+static int apply_ended(struct rows *rows, struct job *job, const struct op *op)
 {
     if (op->no < 0 || op->no >= job->n_rows || op->attempt != job->rows[op->no].attempt)
         return ERROR_REJECTED;
     struct row *row = &job->rows[op->no];
-    /* judged whole before anything changes */
+    /* all checks come before the first change */
     if (row_ended(row) || (row->state == ROW_BLOCKED && op->state == ROW_DONE) ||
         (op->kind == OP_NACK ? row->state != ROW_PLACED : op->state < ROW_DONE || op->state > ROW_EXPIRED))
         return ERROR_REJECTED;
@@ -204,22 +204,22 @@
         row->due_ms = op->due_ms;
         if (job->state != JOB_ACTIVE)
             end_row(rows, job, op->no, ROW_CANCELLED, op->time_ms);
-        settle(job, op->time_ms);
+        end_job_if_complete(job, op->time_ms);
         return ERROR_NONE;
     }
     end_row(rows, job, op->no, op->state, op->time_ms);
     if (op->state != ROW_DONE && job->state == JOB_ACTIVE) {
         job->state = JOB_FAILING;
-        stop_unplaced(rows, job, op->time_ms);
+        cancel_unplaced(rows, job, op->time_ms);
     } else if (job->state == JOB_ACTIVE) {
         unblock(job);
     }
-    settle(job, op->time_ms);
+    end_job_if_complete(job, op->time_ms);
     return ERROR_NONE;
 }
 
-/* A gang moves whole. */
-static int fold_preempt(struct job *job, const struct op *op)
+/* Of a gang, all placed members are preempted together. */
+static int apply_preempt(struct job *job, const struct op *op)
 {
     int64_t step = 0;
     if (op->no < 0 || op->no >= job->n_rows || job->rows[op->no].state != ROW_PLACED ||
@@ -233,10 +233,10 @@
     return ERROR_NONE;
 }
 
-int rows_fold(struct rows *rows, const struct op *op)
+int rows_apply_op(struct rows *rows, const struct op *op)
 {
     if (op->kind == OP_JOB)
-        return fold_job(rows, op);
+        return apply_job(rows, op);
     if (op->kind == OP_REDIRECT) {
         if (!op->key || rows_key(rows, op->key))
             return ERROR_REJECTED;
@@ -245,7 +245,7 @@
             (struct redirect){.key = must_dup(op->key), .to_shard = op->to_shard, .time_ms = op->time_ms};
         return ERROR_NONE;
     }
-    if (op->kind == OP_ACK) /* changes nothing; that it was taken proves the epoch */
+    if (op->kind == OP_ACK) /* no change: that the log accepted it proves the epoch */
         return ERROR_NONE;
     struct job *job = rows_job(rows, op->job);
     if (!job)
@@ -253,22 +253,22 @@
     if (op->kind == OP_DROP) {
         if (!job_ended(job))
             return ERROR_REJECTED;
-        drop_job(rows, job);
+        remove_job(rows, job);
         return ERROR_NONE;
     }
     if (job_ended(job))
         return ERROR_REJECTED;
     if (op->kind == OP_PLACED)
-        return fold_placed(job, op);
+        return apply_placed(job, op);
     if (op->kind == OP_PREEMPT)
-        return fold_preempt(job, op);
+        return apply_preempt(job, op);
     if (op->kind == OP_END || op->kind == OP_NACK)
-        return fold_ended(rows, job, op);
+        return apply_ended(rows, job, op);
     if (op->kind != OP_CANCEL || job->state == JOB_CANCELLING)
         return ERROR_REJECTED;
     job->state = JOB_CANCELLING;
-    stop_unplaced(rows, job, op->time_ms);
-    settle(job, op->time_ms);
+    cancel_unplaced(rows, job, op->time_ms);
+    end_job_if_complete(job, op->time_ms);
     return ERROR_NONE;
 }
 
@@ -287,7 +287,7 @@
         if (batch->seq + i <= rows->seq)
             continue;
         rows->seq = batch->seq + i;
-        rows_fold(rows, &batch->ops[i]);
+        rows_apply_op(rows, &batch->ops[i]);
     }
     if (!result->error && batch->checkpoint_ms > rows->checkpoint_ms)
         rows->checkpoint_ms = batch->checkpoint_ms;
@@ -296,41 +296,41 @@
 
 void rows_snapshot(const struct rows *rows, struct bytes *to)
 {
-    struct rows_form form = {.shard = rows->shard,
-                             .epoch = rows->epoch,
-                             .seq = rows->seq,
-                             .next_job = rows->next_job,
-                             .checkpoint_ms = rows->checkpoint_ms,
-                             .redirects = rows->redirects,
-                             .n_redirects = rows->n_redirects};
+    struct rows_image image = {.shard = rows->shard,
+                               .epoch = rows->epoch,
+                               .seq = rows->seq,
+                               .next_job = rows->next_job,
+                               .checkpoint_ms = rows->checkpoint_ms,
+                               .redirects = rows->redirects,
+                               .n_redirects = rows->n_redirects};
     int64_t id = 0;
     struct job *job;
-    form.jobs = must_alloc(sizeof *form.jobs * (size_t)rows->n_jobs);
+    image.jobs = must_alloc(sizeof *image.jobs * (size_t)rows->n_jobs);
     while ((job = rows_next(rows, &id)))
-        form.jobs[form.n_jobs++] = *job;
-    schema_pack(&form_schema, &form, to);
-    free(form.jobs);
+        image.jobs[image.n_jobs++] = *job;
+    schema_pack(&image_schema, &image, to);
+    free(image.jobs);
 }
 
 int rows_restore(struct rows *rows, const struct bytes *from)
 {
-    struct rows_form form = {0};
-    int rc = schema_unpack(&form_schema, &form, from->at, from->len);
+    struct rows_image image = {0};
+    int rc = schema_unpack(&image_schema, &image, from->at, from->len);
     if (rc)
         return rc;
     rows_end(rows);
-    *rows = (struct rows){.shard = form.shard,
-                          .epoch = form.epoch,
-                          .seq = form.seq,
-                          .next_job = form.next_job,
-                          .checkpoint_ms = form.checkpoint_ms,
-                          .redirects = form.redirects,
-                          .n_redirects = form.n_redirects};
-    for (int64_t i = 0; i < form.n_redirects; i++)
-        set_key(rows, form.redirects[i].key, -1 - form.redirects[i].to_shard);
-    for (int64_t i = 0; i < form.n_jobs; i++) {
+    *rows = (struct rows){.shard = image.shard,
+                          .epoch = image.epoch,
+                          .seq = image.seq,
+                          .next_job = image.next_job,
+                          .checkpoint_ms = image.checkpoint_ms,
+                          .redirects = image.redirects,
+                          .n_redirects = image.n_redirects};
+    for (int64_t i = 0; i < image.n_redirects; i++)
+        set_key(rows, image.redirects[i].key, -1 - image.redirects[i].to_shard);
+    for (int64_t i = 0; i < image.n_jobs; i++) {
         struct job *job = must_alloc(sizeof *job);
-        *job = form.jobs[i];
+        *job = image.jobs[i];
         if (spec_tasks(&job->spec) != job->n_rows) {
             schema_free(&job_schema, job);
             free(job);
@@ -338,6 +338,6 @@
         }
         add_job(rows, job);
     }
-    free(form.jobs);
+    free(image.jobs);
     return ERROR_NONE;
 }
--- a/src/shard/rows_schemas.c
+++ b/src/shard/rows_schemas.c
@@ -24,13 +24,13 @@
                                           LIST(job, rows, n_rows, row_schema)};
 SCHEMA(job_schema, job, job_fields);
 
-static const struct field place_fields[] = {INT(place, no),
-                                            INT(place, attempt),
-                                            INT(place, incarnation),
-                                            INT_NAMED(place, home_epoch, "homeEpoch"),
-                                            INT_NAMED(place, lease_ms, "licenceMs"),
-                                            STR(place, executor)};
-static SCHEMA(place_schema, place, place_fields);
+static const struct field placement_fields[] = {INT(placement, no),
+                                                INT(placement, attempt),
+                                                INT(placement, incarnation),
+                                                INT_NAMED(placement, home_epoch, "homeEpoch"),
+                                                INT_NAMED(placement, lease_ms, "licenceMs"),
+                                                STR(placement, executor)};
+static SCHEMA(placement_schema, placement, placement_fields);
 
 static const struct field op_fields[] = {INT(op, kind),
                                          INT(op, job),
@@ -45,7 +45,7 @@
                                          STR(op, key),
                                          STR(op, meta),
                                          PTR(op, spec, job_spec_schema),
-                                         LIST(op, places, n_places, place_schema)};
+                                         LIST_NAMED(op, placements, "places", n_placements, placement_schema)};
 SCHEMA(op_schema, op, op_fields);
 
 static const struct field batch_fields[] = {INT(batch, shard),
--- a/src/shard/rows_spec.c
+++ b/src/shard/rows_spec.c
@@ -1,4 +1,4 @@
-/* What callers send: the schemas of a job and what must hold in it. */
+/* Jobs as submitted: schemas, validation, and the form in which the API shows a job. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -63,7 +63,7 @@
     return NULL;
 }
 
-static int64_t step_named(const struct job_spec *spec, const char *name)
+static int64_t find_step(const struct job_spec *spec, const char *name)
 {
     for (int64_t i = 0; name && i < spec->n_steps; i++)
         if (!strcmp(spec->steps[i].name, name))
@@ -71,19 +71,19 @@
     return -1;
 }
 
-/* Takes away, round by round, every step whose earlier steps are all gone. */
+/* Removes, round after round, each step whose earlier steps are all removed. A cycle leaves some over. */
 static int has_cycle(const struct job_spec *spec)
 {
-    int gone[64] = {0};
-    int64_t left = spec->n_steps, before = -1;
-    while (left && left != before) {
-        before = left;
+    int removed[64] = {0};
+    int64_t left = spec->n_steps, previous_left = -1;
+    while (left && left != previous_left) {
+        previous_left = left;
         for (int64_t i = 0; i < spec->n_steps; i++) {
-            int free = !gone[i];
-            for (int64_t k = 0; free && k < spec->steps[i].n_after; k++)
-                free = gone[step_named(spec, spec->steps[i].after[k])];
-            if (free) {
-                gone[i] = 1;
+            int removable = !removed[i];
+            for (int64_t k = 0; removable && k < spec->steps[i].n_after; k++)
+                removable = removed[find_step(spec, spec->steps[i].after[k])];
+            if (removable) {
+                removed[i] = 1;
                 left--;
             }
         }
@@ -108,11 +108,11 @@
         return validation_error_at(validation_error, ERROR_BAD_FIELD, "names without a slash", "service", 0, 0);
     for (int64_t i = 0; i < spec->n_steps; i++) {
         const struct step_spec *step = &spec->steps[i];
-        if (step_named(spec, step->name) != i)
+        if (find_step(spec, step->name) != i)
             return validation_error_at(validation_error, ERROR_BAD_STEPS, "a name no other step has",
                                        "steps[%lld].name", i, 0);
         for (int64_t k = 0; k < step->n_after; k++)
-            if (step_named(spec, step->after[k]) < 0)
+            if (find_step(spec, step->after[k]) < 0)
                 return validation_error_at(validation_error, ERROR_BAD_STEPS, "the name of a step",
                                            "steps[%lld].after[%lld]", i, k);
     }
@@ -126,9 +126,9 @@
 
 int job_step_ready(const struct job *job, int64_t step)
 {
-    const struct step_spec *s = &job->spec.steps[step];
-    for (int64_t k = 0; k < s->n_after; k++) {
-        int64_t earlier = step_named(&job->spec, s->after[k]);
+    const struct step_spec *spec = &job->spec.steps[step];
+    for (int64_t k = 0; k < spec->n_after; k++) {
+        int64_t earlier = find_step(&job->spec, spec->after[k]);
         int64_t first = spec_first(&job->spec, earlier);
         for (int64_t i = 0; i < job->spec.steps[earlier].n_tasks; i++)
             if (job->rows[first + i].state != ROW_DONE)
@@ -190,14 +190,14 @@
     for (int64_t i = 0; i < job->n_rows; i++) {
         const struct row *row = &job->rows[i];
         spec_task(&job->spec, i, &step);
-        json_t *one = json_pack("{s:I,s:s,s:s,s:I,s:I,s:I}", "no", (json_int_t)i, "step", job->spec.steps[step].name,
-                                "state", row_state_name(row->state), "attempt", (json_int_t)row->attempt, "failures",
-                                (json_int_t)row->failures, "dueMs", (json_int_t)row->due_ms);
+        json_t *task = json_pack("{s:I,s:s,s:s,s:I,s:I,s:I}", "no", (json_int_t)i, "step", job->spec.steps[step].name,
+                                 "state", row_state_name(row->state), "attempt", (json_int_t)row->attempt, "failures",
+                                 (json_int_t)row->failures, "dueMs", (json_int_t)row->due_ms);
         if (row->executor)
-            json_object_set_new(one, "executor", json_string(row->executor));
+            json_object_set_new(task, "executor", json_string(row->executor));
         if (row->meta)
-            json_object_set_new(one, "meta", json_string(row->meta));
-        json_array_append_new(list, one);
+            json_object_set_new(task, "meta", json_string(row->meta));
+        json_array_append_new(list, task);
     }
     json_object_set_new(out, "tasks", list);
     return out;
--- a/src/shard/worker.c
+++ b/src/shard/worker.c
@@ -1,5 +1,5 @@
-/* The worker of a shard: takes what was promised from the buffer to the jobs
- * log in batches, one at a time, behind a breaker. */
+/* Commits the ops that a shard's owner buffers: in batches to the jobs log, one batch at a time, behind a circuit
+ * breaker. Committed ops are applied to the shard's rows. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -7,86 +7,88 @@
 #include "base/error.h"
 #include "node/node.h"
 
-enum { BATCH_WAIT_MS = 1000 };
+enum { BATCH_TIMEOUT_MS = 1000 };
 
 struct op *worker_buffer(struct node *node, struct shard *shard, int64_t kind, int64_t job, int64_t request,
                          int64_t staging)
 {
-    struct buffered *b = list_more(shard->buffer, shard->n_buffer);
-    b->request = request;
-    b->staging = staging;
-    b->since_ms = world_ms(node->w);
-    b->op.kind = kind;
-    b->op.job = job;
-    b->op.time_ms = node_fleet_ms(node);
-    return &b->op; /* good until the next call */
+    struct buffered *buffered = list_more(shard->buffer, shard->n_buffer);
+    buffered->request = request;
+    buffered->staging = staging;
+    buffered->since_ms = world_ms(node->w);
+    buffered->op.kind = kind;
+    buffered->op.job = job;
+    buffered->op.time_ms = node_fleet_ms(node);
+    return &buffered->op; /* valid until the next call */
 }
 
 /* --- breaker -------------------------------------------------------------------- */
 
 void breaker_count(struct node *node, struct shard *shard, int good, int64_t took_ms)
 {
-    struct breaker *b = &shard->breaker;
-    const struct settings *p = &node->root_settings;
+    struct breaker *breaker = &shard->breaker;
+    const struct settings *settings = &node->root_settings;
     int64_t now_ms = world_ms(node->w);
-    if (now_ms - b->window_from_ms > p->breaker_window_ms)
-        *b = (struct breaker){.window_from_ms = now_ms, .open_until_ms = b->open_until_ms, .trips = b->trips};
+    if (now_ms - breaker->window_from_ms > settings->breaker_window_ms)
+        *breaker = (struct breaker){
+            .window_from_ms = now_ms, .open_until_ms = breaker->open_until_ms, .trips = breaker->trips};
     if (!good)
-        b->bad++;
-    else if (took_ms > p->breaker_slow_ms)
-        b->slow++;
+        breaker->bad++;
+    else if (took_ms > settings->breaker_slow_ms)
+        breaker->slow++;
     else
-        b->good++;
-    int64_t all = b->good + b->bad + b->slow;
-    if (all < p->breaker_least || (b->bad + b->slow) * 100 < all * p->breaker_errors_pct)
+        breaker->good++;
+    int64_t total = breaker->good + breaker->bad + breaker->slow;
+    if (total < settings->breaker_least || (breaker->bad + breaker->slow) * 100 < total * settings->breaker_errors_pct)
         return;
-    *b =
-        (struct breaker){.window_from_ms = now_ms, .open_until_ms = now_ms + p->breaker_open_ms, .trips = b->trips + 1};
-    world_note(node->w, EV_BREAKER_OPEN, "shard=%lld for=%lldms", (long long)shard->no, (long long)p->breaker_open_ms);
+    *breaker = (struct breaker){
+        .window_from_ms = now_ms, .open_until_ms = now_ms + settings->breaker_open_ms, .trips = breaker->trips + 1};
+    world_note(node->w, EV_BREAKER_OPEN, "shard=%lld for=%lldms", (long long)shard->no,
+               (long long)settings->breaker_open_ms);
 }
 
 int breaker_shut(struct node *node, struct shard *shard)
 {
-    struct breaker *b = &shard->breaker;
-    if (!b->open_until_ms)
+    struct breaker *breaker = &shard->breaker;
+    if (!breaker->open_until_ms)
         return 1;
-    if (world_ms(node->w) < b->open_until_ms)
+    if (world_ms(node->w) < breaker->open_until_ms)
         return 0;
-    b->open_until_ms = 0;
+    breaker->open_until_ms = 0;
     world_note(node->w, EV_BREAKER_SHUT, "shard=%lld", (long long)shard->no);
     return 1;
 }
 
 /* --- batches -------------------------------------------------------------------- */
 
-static void committed(struct node *node, struct shard *shard)
+static void apply_committed(struct node *node, struct shard *shard)
 {
     int64_t n = shard->in_flight;
-    struct buffered *taken = must_alloc(sizeof *taken * (size_t)n);
-    memcpy(taken, shard->buffer, sizeof *taken * (size_t)n);
+    struct buffered *batch = must_alloc(sizeof *batch * (size_t)n);
+    memcpy(batch, shard->buffer, sizeof *batch * (size_t)n);
     shard->n_buffer -= n;
-    memmove(shard->buffer, shard->buffer + n, sizeof *taken * (size_t)shard->n_buffer);
+    memmove(shard->buffer, shard->buffer + n, sizeof *batch * (size_t)shard->n_buffer);
     shard->in_flight = 0;
     shard->commits += n;
     for (int64_t i = 0; i < n; i++) {
-        struct buffered *b = &taken[i];
+        struct buffered *buffered = &batch[i];
         shard->seq++;
         shard->rows.seq = shard->seq;
-        int rc = rows_fold(&shard->rows, &b->op);
-        switch (b->op.kind) {
-        case OP_PLACED: place_committed(node, shard, b->staging, &b->op, rc); break;
+        int rc = rows_apply_op(&shard->rows, &buffered->op);
+        switch (buffered->op.kind) {
+        case OP_PLACED: place_committed(node, shard, buffered->staging, &buffered->op, rc); break;
         case OP_END:
         case OP_NACK:
         case OP_ACK:
-        case OP_PREEMPT: track_committed(node, shard, &b->op); break;
-        default: enqueue_committed(node, shard, b, rc);
+        case OP_PREEMPT: track_committed(node, shard, &buffered->op); break;
+        default: enqueue_committed(node, shard, buffered, rc);
         }
-        schema_free(&op_schema, &b->op);
+        schema_free(&op_schema, &buffered->op);
     }
-    free(taken);
+    free(batch);
 }
 
-static void batch_done(struct node *node, int64_t tag, int error, const struct bytes *bytes)
+static void on_batch_result(struct node *node, int64_t tag, int error, const struct bytes *bytes)
 {
     struct shard *shard = &node->shards[tag % SHARD_COUNT];
     struct batch_result result = {0};
@@ -98,11 +100,11 @@
         error = ERROR_BAD_FRAME;
     breaker_count(node, shard, !error, took_ms);
     if (error)
-        return; /* the same batch goes again; its numbers make that harmless */
+        return; /* the batch is proposed again; ops are applied once, by their sequence numbers */
     if (result.error == ERROR_EPOCH || result.error == ERROR_REJECTED)
-        shard_lose(node, shard, "denied by the jobs log");
+        shard_lose(node, shard, "the jobs log refused a batch");
     else if (result.seq >= shard->seq + shard->in_flight)
-        committed(node, shard);
+        apply_committed(node, shard);
     schema_free(&batch_result_schema, &result);
 }
 
@@ -122,10 +124,10 @@
     struct bytes op = {0};
     batch.ops = must_alloc(sizeof *batch.ops * (size_t)batch.n_ops);
     for (int64_t i = 0; i < batch.n_ops; i++)
-        batch.ops[i] = shard->buffer[i].op; /* lent */
+        batch.ops[i] = shard->buffer[i].op; /* shallow copy, still owned by the buffer */
     schema_pack(&batch_schema, &batch, &op);
     free(batch.ops);
     shard->started_ms = world_ms(node->w);
     shard->proposal =
-        node_propose(node, GROUP_JOBS, &op, BATCH_WAIT_MS, batch_done, shard->epoch * SHARD_COUNT + shard->no);
+        node_propose(node, GROUP_JOBS, &op, BATCH_TIMEOUT_MS, on_batch_result, shard->epoch * SHARD_COUNT + shard->no);
 }
