--- a/tests/unit/rows_test.cc
+++ b/tests/unit/rows_test.cc
@@ -1,5 +1,5 @@
-// The fold of the jobs log against a plain model, under random operations; and
-// its snapshot, which must bring the same state back.
+// Compares the rows of a shard with a simple reference model under random ops, checks that a snapshot restores the same
+// state, and that batches are applied once, in order and only under the current epoch.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -20,28 +20,28 @@
     };
     struct Job {
         int state = JOB_ACTIVE;
-        std::vector<Row> rows; // one step of two, then one of one that waits for it
+        std::vector<Row> rows; // a step of two tasks, then a step of one that depends on it
     };
     std::map<int64_t, Job> jobs;
 
-    static bool over(const Row &r) { return r.state >= ROW_DONE; }
-    void unblock(Job &j)
+    static bool ended(const Row &row) { return row.state >= ROW_DONE; }
+    void unblock(Job &job)
     {
-        if (j.rows[0].state == ROW_DONE && j.rows[1].state == ROW_DONE && j.rows[2].state == ROW_BLOCKED)
-            j.rows[2].state = ROW_READY;
+        if (job.rows[0].state == ROW_DONE && job.rows[1].state == ROW_DONE && job.rows[2].state == ROW_BLOCKED)
+            job.rows[2].state = ROW_READY;
     }
-    void settle(Job &j)
+    void finish(Job &job)
     {
-        for (Row &r : j.rows)
-            if (!over(r))
+        for (Row &row : job.rows)
+            if (!ended(row))
                 return;
-        j.state = j.state == JOB_CANCELLING ? JOB_CANCELLED : j.state == JOB_FAILING ? JOB_FAILED : JOB_DONE;
+        job.state = job.state == JOB_CANCELLING ? JOB_CANCELLED : job.state == JOB_FAILING ? JOB_FAILED : JOB_DONE;
     }
-    void stop_rest(Job &j)
+    void cancel_unplaced(Job &job)
     {
-        for (Row &r : j.rows)
-            if (r.state == ROW_READY || r.state == ROW_BLOCKED)
-                r.state = ROW_CANCELLED;
+        for (Row &row : job.rows)
+            if (row.state == ROW_READY || row.state == ROW_BLOCKED)
+                row.state = ROW_CANCELLED;
     }
     bool add(int64_t id)
     {
@@ -66,22 +66,22 @@
     {
         if (!jobs.count(id) || jobs[id].state >= JOB_DONE)
             return false;
-        Job &j = jobs[id];
-        Row &r = j.rows[no];
-        if (over(r) || r.attempt != attempt || (nack && r.state != ROW_PLACED) ||
-            (r.state == ROW_BLOCKED && state == ROW_DONE))
+        Job &job = jobs[id];
+        Row &row = job.rows[no];
+        if (ended(row) || row.attempt != attempt || (nack && row.state != ROW_PLACED) ||
+            (row.state == ROW_BLOCKED && state == ROW_DONE))
             return false;
-        r.failures += failed;
+        row.failures += failed;
         if (nack) {
-            r.state = j.state == JOB_ACTIVE ? (int)ROW_READY : (int)ROW_CANCELLED;
+            row.state = job.state == JOB_ACTIVE ? (int)ROW_READY : (int)ROW_CANCELLED;
         } else {
-            r.state = state;
-            if (state != ROW_DONE && j.state == JOB_ACTIVE)
-                j.state = JOB_FAILING, stop_rest(j);
-            else if (j.state == JOB_ACTIVE)
-                unblock(j);
+            row.state = state;
+            if (state != ROW_DONE && job.state == JOB_ACTIVE)
+                job.state = JOB_FAILING, cancel_unplaced(job);
+            else if (job.state == JOB_ACTIVE)
+                unblock(job);
         }
-        settle(j);
+        finish(job);
         return true;
     }
     bool cancel(int64_t id)
@@ -89,8 +89,8 @@
         if (!jobs.count(id) || jobs[id].state >= JOB_CANCELLING)
             return false;
         jobs[id].state = JOB_CANCELLING;
-        stop_rest(jobs[id]);
-        settle(jobs[id]);
+        cancel_unplaced(jobs[id]);
+        finish(jobs[id]);
         return true;
     }
     bool drop(int64_t id) { return jobs.count(id) && jobs[id].state >= JOB_DONE && jobs.erase(id); }
@@ -100,113 +100,116 @@
     R"({"key":"%s","service":"s","queue":"q","steps":[{"name":"a","tasks":[{"kind":"c"},{"kind":"c"}]},)"
     R"({"name":"b","after":["a"],"tasks":[{"kind":"c","payload":"p"}]}]})";
 
-bool fold(rows *r, op &o) { return rows_fold(r, &o) == ERROR_NONE; }
+bool apply_op(rows *rows, op &op) { return rows_apply_op(rows, &op) == ERROR_NONE; }
 
-void same(const Model &model, const rows *r)
+void expect_same(const Model &model, const rows *rows)
 {
-    ASSERT_EQ((size_t)r->n_jobs, model.jobs.size());
+    ASSERT_EQ((size_t)rows->n_jobs, model.jobs.size());
     int64_t live = 0;
-    for (auto &[id, want] : model.jobs) {
-        const job *have = rows_job(r, id);
-        ASSERT_NE(have, nullptr);
-        ASSERT_EQ(have->state, want.state) << id;
-        for (size_t i = 0; i < want.rows.size(); i++) {
-            ASSERT_EQ(have->rows[i].state, want.rows[i].state) << id << "/" << i;
-            ASSERT_EQ(have->rows[i].attempt, want.rows[i].attempt);
-            ASSERT_EQ(have->rows[i].failures, want.rows[i].failures);
-            live += !Model::over(want.rows[i]);
+    for (auto &[id, expected] : model.jobs) {
+        const job *actual = rows_job(rows, id);
+        ASSERT_NE(actual, nullptr);
+        ASSERT_EQ(actual->state, expected.state) << id;
+        for (size_t i = 0; i < expected.rows.size(); i++) {
+            ASSERT_EQ(actual->rows[i].state, expected.rows[i].state) << id << "/" << i;
+            ASSERT_EQ(actual->rows[i].attempt, expected.rows[i].attempt);
+            ASSERT_EQ(actual->rows[i].failures, expected.rows[i].failures);
+            live += !Model::ended(expected.rows[i]);
         }
     }
-    ASSERT_EQ(r->n_live, live);
+    ASSERT_EQ(rows->n_live, live);
 }
 
-TEST(Rows, FoldIsWhatThePlainModelSays)
+TEST(Rows, RandomOpsMatchTheReferenceModel)
 {
     for (unsigned seed = 1; seed <= 30; seed++) {
         std::mt19937 random(seed);
         Model model;
-        rows r;
-        rows_start(&r, 0);
+        rows shard_rows;
+        rows_start(&shard_rows, 0);
         for (int step = 0; step < 600; step++) {
             int64_t id = 1 + random() % 12;
             int no = (int)(random() % 3), attempt = (int)(random() % 4);
-            op o = {};
-            o.job = id, o.no = no, o.attempt = attempt, o.time_ms = step;
-            bool want = false;
-            place places[2] = {};
+            op operation = {};
+            operation.job = id, operation.no = no, operation.attempt = attempt, operation.time_ms = step;
+            bool expected = false;
+            placement placements[2] = {};
             char name[] = "e1";
             switch (random() % 7) {
             case 0: {
                 char body[400], key[20];
-                validation_error f;
+                validation_error error;
                 snprintf(key, sizeof key, "k%lld", (long long)id);
                 snprintf(body, sizeof body, kSpec, key);
                 job_spec spec = {};
-                ASSERT_EQ(schema_from_text(&job_spec_schema, &spec, body, (int64_t)strlen(body), &f), ERROR_NONE);
-                o.kind = OP_JOB, o.spec = &spec;
-                want = model.add(id);
-                ASSERT_EQ(fold(&r, o), want);
+                ASSERT_EQ(schema_from_text(&job_spec_schema, &spec, body, (int64_t)strlen(body), &error), ERROR_NONE);
+                operation.kind = OP_JOB, operation.spec = &spec;
+                expected = model.add(id);
+                ASSERT_EQ(apply_op(&shard_rows, operation), expected);
                 schema_free(&job_spec_schema, &spec);
                 continue;
             }
             case 1:
             case 2: {
-                o.kind = OP_PLACED, o.places = places, o.n_places = 1 + (int)(random() % 2);
+                operation.kind = OP_PLACED, operation.placements = placements,
+                operation.n_placements = 1 + (int)(random() % 2);
                 std::vector<int> nos;
-                for (int i = 0; i < o.n_places; i++) {
-                    places[i].no = (no + i) % 3, places[i].attempt = attempt, places[i].executor = name;
-                    nos.push_back((int)places[i].no);
+                for (int i = 0; i < operation.n_placements; i++) {
+                    placements[i].no = (no + i) % 3, placements[i].attempt = attempt, placements[i].executor = name;
+                    nos.push_back((int)placements[i].no);
                 }
-                want = model.place(id, nos, attempt);
+                expected = model.place(id, nos, attempt);
                 break;
             }
             case 3:
-                o.kind = OP_NACK, o.failed = random() % 2;
-                want = model.end(id, no, attempt, 0, o.failed, true);
+                operation.kind = OP_NACK, operation.failed = random() % 2;
+                expected = model.end(id, no, attempt, 0, operation.failed, true);
                 break;
             case 4:
-                o.kind = OP_END, o.failed = random() % 2, o.state = ROW_DONE + (int)(random() % 5);
-                want = model.end(id, no, attempt, (int)o.state, o.failed, false);
+                operation.kind = OP_END, operation.failed = random() % 2,
+                operation.state = ROW_DONE + (int)(random() % 5);
+                expected = model.end(id, no, attempt, (int)operation.state, operation.failed, false);
                 break;
             case 5:
-                o.kind = OP_CANCEL;
-                want = random() % 3 ? false : true;
-                if (!want)
+                operation.kind = OP_CANCEL;
+                expected = random() % 3 ? false : true;
+                if (!expected)
                     continue;
-                want = model.cancel(id);
+                expected = model.cancel(id);
                 break;
-            default: o.kind = OP_DROP; want = model.drop(id);
+            default: operation.kind = OP_DROP; expected = model.drop(id);
             }
-            ASSERT_EQ(fold(&r, o), want) << "seed " << seed << " step " << step << " kind " << o.kind;
+            ASSERT_EQ(apply_op(&shard_rows, operation), expected)
+                << "seed " << seed << " step " << step << " kind " << operation.kind;
             if (step % 50 == 0) {
                 bytes snapshot = {}, again = {};
-                rows_snapshot(&r, &snapshot);
-                ASSERT_EQ(rows_restore(&r, &snapshot), ERROR_NONE);
-                rows_snapshot(&r, &again);
+                rows_snapshot(&shard_rows, &snapshot);
+                ASSERT_EQ(rows_restore(&shard_rows, &snapshot), ERROR_NONE);
+                rows_snapshot(&shard_rows, &again);
                 ASSERT_EQ(snapshot.len, again.len);
                 ASSERT_EQ(memcmp(snapshot.at, again.at, (size_t)snapshot.len), 0);
                 bytes_free(&snapshot);
                 bytes_free(&again);
             }
-            same(model, &r);
+            expect_same(model, &shard_rows);
         }
-        rows_end(&r);
+        rows_end(&shard_rows);
     }
 }
 
-TEST(Rows, BatchesAreTakenOnceInOrderAndUnderTheCurrentEpochOnly)
+TEST(Rows, BatchesAreAppliedOnceInOrderAndUnderTheCurrentEpochOnly)
 {
-    rows r;
-    rows_start(&r, 0);
+    rows shard_rows;
+    rows_start(&shard_rows, 0);
     op redirect = {};
     char key[] = "k";
     redirect.kind = OP_REDIRECT, redirect.key = key, redirect.to_shard = 3;
     auto apply = [&](int64_t epoch, int64_t open, int64_t seq, int64_t n) {
-        batch b = {};
+        batch entry = {};
         op ops[2] = {redirect, redirect};
-        b.epoch = epoch, b.open = open, b.seq = seq, b.ops = ops, b.n_ops = n;
+        entry.epoch = epoch, entry.open = open, entry.seq = seq, entry.ops = ops, entry.n_ops = n;
         batch_result result = {};
-        rows_apply_batch(&r, &b, &result);
+        rows_apply_batch(&shard_rows, &entry, &result);
         return result;
     };
     EXPECT_EQ(apply(1, 0, 1, 1).error, ERROR_EPOCH);
@@ -218,9 +221,9 @@
     EXPECT_EQ(apply(2, 1, 0, 0).error, ERROR_EPOCH);
     EXPECT_EQ(apply(1, 0, 3, 1).error, ERROR_EPOCH);
     EXPECT_EQ(apply(3, 0, 1, 1).seq, 1);
-    EXPECT_EQ(rows_key(&r, "k"), -4);
-    EXPECT_EQ(r.n_redirects, 1);
-    rows_end(&r);
+    EXPECT_EQ(rows_key(&shard_rows, "k"), -4);
+    EXPECT_EQ(shard_rows.n_redirects, 1);
+    rows_end(&shard_rows);
 }
 
 } // namespace
