--- a/sim/cluster_codec.c
+++ b/sim/cluster_codec.c
@@ -37,7 +37,7 @@
     const char *wait = web->header(web, "Wait-Ms");
     request->wait_ms = wait ? text_to_int64(wait) : 0;
     if (!last || (!last[1] && strcmp(web->method, "GET")))
-        return ERROR_NO_SUCH;
+        return ERROR_NOT_FOUND;
     int64_t job_id = (int64_t)strtoull(last + 1, NULL, 16);
     if (!last[1])
         api_request_make_count(request);
@@ -59,8 +59,8 @@
 
 static char *read_saved(const json_t *from)
 {
-    const char *saved = json_string_value(json_object_get(from, "saved"));
-    return saved && *saved ? must_dup(saved) : NULL;
+    const char *checkpoint = json_string_value(json_object_get(from, "saved"));
+    return checkpoint && *checkpoint ? must_dup(checkpoint) : NULL;
 }
 
 static void read_lists(const json_t *json, struct run_lists *lists)
@@ -69,27 +69,27 @@
     size_t i;
     json_array_foreach(active, i, one)
     {
-        *(struct run_active *)list_more(lists->active, lists->n_active) =
+        *(struct run_active *)array_add(lists->active, lists->n_active) =
             (struct run_active){.job = int_of(one, "job"),
                                 .task = int_of(one, "task"),
                                 .attempt = int_of(one, "attempt"),
                                 .percent = int_of(one, "percent"),
-                                .saved = read_saved(one)};
+                                .checkpoint = read_saved(one)};
     }
     json_array_foreach(ended, i, one)
     {
-        *(struct run_ended *)list_more(lists->ended, lists->n_ended) =
+        *(struct run_ended *)array_add(lists->ended, lists->n_ended) =
             (struct run_ended){.seq = int_of(one, "seq"),
                                .job = int_of(one, "job"),
                                .task = int_of(one, "task"),
                                .attempt = int_of(one, "attempt"),
                                .how = int_of(one, "how"),
-                               .saved = read_saved(one)};
+                               .checkpoint = read_saved(one)};
     }
 }
 
 /* Takes out of a heartbeat what an executor that takes its orders by heartbeats reports: its clock and its lists. */
-static void take_account(struct executor_account *account, json_t *beat)
+static void take_account(struct heartbeat_report *account, json_t *beat)
 {
     const json_t *clock = json_object_get(beat, "clock");
     account->clock_ms = clock ? json_integer_value(clock) : -1;
@@ -103,7 +103,7 @@
                      struct validation_error *validation_error)
 {
     struct beat_body body = {0};
-    struct executor_account account = {0};
+    struct heartbeat_report account = {0};
     json_t *beat = json_loadb(web->body ? web->body : "", (size_t)web->len, 0, NULL);
     take_account(&account, beat);
     int rc = beat ? schema_from_json(&beat_schema, &body, beat, 0, validation_error) : ERROR_BAD_JSON;
@@ -113,22 +113,22 @@
         return rc;
     }
     *api_request_make_beat(request) =
-        (struct executor_beat){.kind = strcmp(web->method, "DELETE") ? BEAT_ALIVE : BEAT_LEFT,
-                               .seq = body.seq,
-                               .address = must_dup(""),
-                               .account = account,
-                               .state = {.incarnation = body.incarnation,
-                                         .service = body.service,
-                                         .zone = body.zone,
-                                         .rack = body.rack,
-                                         .labels = body.labels,
-                                         .n_labels = body.n_labels,
-                                         .cpu_milli = body.cpu_milli,
-                                         .memory_mb = body.memory_mb,
-                                         .gpus = body.gpus,
-                                         .draining = body.draining,
-                                         .departure_ms = body.departure_ms,
-                                         .warmup_ms = body.warmup_ms}};
+        (struct executor_heartbeat){.kind = strcmp(web->method, "DELETE") ? HEARTBEAT_ALIVE : HEARTBEAT_LEAVING,
+                                    .seq = body.seq,
+                                    .address = must_dup(""),
+                                    .account = account,
+                                    .state = {.incarnation = body.incarnation,
+                                              .service = body.service,
+                                              .zone = body.zone,
+                                              .rack = body.rack,
+                                              .labels = body.labels,
+                                              .n_labels = body.n_labels,
+                                              .cpu_milli = body.cpu_milli,
+                                              .memory_mb = body.memory_mb,
+                                              .gpus = body.gpus,
+                                              .draining = body.draining,
+                                              .departure_ms = body.departure_ms,
+                                              .warmup_ms = body.warmup_ms}};
     return ERROR_NONE;
 }
 
@@ -214,7 +214,7 @@
 static int api_read(struct api_request *request, const struct http_request *web,
                     struct validation_error *validation_error)
 {
-    int rc = ERROR_NO_SUCH;
+    int rc = ERROR_NOT_FOUND;
     if (web->entry == ENTRY_READINESS) {
         api_request_make_ready(request);
         rc = ERROR_NONE;
@@ -252,7 +252,7 @@
 static void api_write(const struct api_response *response, int *status, char **body)
 {
     /* given up on: it may be in force, so it must not read as a refusal */
-    *status = response->error == ERROR_GAVE_UP ? 504 : error_response((int)response->error)->status;
+    *status = response->error == ERROR_OUTCOME_UNKNOWN ? 504 : error_response((int)response->error)->status;
     *body = response->error ? must_printf("{\"problem\":\"%s\"}", error_response((int)response->error)->name)
                             : body_of(response);
 }
@@ -276,7 +276,8 @@
     call_fill(call, "/begin", incarnation,
               json_pack("{s:I,s:I,s:I,s:s,s:s,s:I,s:I}", "job", (json_int_t)start->job, "task", (json_int_t)start->task,
                         "attempt", (json_int_t)start->attempt, "text", start->text ? start->text : "", "saved",
-                        start->saved ? start->saved : "", "until", (json_int_t)expires_ms, "epoch", (json_int_t)epoch));
+                        start->checkpoint ? start->checkpoint : "", "until", (json_int_t)expires_ms, "epoch",
+                        (json_int_t)epoch));
 }
 
 static void say_stop(struct executor_call *call, const char *incarnation, const struct run_ref *run, int64_t epoch)
@@ -297,15 +298,15 @@
 static enum start_refusal refusal_of(int status, const char *why)
 {
     if (status == 429 || status == 503)
-        return REFUSED_SICK;
+        return REFUSED_UNAVAILABLE;
     if (status == 400)
-        return REFUSED_BAD;
+        return REFUSED_BAD_REQUEST;
     if (status != 409 || !why)
-        return REFUSED_NOT;
-    return !strcmp(why, "epoch")  ? REFUSED_EPOCH
-           : !strcmp(why, "old")  ? REFUSED_OLD
+        return REFUSED_NONE;
+    return !strcmp(why, "epoch")  ? REFUSED_STALE_EPOCH
+           : !strcmp(why, "old")  ? REFUSED_OUTDATED
            : !strcmp(why, "late") ? REFUSED_LATE
-                                  : REFUSED_ROOM;
+                                  : REFUSED_NO_CAPACITY;
 }
 
 static int executor_read(struct executor_response *response, int status, const char *body, int64_t len)
@@ -320,7 +321,7 @@
     enum start_refusal refusal = refusal_of(status, json_string_value(json_object_get(json, "why")));
     if (status == 421)
         executor_response_other_incarnation(response);
-    else if (refusal != REFUSED_NOT)
+    else if (refusal != REFUSED_NONE)
         executor_response_refuse(response, refusal);
     else
         read_lists(json, executor_response_accept(response));
@@ -335,11 +336,11 @@
         json_array_append_new(list, json_pack("{s:I,s:I,s:I,s:s,s:s}", "job", (json_int_t)runs[i]->job, "task",
                                               (json_int_t)runs[i]->task, "attempt", (json_int_t)runs[i]->attempt,
                                               "text", runs[i]->text ? runs[i]->text : "", "saved",
-                                              runs[i]->saved ? runs[i]->saved : ""));
+                                              runs[i]->checkpoint ? runs[i]->checkpoint : ""));
     return list;
 }
 
-static char *encode_beat_response(const struct beat_orders *orders)
+static char *encode_beat_response(const struct heartbeat_orders *orders)
 {
     json_t *body =
         json_pack("{s:I,s:I,s:I,s:I,s:o,s:o}", "epoch", (json_int_t)orders->epoch, "seen", (json_int_t)orders->seen,
@@ -354,4 +355,4 @@
                                                       .stop = say_stop,
                                                       .poll = say_poll,
                                                       .read = executor_read,
-                                                      .beat_response = encode_beat_response};
+                                                      .heartbeat_response = encode_beat_response};
--- a/sim/sim_fleet.c
+++ b/sim/sim_fleet.c
@@ -58,9 +58,9 @@
 static struct machine *duty_machine(struct sim *sim, const char *name)
 {
     const struct config_tree *config_tree = config_tree_now(sim);
-    const struct duty *duty = config_tree ? config_tree_duty(config_tree, name) : NULL;
-    for (int64_t i = 0; duty && i < sim->n; i++)
-        if ((int64_t)sim->machines[i]->base.self == duty->owner)
+    const struct ownership *ownership = config_tree ? config_tree_ownership(config_tree, name) : NULL;
+    for (int64_t i = 0; ownership && i < sim->n; i++)
+        if ((int64_t)sim->machines[i]->base.self == ownership->owner)
             return sim->machines[i];
     return NULL;
 }
@@ -88,7 +88,7 @@
         struct machine *m = sim->machines[i];
         if (m->kind != M_KEEPER || !m->up || m->core.keeper.logs[GROUP_JOBS].applied <= applied)
             continue;
-        const struct job *job = rows_job(&m->core.keeper.shards[shard], id);
+        const struct job *job = rows_find_job(&m->core.keeper.shards[shard], id);
         if (!job)
             continue;
         applied = m->core.keeper.logs[GROUP_JOBS].applied;
@@ -96,7 +96,7 @@
     }
     for (int64_t i = 0; i < sim->n && shard < SHARD_COUNT && !best; i++) /* all keepers down: what an owner has */
         if (sim->machines[i]->kind == M_NODE && sim->machines[i]->up)
-            best = rows_job(&sim->machines[i]->core.node.shards[shard].rows, id);
+            best = rows_find_job(&sim->machines[i]->core.node.shards[shard].rows, id);
     return best;
 }
 
--- a/src/home/home_account.c
+++ b/src/executor_owner/allocations.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "base/events.h"
-#include "home/home.h"
+#include "executor_owner/executor_owner.h"
 #include "node/node.h"
 
 enum { STALL_STEP_MAX_MS = 2000 };
@@ -20,13 +20,13 @@
     free(allocation->why);
 }
 
-void allocation_remove(struct home *owner, struct account *allocation)
+void allocation_remove(struct executor_owner *owner, struct account *allocation)
 {
     allocation_free(allocation);
     *allocation = owner->rows[--owner->n_rows];
 }
 
-struct account *allocation_find(struct home *owner, int64_t job, int64_t no, int64_t attempt)
+struct account *allocation_find(struct executor_owner *owner, int64_t job, int64_t no, int64_t attempt)
 {
     for (int64_t i = 0; i < owner->n_rows; i++) {
         const struct task_ref *ref = &owner->rows[i].ref;
@@ -38,14 +38,14 @@
 
 /* The smaller of two figures: the executor's whole capacity less all allocations; and the free capacity that it
  * reported, less the allocations that are not in that report. */
-void allocations_free_capacity(const struct home *owner, int64_t *cores, int64_t *mem_mb)
+void allocations_free_capacity(const struct executor_owner *owner, int64_t *cores, int64_t *mem_mb)
 {
     const struct exec_state *state = &owner->state;
     int64_t whole_cores = state->cores, whole_mb = state->mem_mb, free_cores = state->free_cores,
             free_mb = state->free_mb;
     for (int64_t i = 0; i < owner->n_rows; i++) {
         const struct account *allocation = &owner->rows[i];
-        if (allocation->state == ACC_ENDED)
+        if (allocation->state == ALLOCATION_ENDED)
             continue;
         whole_cores -= allocation->ref.cores;
         whole_mb -= allocation->ref.mem_mb;
@@ -61,25 +61,25 @@
 int64_t allocation_check_state(const struct account *allocation)
 {
     static const int64_t states[] = {
-        [ACC_RESERVED] = CHECK_RESERVED, /* the start order was lost */
-        [ACC_STARTING] = CHECK_STARTING, [ACC_HELD] = CHECK_HELD,  [ACC_RUNNING] = CHECK_RUNNING,
-        [ACC_STOPPING] = CHECK_RUNNING,  [ACC_ENDED] = CHECK_ENDED};
+        [ALLOCATION_RESERVED] = CHECK_RESERVED, /* the start order was lost */
+        [ALLOCATION_STARTING] = CHECK_STARTING, [ALLOCATION_HELD] = CHECK_HELD,  [ALLOCATION_RUNNING] = CHECK_RUNNING,
+        [ALLOCATION_STOPPING] = CHECK_RUNNING,  [ALLOCATION_ENDED] = CHECK_ENDED};
     return states[allocation->state];
 }
 
 /* Sends the task's state to the shard's owner without a check, since its gang waits for it. */
-static void send_state(struct node *node, struct home *owner, const struct account *allocation)
+static void send_state(struct node *node, struct executor_owner *owner, const struct account *allocation)
 {
-    struct checked_task task = {.job = allocation->ref.job,
+    struct check_result task = {.job = allocation->ref.job,
                                 .no = allocation->ref.no,
                                 .attempt = allocation->ref.attempt,
                                 .state = allocation_check_state(allocation)};
-    struct checked message = {.executor = owner->name,
-                              .home_epoch = owner->epoch,
-                              .incarnation = owner->incarnation,
-                              .tasks = &task,
-                              .n_tasks = 1};
-    node_send(node, shard_owner(node, job_shard(allocation->ref.job)), FRAME_CHECKED, &checked_schema, &message);
+    struct check_reply message = {.executor = owner->name,
+                                  .executor_epoch = owner->epoch,
+                                  .incarnation = owner->incarnation,
+                                  .tasks = &task,
+                                  .n_tasks = 1};
+    node_send(node, shard_owner(node, job_shard(allocation->ref.job)), FRAME_CHECKED, &check_reply_schema, &message);
 }
 
 int outcome_parse(const char *text)
@@ -91,33 +91,35 @@
     return OUTCOME_LOST;
 }
 
-void allocation_end(struct node *node, struct home *owner, struct account *allocation, int64_t outcome, const char *why)
+void allocation_end(struct node *node, struct executor_owner *owner, struct account *allocation, int64_t outcome,
+                    const char *why)
 {
-    if (allocation->state == ACC_ENDED)
+    if (allocation->state == ALLOCATION_ENDED)
         return;
-    if (allocation->state >= ACC_STARTING)
+    if (allocation->state >= ALLOCATION_STARTING)
         executor_owner_count_outcome(node, owner,
                                      outcome == OUTCOME_STOPPED && allocation->stalled ? OUTCOME_FAILED : outcome);
     static const char *const outcomes[] = {"done", "failed", "stopped", "lapsed", "unstarted", "gone"};
-    node_tell(node, allocation->ref.job, allocation->ref.no, allocation->ref.attempt, outcomes[outcome], owner->name);
-    allocation->state = ACC_ENDED;
+    node_journal_add(node, allocation->ref.job, allocation->ref.no, allocation->ref.attempt, outcomes[outcome],
+                     owner->name);
+    allocation->state = ALLOCATION_ENDED;
     allocation->outcome = outcome;
     allocation->ended_sent_ms = 0;
     free(allocation->why);
     allocation->why =
         must_dup(allocation->stalled && outcome == OUTCOME_STOPPED ? "stopped for lack of progress" : why);
-    node->rooms_due_ms = 0;
+    node->summaries_due_ms = 0;
 }
 
 /* For a new incarnation: the tasks of the former one run no longer, their outcome is unknown. */
-void allocations_end_all(struct node *node, struct home *owner, const char *why)
+void allocations_end_all(struct node *node, struct executor_owner *owner, const char *why)
 {
     for (int64_t i = 0; i < owner->n_rows; i++)
-        if (owner->rows[i].state > ACC_RESERVED)
+        if (owner->rows[i].state > ALLOCATION_RESERVED)
             allocation_end(node, owner, &owner->rows[i], OUTCOME_LOST, why);
 }
 
-static struct account *find_or_add(struct node *node, struct home *owner, const struct exec_task *task)
+static struct account *find_or_add(struct node *node, struct executor_owner *owner, const struct exec_task *task)
 {
     struct account *allocation = allocation_find(owner, task->job, task->no, task->attempt);
     if (allocation)
@@ -125,10 +127,10 @@
     for (int64_t i = 0; i < owner->n_acks; i++)
         if (owner->acks[i].job == task->job && owner->acks[i].no == task->no && owner->acks[i].attempt == task->attempt)
             return NULL; /* acknowledged, but the executor does not know that yet */
-    allocation = list_more(owner->rows, owner->n_rows);
+    allocation = array_add(owner->rows, owner->n_rows);
     allocation->ref = (struct task_ref){
         .job = task->job, .no = task->no, .attempt = task->attempt, .cores = task->cores, .mem_mb = task->mem_mb};
-    allocation->state = ACC_RUNNING;
+    allocation->state = ALLOCATION_RUNNING;
     allocation->since_ms = world_ms(node->w);
     allocation->lease_ms = node->root_settings.lease_ms;
     return allocation;
@@ -136,7 +138,8 @@
 
 /* Stops a task that reports no progress for stall_ms. Each state received adds at most STALL_STEP_MAX_MS, so that a
  * time in which the executor slept or no state was received does not count. */
-static void check_progress(struct node *node, struct home *owner, struct account *allocation, int64_t progress)
+static void check_progress(struct node *node, struct executor_owner *owner, struct account *allocation,
+                           int64_t progress)
 {
     int64_t now_ms = world_ms(node->w), since_ms = now_ms - allocation->progress_checked_ms;
     int first = !allocation->progress_checked_ms;
@@ -152,32 +155,32 @@
         return;
     world_note(node->w, EV_TASK_STILL, "executor=%s job=%lld no=%lld stillMs=%lld", owner->name,
                (long long)allocation->ref.job, (long long)allocation->ref.no, (long long)allocation->stalled_ms);
-    node_tell(node, allocation->ref.job, allocation->ref.no, allocation->ref.attempt, "no progress, stop ordered",
-              owner->name);
+    node_journal_add(node, allocation->ref.job, allocation->ref.no, allocation->ref.attempt,
+                     "no progress, stop ordered", owner->name);
     allocation->stalled = allocation->stop_requested = 1;
     owner->dirty = 1;
     executor_owner_quarantine(node, owner);
 }
 
-void allocations_reconcile(struct node *node, struct home *owner)
+void allocations_reconcile(struct node *node, struct executor_owner *owner)
 {
     const struct exec_state *state = &owner->state;
     for (int64_t i = 0; i < state->n_running; i++) {
         struct account *allocation = find_or_add(node, owner, &state->running[i]);
-        if (!allocation || allocation->state == ACC_ENDED)
+        if (!allocation || allocation->state == ALLOCATION_ENDED)
             continue;
         allocation->reported_serial = owner->serial;
         const char *reported = state->running[i].state ? state->running[i].state : "";
         int64_t old_state = allocation->state;
-        allocation->state = !strcmp(reported, "held")       ? ACC_HELD
-                            : !strcmp(reported, "stopping") ? ACC_STOPPING
-                                                            : ACC_RUNNING;
-        if (allocation->state == ACC_RUNNING)
+        allocation->state = !strcmp(reported, "held")       ? ALLOCATION_HELD
+                            : !strcmp(reported, "stopping") ? ALLOCATION_STOPPING
+                                                            : ALLOCATION_RUNNING;
+        if (allocation->state == ALLOCATION_RUNNING)
             check_progress(node, owner, allocation, state->running[i].progress);
         if (allocation->state != old_state)
-            node_tell(node, allocation->ref.job, allocation->ref.no, allocation->ref.attempt,
-                      reported[0] == 'h' ? "held" : "running", owner->name);
-        if (allocation->state != old_state && (allocation->state == ACC_HELD || old_state == ACC_HELD))
+            node_journal_add(node, allocation->ref.job, allocation->ref.no, allocation->ref.attempt,
+                             reported[0] == 'h' ? "held" : "running", owner->name);
+        if (allocation->state != old_state && (allocation->state == ALLOCATION_HELD || old_state == ALLOCATION_HELD))
             send_state(node, owner, allocation);
     }
     for (int64_t i = 0; i < state->n_ended; i++) {
@@ -189,11 +192,11 @@
     }
     for (int64_t i = 0; i < owner->n_rows; i++) {
         struct account *allocation = &owner->rows[i];
-        if (allocation->state >= ACC_HELD && allocation->state < ACC_ENDED &&
+        if (allocation->state >= ALLOCATION_HELD && allocation->state < ALLOCATION_ENDED &&
             allocation->reported_serial != owner->serial)
             allocation_end(node, owner, allocation, OUTCOME_LOST, "the executor no longer knows it");
         /* The executor reports but does not answer calls: by this ticket it would refuse the start if it got it. */
-        if (allocation->state == ACC_STARTING && owner->silent &&
+        if (allocation->state == ALLOCATION_STARTING && owner->silent &&
             state->ticket > allocation->sent_ticket + allocation->lease_ms)
             allocation_end(node, owner, allocation, OUTCOME_NOT_STARTED, "its start never arrived");
     }
--- a/src/home/home_orders.c
+++ b/src/executor_owner/executor_orders.c
@@ -6,7 +6,7 @@
 
 #include "base/events.h"
 #include "base/error.h"
-#include "home/home.h"
+#include "executor_owner/executor_owner.h"
 #include "node/node.h"
 
 enum {
@@ -23,18 +23,19 @@
 static int64_t count_quarantined(struct node *node, const char *kind, int64_t *total)
 {
     int64_t n = 0;
-    for (int64_t i = 0; i < node->n_rooms; i++) {
-        if (strcmp(node->rooms[i].kind, kind))
+    for (int64_t i = 0; i < node->n_executor_summaries; i++) {
+        if (strcmp(node->executor_summaries[i].kind, kind))
             continue;
         *total += 1;
-        n += node->rooms[i].state == ROOM_QUARANTINE || node->rooms[i].state == ROOM_PROBATION;
+        n += node->executor_summaries[i].state == EXECUTOR_QUARANTINE ||
+             node->executor_summaries[i].state == EXECUTOR_PROBATION;
     }
     return n;
 }
 
 /* Judges by outcomes alone. Once half of the executors of a kind are quarantined, the cause is taken to be the work
  * rather than the executors, and executor_owner_quarantine() does nothing. */
-void executor_owner_count_outcome(struct node *node, struct home *owner, int64_t outcome)
+void executor_owner_count_outcome(struct node *node, struct executor_owner *owner, int64_t outcome)
 {
     const struct settings *settings = &node->root_settings;
     int64_t failures = 0;
@@ -54,7 +55,7 @@
     executor_owner_quarantine(node, owner);
 }
 
-void executor_owner_quarantine(struct node *node, struct home *owner)
+void executor_owner_quarantine(struct node *node, struct executor_owner *owner)
 {
     const struct settings *settings = &node->root_settings;
     int64_t total = 0;
@@ -71,22 +72,23 @@
     world_note(node->w, EV_QUARANTINE, "executor=%s forMs=%lld", owner->name, (long long)duration_ms);
 }
 
-int64_t executor_owner_view_state(struct node *node, struct home *owner)
+int64_t executor_owner_view_state(struct node *node, struct executor_owner *owner)
 {
     if (!owner->opened)
-        return ROOM_CLOSED;
+        return EXECUTOR_CLOSED;
     if (owner->state.leaving)
-        return ROOM_LEAVING;
+        return EXECUTOR_LEAVING;
     if (owner->silent)
-        return ROOM_SILENT;
+        return EXECUTOR_SILENT;
     if (world_ms(node->w) < owner->quarantine_until_ms)
-        return ROOM_QUARANTINE;
-    return owner->probation > 0 ? ROOM_PROBATION : ROOM_OPEN;
+        return EXECUTOR_QUARANTINE;
+    return owner->probation > 0 ? EXECUTOR_PROBATION : EXECUTOR_OPEN;
 }
 
 /* --- state ----------------------------------------------------------------------------- */
 
-void executor_owner_apply_state(struct node *node, struct home *owner, struct exec_state *state, int is_response)
+void executor_owner_apply_state(struct node *node, struct executor_owner *owner, struct exec_state *state,
+                                int is_response)
 {
     int64_t now_ms = world_ms(node->w);
     if (state->incarnation < owner->incarnation ||
@@ -125,7 +127,7 @@
         allocations_reconcile(node, owner);
     else
         owner->dirty = 1;
-    node->rooms_due_ms = node->rooms_due_ms > now_ms + 30 ? now_ms + 30 : node->rooms_due_ms;
+    node->summaries_due_ms = node->summaries_due_ms > now_ms + 30 ? now_ms + 30 : node->summaries_due_ms;
 }
 
 static void on_orders_response(void *arg, int64_t tag, int status, const char *body, int64_t len)
@@ -133,11 +135,11 @@
     struct node *node = arg;
     struct exec_state state = {0};
     struct validation_error validation_error;
-    struct home *owner = NULL;
+    struct executor_owner *owner = NULL;
     /* the tag is a hash of the executor's name: this node may have lost its ownership meanwhile */
-    for (int64_t i = 0; i < node->n_homes; i++)
-        if ((int64_t)(hash_text(node->homes[i]->name) >> 8) == (tag & ((1LL << 56) - 1)))
-            owner = node->homes[i];
+    for (int64_t i = 0; i < node->n_executor_owners; i++)
+        if ((int64_t)(hash_text(node->executor_owners[i]->name) >> 8) == (tag & ((1LL << 56) - 1)))
+            owner = node->executor_owners[i];
     if (!owner)
         return;
     owner->call_in_flight = 0;
@@ -160,13 +162,13 @@
     schema_free(&exec_state_schema, &state);
 }
 
-void executor_owner_send_orders(struct node *node, struct home *owner)
+void executor_owner_send_orders(struct node *node, struct executor_owner *owner)
 {
     int64_t now_ms = world_ms(node->w);
     if (owner->call_in_flight || !owner->addr || (!owner->dirty && now_ms < owner->next_call_ms))
         return;
     struct exec_orders orders = {.cluster = node->cluster_name,
-                                 .home = (char *)(uintptr_t)addr_text(node->w->http_addr),
+                                 .executor_owner = (char *)(uintptr_t)addr_text(node->w->http_addr),
                                  .epoch = owner->epoch,
                                  .incarnation = owner->incarnation,
                                  .ticket = owner->state.ticket,
@@ -174,20 +176,21 @@
                                  .n_acks = owner->n_acks};
     for (int64_t i = 0; i < owner->n_rows && owner->opened; i++) {
         struct account *allocation = &owner->rows[i];
-        struct exec_renew order = {.job = allocation->ref.job,
-                                   .no = allocation->ref.no,
-                                   .attempt = allocation->ref.attempt,
-                                   .lease_ms = allocation->lease_ms};
-        if (allocation->state == ACC_STARTING && !allocation->stop_requested && !owner->silent &&
+        struct exec_task_order order = {.job = allocation->ref.job,
+                                        .no = allocation->ref.no,
+                                        .attempt = allocation->ref.attempt,
+                                        .lease_ms = allocation->lease_ms};
+        if (allocation->state == ALLOCATION_STARTING && !allocation->stop_requested && !owner->silent &&
             orders.n_starts < STARTS_PER_CALL_MAX) {
-            *list_more(orders.starts, orders.n_starts) = *allocation->start;
+            *array_add(orders.starts, orders.n_starts) = *allocation->start;
             allocation->sent_ticket = orders.ticket;
-        } else if (allocation->stop_requested && allocation->state >= ACC_STARTING && allocation->state < ACC_ENDED)
-            *list_more(orders.stops, orders.n_stops) = order;
-        else if (allocation->state == ACC_RUNNING || allocation->state == ACC_HELD)
-            *list_more(orders.renews, orders.n_renews) = order;
-        if (allocation->state == ACC_HELD && allocation->go_requested && !allocation->stop_requested)
-            *list_more(orders.goes, orders.n_goes) = order;
+        } else if (allocation->stop_requested && allocation->state >= ALLOCATION_STARTING &&
+                   allocation->state < ALLOCATION_ENDED)
+            *array_add(orders.stops, orders.n_stops) = order;
+        else if (allocation->state == ALLOCATION_RUNNING || allocation->state == ALLOCATION_HELD)
+            *array_add(orders.renews, orders.n_renews) = order;
+        if (allocation->state == ALLOCATION_HELD && allocation->go_requested && !allocation->stop_requested)
+            *array_add(orders.goes, orders.n_goes) = order;
     }
     char *body = schema_to_text(&exec_orders_schema, &orders);
     owner->acks_in_flight = owner->n_acks;
@@ -212,11 +215,11 @@
 /* --- executor views ------------------------------------------------------------------------ */
 
 /* Hash of what all nodes use of the views: not of the free capacity, which only shard owners use. */
-static int64_t views_hash(const struct rooms_msg *message)
+static int64_t views_hash(const struct executor_summaries_msg *message)
 {
     uint64_t hash = 1;
     for (int64_t i = 0; i < message->n; i++) {
-        const struct room *view = &message->views[i];
+        const struct executor_summary *view = &message->views[i];
         hash = hash_mix(hash_mix(hash, hash_text(view->executor)),
                         (uint64_t)(view->state << 8 ^ view->epoch << 16 ^ view->incarnation));
         hash = hash_mix(hash_mix(hash, (uint64_t)view->addr),
@@ -238,51 +241,53 @@
  * made the traffic grow with the square of their number. */
 void executor_views_send(struct node *node)
 {
-    struct rooms_msg message = {0};
+    struct executor_summaries_msg message = {0};
     int64_t now_ms = world_ms(node->w), owners[SHARD_COUNT];
-    node->rooms_due_ms = now_ms + VIEWS_INTERVAL_MS;
-    node->rooms_told_ms = now_ms;
-    for (int64_t i = 0; i < node->n_homes; i++) {
-        struct home *owner = node->homes[i];
+    node->summaries_due_ms = now_ms + VIEWS_INTERVAL_MS;
+    node->summaries_sent_ms = now_ms;
+    for (int64_t i = 0; i < node->n_executor_owners; i++) {
+        struct executor_owner *owner = node->executor_owners[i];
         if (!owner->state.kind)
             continue;
-        struct room *view = list_more(message.views, message.n);
-        *view = (struct room){.executor = owner->name,
-                              .kind = owner->state.kind,
-                              .rack = owner->state.rack,
-                              .services = owner->state.services,
-                              .n_services = owner->state.n_services,
-                              .home = (int64_t)node->w->self,
-                              .epoch = owner->epoch,
-                              .incarnation = owner->incarnation,
-                              .state = executor_owner_view_state(node, owner),
-                              .cores = owner->state.cores,
-                              .mem_mb = owner->state.mem_mb,
-                              .addr = owner->addr,
-                              .leave_ms = owner->leave_ms,
-                              .urgency_limit = owner->denied_until_ms > now_ms ? owner->denied_urgency : INT64_MAX};
+        struct executor_summary *view = array_add(message.views, message.n);
+        *view = (struct executor_summary){.executor = owner->name,
+                                          .kind = owner->state.kind,
+                                          .rack = owner->state.rack,
+                                          .services = owner->state.services,
+                                          .n_services = owner->state.n_services,
+                                          .executor_owner = (int64_t)node->w->self,
+                                          .epoch = owner->epoch,
+                                          .incarnation = owner->incarnation,
+                                          .state = executor_owner_view_state(node, owner),
+                                          .cores = owner->state.cores,
+                                          .mem_mb = owner->state.mem_mb,
+                                          .addr = owner->addr,
+                                          .leave_ms = owner->leave_ms,
+                                          .urgency_limit =
+                                              owner->denied_until_ms > now_ms ? owner->denied_urgency : INT64_MAX};
         allocations_free_capacity(owner, &view->free_cores, &view->free_mb);
     }
     int64_t hash = views_hash(&message);
     int64_t every_ms = VIEWS_TO_ALL_PER_PEER_MS * node->peers.n;
-    int to_all = hash != node->rooms_hash ||
-                 now_ms - node->rooms_all_ms >= (every_ms > VIEWS_TO_ALL_MIN_MS ? every_ms : VIEWS_TO_ALL_MIN_MS);
-    node->rooms_hash = hash;
+    int to_all = hash != node->summaries_hash || now_ms - node->summaries_sent_to_all_ms >=
+                                                     (every_ms > VIEWS_TO_ALL_MIN_MS ? every_ms : VIEWS_TO_ALL_MIN_MS);
+    node->summaries_hash = hash;
     if (to_all)
-        node->rooms_all_ms = now_ms;
+        node->summaries_sent_to_all_ms = now_ms;
     for (int64_t i = 0; i < SHARD_COUNT; i++)
         owners[i] = shard_owner(node, i);
     struct blob *frame = blob_new(); /* the same for all receivers */
-    frame_build(&frame->bytes, FRAME_ROOMS, node->cluster, node->w->self, &rooms_msg_schema, &message);
+    frame_build(&frame->bytes, FRAME_EXECUTOR_SUMMARIES, node->cluster, node->w->self, &executor_summaries_msg_schema,
+                &message);
     for (int64_t i = -1; message.n && i < node->peers.n; i++) {
-        const struct peer_news *news = i < 0 ? &node->peers.self : &node->peers.all[i].news;
-        if (news->role != ROLE_NODE || news->state >= SIB_SUSPECT ||
-            (!to_all && !contains_address(owners, SHARD_COUNT, news->addr)))
+        const struct peer_info *info = i < 0 ? &node->peers.self : &node->peers.all[i].info;
+        if (info->role != ROLE_NODE || info->state >= PEER_SUSPECT ||
+            (!to_all && !contains_address(owners, SHARD_COUNT, info->addr)))
             continue;
         if (i < 0)
-            node_take(node, frame->bytes.at, frame->bytes.len);
+            node_on_frame(node, frame->bytes.at, frame->bytes.len);
         else
-            node->w->calls->send(node->w, (uint64_t)news->addr, frame, 0);
+            node->w->calls->send(node->w, (uint64_t)info->addr, frame, 0);
     }
     blob_drop(frame);
     free(message.views);
--- a/src/home/home.h
+++ b/src/executor_owner/executor_owner.h
@@ -39,7 +39,7 @@
     char *service, *queue, *kind, *payload;
 };
 /* Any other order for a task. lease_ms: length of the renewed lease. */
-struct exec_renew {
+struct exec_task_order {
     int64_t job, no, attempt, lease_ms;
 };
 
@@ -47,11 +47,11 @@
  * the executor; leases granted or renewed by these orders run from that time. acks: ended tasks whose end is recorded,
  * the executor may forget them; goes: held tasks that may run. */
 struct exec_orders {
-    char *cluster, *home;
+    char *cluster, *executor_owner;
     int64_t epoch, incarnation, ticket;
     struct exec_start *starts;
     int64_t n_starts;
-    struct exec_renew *stops, *renews, *acks, *goes;
+    struct exec_task_order *stops, *renews, *acks, *goes;
     int64_t n_stops, n_renews, n_acks, n_goes;
 };
 
@@ -60,22 +60,29 @@
 /* --- messages to and from shard owners ------------------------------------ */
 
 /* Only OPEN executors take reservations, and under PROBATION one task at a time. Values go over the wire. */
-enum room_state { ROOM_OPEN, ROOM_SILENT, ROOM_LEAVING, ROOM_QUARANTINE, ROOM_PROBATION, ROOM_CLOSED };
+enum executor_summary_state {
+    EXECUTOR_OPEN,
+    EXECUTOR_SILENT,
+    EXECUTOR_LEAVING,
+    EXECUTOR_QUARANTINE,
+    EXECUTOR_PROBATION,
+    EXECUTOR_CLOSED
+};
 
 /* An executor as its owner describes it to other nodes. home: address of that owner; epoch: epoch of its ownership. */
-struct room {
+struct executor_summary {
     char *executor, *kind, *rack;
     char **services;
     int64_t n_services;
-    int64_t home, epoch, incarnation, state, cores, mem_mb, free_cores, free_mb;
+    int64_t executor_owner, epoch, incarnation, state, cores, mem_mb, free_cores, free_mb;
     int64_t urgency_limit; /* free capacity is kept for tasks at least this urgent; INT64_MAX: for all */
     int64_t leave_ms;      /* fleet time at which it leaves; 0: not planned */
     int64_t addr;          /* takes orders here; lets the next owner call it at once */
     /* Not sent, kept by the receiver. slow_pct: mean duration of its tasks in percent of others of their queue. */
     int64_t received_ms, slow_pct;
 };
-struct rooms_msg {
-    struct room *views;
+struct executor_summaries_msg {
+    struct executor_summary *views;
     int64_t n;
 };
 
@@ -84,27 +91,27 @@
     int64_t job, no, attempt, cores, mem_mb;
 };
 /* Asks an executor's owner to reserve capacity for tasks, or to release it again. req: number of the sender's staging;
- * shard_epoch, home_epoch: epochs under which sender and receiver own the shard and the executor. */
-struct reserve {
-    int64_t req, shard, shard_epoch, home_epoch, incarnation, urgency;
+ * shard_epoch, executor_epoch: epochs under which sender and receiver own the shard and the executor. */
+struct reserve_request {
+    int64_t req, shard, shard_epoch, executor_epoch, incarnation, urgency;
     char *executor;
     struct task_ref *tasks;
     int64_t n_tasks;
 };
 /* error: ERROR_NONE, all tasks have their reservation; or ERROR_REJECTED, none has. */
-struct reserved {
+struct reserve_reply {
     int64_t req, error;
     char *executor;
 };
 /* Asks an executor's owner to start a task whose placement is committed. */
 struct start_order {
-    int64_t shard, shard_epoch, home_epoch, incarnation;
+    int64_t shard, shard_epoch, executor_epoch, incarnation;
     char *executor;
     struct exec_start start;
 };
 /* Asks an executor's owner for the state of tasks, to stop them, or to let held ones run. */
-struct check {
-    int64_t shard, shard_epoch, home_epoch, incarnation;
+struct check_request {
+    int64_t shard, shard_epoch, executor_epoch, incarnation;
     char *executor;
     struct task_ref *tasks;
     int64_t n_tasks;
@@ -113,14 +120,14 @@
 /* State of a task at the executor's owner. UNKNOWN: no allocation; RUNNING: or stopping; LOST: no allocation, and all
  * leases granted by earlier owners have expired. Values go over the wire. */
 enum check_state { CHECK_UNKNOWN, CHECK_RESERVED, CHECK_STARTING, CHECK_HELD, CHECK_RUNNING, CHECK_ENDED, CHECK_LOST };
-struct checked_task {
+struct check_result {
     int64_t job, no, attempt, state;
 };
 /* Response to a check; also sent without one when a gang member becomes or ceases to be held. */
-struct checked {
-    int64_t home_epoch, incarnation;
+struct check_reply {
+    int64_t executor_epoch, incarnation;
     char *executor;
-    struct checked_task *tasks;
+    struct check_result *tasks;
     int64_t n_tasks;
 };
 
@@ -140,26 +147,33 @@
     char *executor, *why;
 };
 
-extern const struct schema room_schema, rooms_msg_schema, reserve_schema, reserved_schema, start_order_schema,
-    check_schema, checked_schema, ended_schema;
+extern const struct schema executor_summary_schema, executor_summaries_msg_schema, reserve_request_schema,
+    reserve_reply_schema, start_order_schema, check_request_schema, check_reply_schema, ended_schema;
 
 /* --- allocations ----------------------------------------------------------- */
 
-enum allocation_state { ACC_RESERVED, ACC_STARTING, ACC_HELD, ACC_RUNNING, ACC_STOPPING, ACC_ENDED };
+enum allocation_state {
+    ALLOCATION_RESERVED,
+    ALLOCATION_STARTING,
+    ALLOCATION_HELD,
+    ALLOCATION_RUNNING,
+    ALLOCATION_STOPPING,
+    ALLOCATION_ENDED
+};
 
 /* Capacity of an executor that is allocated to a task. Invariant: the capacity counts as used from the reservation
  * until the executor reports the end of the task, also while the task is being stopped. */
 struct account {
     struct task_ref ref;
     /* state: enum allocation_state; since_ms: when it was reserved or its start ordered; reported_serial: serial of the
-     * newest state of the executor that lists the task; outcome: enum outcome, of ACC_ENDED; ended_sent_ms: when the
-     * end was last sent to the shard's owner */
+     * newest state of the executor that lists the task; outcome: enum outcome, of ALLOCATION_ENDED; ended_sent_ms: when
+     * the end was last sent to the shard's owner */
     int64_t state, since_ms, lease_ms, reported_serial, outcome, ended_sent_ms, stop_requested, go_requested;
     /* stalled_ms: how long no progress was observed, at most stall_ms; stalled: it is being stopped for that */
     int64_t progress, stalled_ms, progress_checked_ms, stall_ms, stalled;
     int64_t sent_ticket;      /* ticket of the newest orders with its start; 0: not sent yet */
-    struct exec_start *start; /* used while ACC_STARTING */
-    char *why;                /* of ACC_ENDED */
+    struct exec_start *start; /* used while ALLOCATION_STARTING */
+    char *why;                /* of ALLOCATION_ENDED */
 };
 
 /* Owner of one executor. opened: the executor's state is known and orders may be sent; dirty: send orders at the next
@@ -167,7 +181,7 @@
  * lease, so nothing runs there any more.
  * Invariants: epoch never falls; opened is set only after the executor answered a call under this epoch; ticket_ms is
  * when the ticket in use was received, so every lease granted with it ends before ticket_ms + lease on any clock. */
-struct home {
+struct executor_owner {
     char *name;
     int64_t epoch, acks_in_flight, opened, started_ms; /* acks_in_flight: how many acks the current call contains */
     struct exec_state state;                           /* the newest received */
@@ -177,7 +191,7 @@
     int64_t call_in_flight, next_call_ms, dirty, silent, leases_expired, failed_calls;
     struct account *rows; /* the executor's allocations */
     int64_t n_rows;
-    struct exec_renew *acks;
+    struct exec_task_order *acks;
     int64_t n_acks;
     int64_t shard_epochs[64]; /* highest epoch received from the owner of each shard */
     uint64_t recent_outcomes; /* a bit each, the newest is the lowest; 1: failed */
@@ -187,42 +201,42 @@
 
 struct node;
 /* The owner of the executor of this name, NULL: this node is not. */
-struct home *home_find(struct node *node, const char *name);
+struct executor_owner *executor_owner_find(struct node *node, const char *name);
 /* Makes this node the owner of the executor under epoch, in place of any ownership under a lower one. */
-struct home *home_take_duty(struct node *node, const char *name, int64_t epoch);
+struct executor_owner *executor_owner_start(struct node *node, const char *name, int64_t epoch);
 /* Gives up the ownership and frees owner. */
-void home_drop(struct node *node, struct home *owner);
+void executor_owner_drop(struct node *node, struct executor_owner *owner);
 /* To be called on each tick: checks leases and silence, repeats messages, sends orders and executor views. */
-void homes_on_timer(struct node *node);
+void executor_owners_on_timer(struct node *node);
 /* Frees all owners of the node. */
-void homes_end(struct node *node);
+void executor_owners_end(struct node *node);
 /* Answers POST /v1/executors/report, a state sent by an executor itself. */
-void home_report(struct node *node, int64_t request, const char *body, int64_t len);
-/* Handle messages from shard owners. home_on_start() takes over the start order's strings. */
-void home_on_reserve(struct node *node, int64_t from, const struct reserve *message);
-void home_on_release(struct node *node, int64_t from, const struct reserve *message);
-void home_on_start(struct node *node, int64_t from, struct start_order *message);
-void home_on_stop(struct node *node, int64_t from, const struct check *message);
-void home_on_go(struct node *node, const struct check *message);
+void executor_owner_on_report(struct node *node, int64_t request, const char *body, int64_t len);
+/* Handle messages from shard owners. executor_owner_on_start() takes over the start order's strings. */
+void executor_owner_on_reserve(struct node *node, int64_t from, const struct reserve_request *message);
+void executor_owner_on_release(struct node *node, int64_t from, const struct reserve_request *message);
+void executor_owner_on_start(struct node *node, int64_t from, struct start_order *message);
+void executor_owner_on_stop(struct node *node, int64_t from, const struct check_request *message);
+void executor_owner_on_go(struct node *node, const struct check_request *message);
 /* State of an allocation as an enum check_state. */
 int64_t allocation_check_state(const struct account *allocation);
-void home_on_check(struct node *node, int64_t from, const struct check *message);
-void home_on_ended_ack(struct node *node, const struct ended *message);
+void executor_owner_on_check(struct node *node, int64_t from, const struct check_request *message);
+void executor_owner_on_ended_ack(struct node *node, const struct ended *message);
 
 /* home_account.c */
 /* NULL: none. Pointers to allocations are valid until one is added or removed. */
-struct account *allocation_find(struct home *owner, int64_t job, int64_t no, int64_t attempt);
+struct account *allocation_find(struct executor_owner *owner, int64_t job, int64_t no, int64_t attempt);
 /* Frees what the allocation owns; allocation_remove() also takes it from the list. */
 void allocation_free(struct account *allocation);
-void allocation_remove(struct home *owner, struct account *allocation);
+void allocation_remove(struct executor_owner *owner, struct account *allocation);
 /* Capacity that can still be reserved; negative after the executor gave some to other work. */
-void allocations_free_capacity(const struct home *owner, int64_t *cores, int64_t *mem_mb);
+void allocations_free_capacity(const struct executor_owner *owner, int64_t *cores, int64_t *mem_mb);
 /* Updates the allocations from the executor's state. */
-void allocations_reconcile(struct node *node, struct home *owner);
+void allocations_reconcile(struct node *node, struct executor_owner *owner);
 /* Ends all allocations whose start was ordered as OUTCOME_LOST. */
-void allocations_end_all(struct node *node, struct home *owner, const char *why);
+void allocations_end_all(struct node *node, struct executor_owner *owner, const char *why);
 /* Ends an allocation; does nothing if it has ended. */
-void allocation_end(struct node *node, struct home *owner, struct account *allocation, int64_t outcome,
+void allocation_end(struct node *node, struct executor_owner *owner, struct account *allocation, int64_t outcome,
                     const char *why);
 /* The outcome of this outer name, OUTCOME_LOST for any other text. */
 int outcome_parse(const char *text);
@@ -230,15 +244,16 @@
 /* home_orders.c */
 /* Takes over a state of the executor unless it is older than the current one. is_response: it answers a call of this
  * owner, so it is not a report. */
-void executor_owner_apply_state(struct node *node, struct home *owner, struct exec_state *state, int is_response);
+void executor_owner_apply_state(struct node *node, struct executor_owner *owner, struct exec_state *state,
+                                int is_response);
 /* Calls the executor with its orders if some are pending or a heartbeat is due, one call at a time. */
-void executor_owner_send_orders(struct node *node, struct home *owner);
+void executor_owner_send_orders(struct node *node, struct executor_owner *owner);
 /* Counts an outcome and may quarantine the executor. */
-void executor_owner_count_outcome(struct node *node, struct home *owner, int64_t outcome);
+void executor_owner_count_outcome(struct node *node, struct executor_owner *owner, int64_t outcome);
 /* Quarantines the executor, unless half of the executors of its kind are quarantined or on probation. */
-void executor_owner_quarantine(struct node *node, struct home *owner);
-/* The executor's enum room_state. */
-int64_t executor_owner_view_state(struct node *node, struct home *owner);
+void executor_owner_quarantine(struct node *node, struct executor_owner *owner);
+/* The executor's enum executor_summary_state. */
+int64_t executor_owner_view_state(struct node *node, struct executor_owner *owner);
 /* Sends views of this node's executors to other nodes. */
 void executor_views_send(struct node *node);
 #endif
--- a/src/home/home_timers.c
+++ b/src/executor_owner/executor_owner_timers.c
@@ -1,5 +1,5 @@
 /* Timers of an executor's owner: expiry of reservations and leases, repeated messages about ended tasks. */
-#include "home/home.h"
+#include "executor_owner/executor_owner.h"
 
 #include "base/error.h"
 #include "base/events.h"
@@ -7,18 +7,18 @@
 
 enum { RESERVATION_TTL_MS = 8000, ENDED_RESEND_MS = 300, VIEWS_MIN_INTERVAL_MS = 40 };
 
-static void expire_reservations(struct home *owner, int64_t now_ms)
+static void expire_reservations(struct executor_owner *owner, int64_t now_ms)
 {
     for (int64_t i = 0; i < owner->n_rows; i++)
-        if (owner->rows[i].state == ACC_RESERVED && now_ms - owner->rows[i].since_ms > RESERVATION_TTL_MS)
+        if (owner->rows[i].state == ALLOCATION_RESERVED && now_ms - owner->rows[i].since_ms > RESERVATION_TTL_MS)
             allocation_remove(owner, &owner->rows[i--]);
 }
 
-static void send_ended(struct node *node, struct home *owner, int64_t now_ms)
+static void send_ended(struct node *node, struct executor_owner *owner, int64_t now_ms)
 {
     for (int64_t i = 0; i < owner->n_rows; i++) {
         struct account *allocation = &owner->rows[i];
-        if (allocation->state != ACC_ENDED || now_ms - allocation->ended_sent_ms < ENDED_RESEND_MS)
+        if (allocation->state != ALLOCATION_ENDED || now_ms - allocation->ended_sent_ms < ENDED_RESEND_MS)
             continue;
         allocation->ended_sent_ms = now_ms;
         struct ended message = {.job = allocation->ref.job,
@@ -36,7 +36,7 @@
 
 /* Ends allocations whose lease has expired for lack of contact: the executor has stopped them by itself. Likewise,
  * after the longest lease that may have been granted, nothing of a former owner runs there any more. */
-static void check_silence(struct node *node, struct home *owner, int64_t now_ms)
+static void check_silence(struct node *node, struct executor_owner *owner, int64_t now_ms)
 {
     int64_t margin_ms = node->root_settings.margin_ms, longest_lease_ms = node->root_settings.lease_ms;
     int silent = now_ms - owner->last_response_ms > node->root_settings.silent_ms || owner->failed_calls >= 2;
@@ -47,7 +47,7 @@
         struct account *allocation = &owner->rows[i];
         if (allocation->lease_ms > longest_lease_ms)
             longest_lease_ms = allocation->lease_ms;
-        if (allocation->state > ACC_RESERVED && allocation->state < ACC_ENDED &&
+        if (allocation->state > ALLOCATION_RESERVED && allocation->state < ALLOCATION_ENDED &&
             now_ms - owner->ticket_ms > allocation->lease_ms + margin_ms)
             allocation_end(node, owner, allocation, OUTCOME_LOST, "executor silent beyond its lease");
     }
@@ -62,11 +62,11 @@
     owner->leases_expired = leases_expired;
 }
 
-void homes_on_timer(struct node *node)
+void executor_owners_on_timer(struct node *node)
 {
     int64_t now_ms = world_ms(node->w);
-    for (int64_t i = 0; i < node->n_homes; i++) {
-        struct home *owner = node->homes[i];
+    for (int64_t i = 0; i < node->n_executor_owners; i++) {
+        struct executor_owner *owner = node->executor_owners[i];
         if (!admission_open(node))
             continue;
         check_silence(node, owner, now_ms);
@@ -74,6 +74,7 @@
         send_ended(node, owner, now_ms);
         executor_owner_send_orders(node, owner);
     }
-    if (now_ms >= node->rooms_due_ms && now_ms - node->rooms_told_ms >= VIEWS_MIN_INTERVAL_MS && admission_open(node))
+    if (now_ms >= node->summaries_due_ms && now_ms - node->summaries_sent_ms >= VIEWS_MIN_INTERVAL_MS &&
+        admission_open(node))
         executor_views_send(node);
 }
--- a/src/shard/assign.c
+++ b/src/shard/assign.c
@@ -8,28 +8,28 @@
 
 enum { VIEW_FRESH_MS = 2000 };
 
-struct room *room_find(struct node *node, const char *executor)
+struct executor_summary *executor_summary_find(struct node *node, const char *executor)
 {
-    for (int64_t i = 0; i < node->n_rooms; i++)
-        if (!strcmp(node->rooms[i].executor, executor))
-            return &node->rooms[i];
+    for (int64_t i = 0; i < node->n_executor_summaries; i++)
+        if (!strcmp(node->executor_summaries[i].executor, executor))
+            return &node->executor_summaries[i];
     return NULL;
 }
 
-void rooms_take(struct node *node, int64_t from, struct rooms_msg *message)
+void executor_summaries_merge(struct node *node, int64_t from, struct executor_summaries_msg *message)
 {
     for (int64_t i = 0; i < message->n; i++) {
-        struct room *view = &message->views[i];
-        if (!view->executor || !view->kind || !view->rack || view->home != from)
+        struct executor_summary *view = &message->views[i];
+        if (!view->executor || !view->kind || !view->rack || view->executor_owner != from)
             continue;
-        struct room *known = room_find(node, view->executor);
+        struct executor_summary *known = executor_summary_find(node, view->executor);
         if (known && view->epoch < known->epoch)
             continue;
         int64_t slow_pct = known ? known->slow_pct : 100;
         if (!known)
-            known = list_more(node->rooms, node->n_rooms);
+            known = array_add(node->executor_summaries, node->n_executor_summaries);
         else
-            schema_free(&room_schema, known);
+            schema_free(&executor_summary_schema, known);
         *known = *view;
         known->slow_pct = slow_pct;
         known->received_ms = world_ms(node->w);
@@ -37,7 +37,7 @@
     }
 }
 
-static int serves(const struct room *view, const char *service)
+static int serves(const struct executor_summary *view, const char *service)
 {
     for (int64_t i = 0; i < view->n_services; i++)
         if (!strcmp(view->services[i], service))
@@ -57,20 +57,21 @@
     const char *rack;
 };
 
-static void count_placed(struct node *node, struct placed_counts *counts, const struct room *view, const char *executor)
+static void count_placed(struct node *node, struct placed_counts *counts, const struct executor_summary *view,
+                         const char *executor)
 {
-    struct room *other = room_find(node, executor);
+    struct executor_summary *other = executor_summary_find(node, executor);
     counts->on_executor += !strcmp(executor, view->executor);
     counts->on_rack += other && !strcmp(other->rack, view->rack);
     if (other)
         counts->rack = other->rack;
 }
 
-static struct placed_counts count_step(struct node *node, const struct job *job, int64_t step, const struct room *view,
-                                       const struct staging *current)
+static struct placed_counts count_step(struct node *node, const struct job *job, int64_t step,
+                                       const struct executor_summary *view, const struct staging *current)
 {
     struct placed_counts counts = {0};
-    int64_t first = spec_first(&job->spec, step), n = job->spec.steps[step].n_tasks;
+    int64_t first = spec_first_task(&job->spec, step), n = job->spec.steps[step].n_tasks;
     for (int64_t i = first; i < first + n; i++)
         if (job->rows[i].state == ROW_PLACED ||
             (job->rows[i].state == ROW_DONE && !strcmp(job->spec.steps[step].rack, "one")))
@@ -96,7 +97,7 @@
 }
 
 /* Why the executor cannot take the task, or NULL. current: the staging that the task is in; NULL: only checked. */
-static const char *rejection(struct node *node, const struct job *job, int64_t no, const struct room *view,
+static const char *rejection(struct node *node, const struct job *job, int64_t no, const struct executor_summary *view,
                              const struct staging *current)
 {
     int64_t step = 0, now_ms = node_fleet_ms(node);
@@ -115,11 +116,11 @@
         return states[view->state];
     if (world_ms(node->w) - view->received_ms > VIEW_FRESH_MS)
         return "has no recent report from its owner";
-    if (config_tree_drained(&node->config_tree, view->executor, now_ms, node_settings(node, job->queue)->lease_ms))
+    if (config_tree_drain(&node->config_tree, view->executor, now_ms, node_settings(node, job->queue)->lease_ms))
         return "is drained by the calendar";
-    if ((!current || !current->bold) && (view->free_cores < task->cores || view->free_mb < task->mem_mb))
+    if ((!current || !current->ignores_view) && (view->free_cores < task->cores || view->free_mb < task->mem_mb))
         return "has no free capacity now";
-    if (current && !current->bold && current->urgency > view->urgency_limit)
+    if (current && !current->ignores_view && current->urgency > view->urgency_limit)
         return "keeps its capacity for more urgent work";
     struct placed_counts counts = count_step(node, job, step, view, current);
     if (step_spec->per_executor && counts.on_executor >= step_spec->per_executor)
@@ -131,12 +132,12 @@
     return NULL;
 }
 
-const char *assign_denies(struct node *node, const struct job *job, int64_t no, const struct room *view)
+const char *assign_rejection(struct node *node, const struct job *job, int64_t no, const struct executor_summary *view)
 {
     return rejection(node, job, no, view, NULL);
 }
 
-static int64_t score(struct node *node, const struct room *view)
+static int64_t score(struct node *node, const struct executor_summary *view)
 {
     int64_t free = view->cores ? view->free_cores * 1000 / view->cores : 0;
     /* its tasks take longer than others: each 100 % more costs 300 of the 1000 points for free cores */
@@ -147,11 +148,11 @@
 
 /* Updates the pace of the executor from the duration of a task that is done, relative to the mean of its queue. Each
  * node uses the tasks of its own shards; what an executor reports about itself does not count. */
-void assign_learn(struct node *node, const struct job *job, int64_t no)
+void assign_record_duration(struct node *node, const struct job *job, int64_t no)
 {
     const struct row *row = &job->rows[no];
     struct queue *queue = &node->queues[job->queue];
-    struct room *view = row->executor ? room_find(node, row->executor) : NULL;
+    struct executor_summary *view = row->executor ? executor_summary_find(node, row->executor) : NULL;
     int64_t took_ms = row->ended_ms - row->placed_ms;
     if (!view || took_ms < 1)
         return;
@@ -166,13 +167,13 @@
         queue->mean_ms = 1;
 }
 
-static struct room *best_view(struct node *node, const struct job *job, int64_t no, const struct staging *current,
-                              const char *rack)
+static struct executor_summary *best_view(struct node *node, const struct job *job, int64_t no,
+                                          const struct staging *current, const char *rack)
 {
-    struct room *best = NULL;
+    struct executor_summary *best = NULL;
     int64_t best_score = 0;
-    for (int64_t i = 0; i < node->n_rooms; i++) {
-        struct room *view = &node->rooms[i];
+    for (int64_t i = 0; i < node->n_executor_summaries; i++) {
+        struct executor_summary *view = &node->executor_summaries[i];
         if ((rack && strcmp(rack, view->rack)) || rejection(node, job, no, view, current))
             continue;
         int64_t value = score(node, view);
@@ -188,7 +189,7 @@
 {
     for (int64_t i = 0; i < staging->n_places; i++) {
         struct staging_place *placement = &staging->places[i];
-        struct room *view = placement->executor ? room_find(node, placement->executor) : NULL;
+        struct executor_summary *view = placement->executor ? executor_summary_find(node, placement->executor) : NULL;
         const struct task_spec *task = spec_task(&job->spec, placement->no, NULL);
         if (view) {
             view->free_cores += task->cores;
@@ -203,16 +204,16 @@
 {
     for (int64_t i = 0; i < staging->n_places; i++) {
         struct staging_place *placement = &staging->places[i];
-        struct room *view = best_view(node, job, placement->no, staging, rack);
+        struct executor_summary *view = best_view(node, job, placement->no, staging, rack);
         const struct task_spec *task = spec_task(&job->spec, placement->no, NULL);
         if (!view) {
             unassign(node, job, staging);
             return ERROR_REJECTED;
         }
         placement->executor = must_dup(view->executor);
-        placement->home_epoch = view->epoch;
+        placement->executor_epoch = view->epoch;
         placement->incarnation = view->incarnation;
-        placement->home = view->home;
+        placement->executor_owner = view->executor_owner;
         view->free_cores -= task->cores; /* until its owner sends a new view */
         view->free_mb -= task->mem_mb;
     }
@@ -226,11 +227,11 @@
     (void)shard;
     if (staging->n_places == 1 || !step->rack || strcmp(step->rack, "one"))
         return assign_on_rack(node, job, staging, NULL);
-    for (int64_t i = 0; i < node->n_rooms; i++) {
+    for (int64_t i = 0; i < node->n_executor_summaries; i++) {
         int seen = 0;
         for (int64_t k = 0; k < i && !seen; k++)
-            seen = !strcmp(node->rooms[k].rack, node->rooms[i].rack);
-        if (!seen && !assign_on_rack(node, job, staging, node->rooms[i].rack))
+            seen = !strcmp(node->executor_summaries[k].rack, node->executor_summaries[i].rack);
+        if (!seen && !assign_on_rack(node, job, staging, node->executor_summaries[i].rack))
             return ERROR_NONE;
     }
     return ERROR_REJECTED;
@@ -245,8 +246,8 @@
     for (int64_t t = 0; t < step->n_tasks; t++)
         if (step->tasks[t].cores < least)
             least = step->tasks[t].cores;
-    for (int64_t i = 0; i < node->n_rooms; i++) {
-        const struct room *view = &node->rooms[i];
+    for (int64_t i = 0; i < node->n_executor_summaries; i++) {
+        const struct executor_summary *view = &node->executor_summaries[i];
         if (!serves(view, spec->service) || strcmp(view->kind, step->tasks[0].kind) ||
             (rack && strcmp(rack, view->rack)))
             continue;
@@ -267,8 +268,8 @@
         return step_capacity(node, spec, step, step->rack) >= step->n_tasks;
     if (!step->rack || strcmp(step->rack, "one"))
         return step_capacity(node, spec, step, NULL) >= step->n_tasks;
-    for (int64_t i = 0; i < node->n_rooms; i++)
-        if (step_capacity(node, spec, step, node->rooms[i].rack) >= step->n_tasks &&
+    for (int64_t i = 0; i < node->n_executor_summaries; i++)
+        if (step_capacity(node, spec, step, node->executor_summaries[i].rack) >= step->n_tasks &&
             (!step->per_rack || step->per_rack >= step->n_tasks))
             return 1;
     return 0;
@@ -279,9 +280,9 @@
 int assign_could_fit(struct node *node, const struct job_spec *spec, int64_t *bad_no)
 {
     int64_t homes = 0, no = 0;
-    for (int64_t i = 0; i < node->config_tree.n_duties; i++)
-        homes += !strncmp(node->config_tree.duties[i].name, "home/", 5);
-    if (!homes || node->n_rooms < homes)
+    for (int64_t i = 0; i < node->config_tree.n_ownerships; i++)
+        homes += !strncmp(node->config_tree.ownerships[i].name, "home/", 5);
+    if (!homes || node->n_executor_summaries < homes)
         return 1;
     for (int64_t s = 0; s < spec->n_steps; s++) {
         *bad_no = no;
@@ -290,8 +291,8 @@
         for (int64_t t = 0; t < spec->steps[s].n_tasks; t++, no++) {
             const struct task_spec *task = &spec->steps[s].tasks[t];
             int fits = 0;
-            for (int64_t i = 0; i < node->n_rooms && !fits; i++) {
-                const struct room *view = &node->rooms[i];
+            for (int64_t i = 0; i < node->n_executor_summaries && !fits; i++) {
+                const struct executor_summary *view = &node->executor_summaries[i];
                 fits = serves(view, spec->service) && !strcmp(view->kind, task->kind) && view->cores >= task->cores &&
                        view->mem_mb >= task->mem_mb &&
                        (!has_named_rack(&spec->steps[s]) || !strcmp(spec->steps[s].rack, view->rack));
--- a/src/shard/enqueue.c
+++ b/src/shard/enqueue.c
@@ -28,7 +28,7 @@
 static void forward_job(struct node *node, int64_t request, int64_t shard, const char *body)
 {
     const struct api_call call = {.shard = shard, .method = "POST", .path = "/v1/jobs", .body = body};
-    api_send_on(node, request, shard_owner(node, shard), &call);
+    api_forward(node, request, shard_owner(node, shard), &call);
 }
 
 /* Answers a submission whose key exists: with its job, with an error if that has another body, or from the shard that
@@ -48,7 +48,7 @@
         }
         return;
     }
-    const struct job *job = rows_job(&shard->rows, existing);
+    const struct job *job = rows_find_job(&shard->rows, existing);
     if (job->body_hash != hash)
         api_error(node, request, ERROR_KEY_TAKEN, "this key names a job with another body");
     else
@@ -60,7 +60,7 @@
 {
     const struct settings *settings = node_settings(node, queue);
     int64_t bad_no = 0;
-    for (int64_t i = 0; i < spec_tasks(spec); i++) {
+    for (int64_t i = 0; i < spec_task_count(spec); i++) {
         const struct task_spec *task = spec_task(spec, i, NULL);
         if (task->payload && (int64_t)strlen(task->payload) > settings->payload_max)
             return api_error(node, request, ERROR_TOO_LARGE, "task %lld: payload over this queue's %lld bytes",
@@ -109,14 +109,14 @@
 static void accept_job(struct node *node, struct shard *shard, int64_t request, const struct job_spec *spec,
                        const char *body)
 {
-    int64_t hash = body_hash(spec), existing = rows_key(&shard->rows, spec->key);
+    int64_t hash = body_hash(spec), existing = rows_find_key(&shard->rows, spec->key);
     int64_t queue = node_queue(node, spec->service, spec->queue);
     struct request *pending = slab_at(&node->requests, request);
     int redirected = key_shard(spec->key) != shard->no;
     if (existing) {
         answer_existing(node, shard, request, existing, hash, body);
     } else if (!reject_job(node, shard, request, spec, queue)) {
-        int64_t to = shard->rows.n_live > node->root_settings.send_on_above && !redirected && pending
+        int64_t to = shard->rows.n_live > node->root_settings.forward_above && !redirected && pending
                          ? overflow_shard(node, shard->no)
                          : -1;
         if (to < 0) {
@@ -156,44 +156,45 @@
     schema_free(&job_spec_schema, &spec);
 }
 
-void enqueue_committed(struct node *node, struct shard *shard, const struct buffered *buffered, int folded)
+void enqueue_committed(struct node *node, struct shard *shard, const struct buffered_op *buffered_op, int apply_error)
 {
-    const struct op *op = &buffered->op;
+    const struct op *op = &buffered_op->op;
     if (op->kind == OP_JOB) {
-        struct job *job = folded ? NULL : rows_job(&shard->rows, op->job);
+        struct job *job = apply_error ? NULL : rows_find_job(&shard->rows, op->job);
         if (job) {
             job->queue = node_queue(node, job->spec.service, job->spec.queue);
-            ready_new(node, shard, job);
-            node_tell(node, job->id, -1, 0, "accepted", job->spec.key);
+            ready_add_job(node, shard, job);
+            node_journal_add(node, job->id, -1, 0, "accepted", job->spec.key);
             world_note(node->w, EV_JOB_TAKEN, "job=%lld key=%s", (long long)job->id, job->spec.key);
-            if (buffered->request)
-                answer_job(node, buffered->request, job, 201);
-        } else if (buffered->request) {
-            int64_t existing = rows_key(&shard->rows, op->spec->key);
+            if (buffered_op->request)
+                answer_job(node, buffered_op->request, job, 201);
+        } else if (buffered_op->request) {
+            int64_t existing = rows_find_key(&shard->rows, op->spec->key);
             char *body = schema_to_text(&job_spec_schema, op->spec);
             if (existing)
-                answer_existing(node, shard, buffered->request, existing, op->body_hash, body);
+                answer_existing(node, shard, buffered_op->request, existing, op->body_hash, body);
             else
-                api_error(node, buffered->request, ERROR_GAVE_UP, "retry with the same key");
+                api_error(node, buffered_op->request, ERROR_OUTCOME_UNKNOWN, "retry with the same key");
             free(body);
         }
-    } else if (op->kind == OP_REDIRECT && buffered->request) {
+    } else if (op->kind == OP_REDIRECT && buffered_op->request) {
         char *body = schema_to_text(&job_spec_schema, op->spec);
-        int64_t existing = rows_key(&shard->rows, op->key);
-        answer_existing(node, shard, buffered->request, existing ? existing : -1 - op->to_shard, op->body_hash, body);
+        int64_t existing = rows_find_key(&shard->rows, op->key);
+        answer_existing(node, shard, buffered_op->request, existing ? existing : -1 - op->to_shard, op->body_hash,
+                        body);
         free(body);
     } else if (op->kind == OP_CANCEL) {
-        struct job *job = rows_job(&shard->rows, op->job);
-        node_tell(node, op->job, -1, 0, "cancelled", NULL);
+        struct job *job = rows_find_job(&shard->rows, op->job);
+        node_journal_add(node, op->job, -1, 0, "cancelled", NULL);
         for (int64_t i = 0; job && i < job->n_rows; i++)
             if (job->rows[i].state == ROW_PLACED && job->state == JOB_CANCELLING)
                 track_stop(node, shard, job, i);
-        if (job && job_ended(job) && !folded)
-            ready_time(shard, job->ended_ms + node_settings(node, job->queue)->keep_ms, job->id, 0);
-        if (job && buffered->request)
-            answer_job(node, buffered->request, job, 200);
-        else if (buffered->request)
-            api_error(node, buffered->request, ERROR_NO_SUCH, "no such job");
+        if (job && job_ended(job) && !apply_error)
+            ready_schedule_check(shard, job->ended_ms + node_settings(node, job->queue)->keep_ms, job->id, 0);
+        if (job && buffered_op->request)
+            answer_job(node, buffered_op->request, job, 200);
+        else if (buffered_op->request)
+            api_error(node, buffered_op->request, ERROR_NOT_FOUND, "no such job");
     }
 }
 
@@ -208,9 +209,9 @@
 void enqueue_cancel(struct node *node, int64_t request, int64_t id)
 {
     struct shard *shard = open_shard(node, request, job_shard(id));
-    struct job *job = shard ? rows_job(&shard->rows, id) : NULL;
+    struct job *job = shard ? rows_find_job(&shard->rows, id) : NULL;
     if (shard && !job)
-        api_error(node, request, ERROR_NO_SUCH, "no such job");
+        api_error(node, request, ERROR_NOT_FOUND, "no such job");
     else if (job && (job_ended(job) || job->state == JOB_CANCELLING))
         answer_job(node, request, job, 200);
     else if (job)
@@ -220,12 +221,12 @@
 void enqueue_show(struct node *node, int64_t request, int64_t id, const char *path)
 {
     struct shard *shard = open_shard(node, request, job_shard(id));
-    struct job *job = shard ? rows_job(&shard->rows, id) : NULL;
-    char *task = api_setting(path, "why");
+    struct job *job = shard ? rows_find_job(&shard->rows, id) : NULL;
+    char *task = api_query_param(path, "why");
     if (shard && !job)
-        api_error(node, request, ERROR_NO_SUCH, "no such job");
+        api_error(node, request, ERROR_NOT_FOUND, "no such job");
     else if (job && task && (text_to_int64(task) < 0 || text_to_int64(task) >= job->n_rows))
-        api_error(node, request, ERROR_NO_SUCH, "no such task");
+        api_error(node, request, ERROR_NOT_FOUND, "no such task");
     else if (job)
         api_json(node, request, 200, task ? why_view(node, shard, job, text_to_int64(task)) : job_view(job, 1));
     free(task);
@@ -237,18 +238,18 @@
     struct shard *shard = open_shard(node, request, no);
     if (!shard)
         return;
-    char *key = api_setting(path, "key"), *from = api_setting(path, "from");
+    char *key = api_query_param(path, "key"), *from = api_query_param(path, "from");
     const char *dot = from ? strchr(from, '.') : NULL;
     json_t *list = json_array(), *out = json_pack("{s:o}", "jobs", list);
     int64_t id = dot ? (no << SHARD_BITS) | text_to_int64(dot + 1) : 0, n = 0;
     struct job *job = NULL;
     if (key) {
-        int64_t existing = rows_key(&shard->rows, key);
+        int64_t existing = rows_find_key(&shard->rows, key);
         if (existing > 0)
-            json_array_append_new(list, job_view(rows_job(&shard->rows, existing), 0));
+            json_array_append_new(list, job_view(rows_find_job(&shard->rows, existing), 0));
     } else {
         char next[48];
-        while (n < LIST_PAGE_MAX && (job = rows_next(&shard->rows, &id))) {
+        while (n < LIST_PAGE_MAX && (job = rows_next_job(&shard->rows, &id))) {
             json_array_append_new(list, job_view(job, 0));
             n++;
         }
@@ -271,7 +272,7 @@
     char key[200];
     snprintf(key, sizeof key, "run:%.100s:%lld", run->id, (long long)at_ms);
     struct shard *shard = &node->shards[key_shard(key)];
-    if (shard->state != SHARD_OPEN || rows_key(&shard->rows, key))
+    if (shard->state != SHARD_OPEN || rows_find_key(&shard->rows, key))
         return;
     for (int64_t i = 0; i < shard->n_buffer; i++)
         if (shard->buffer[i].op.kind == OP_JOB && !strcmp(shard->buffer[i].op.spec->key, key))
--- a/src/shard/gang.c
+++ b/src/shard/gang.c
@@ -6,7 +6,7 @@
 
 enum { GANG_START_TIMEOUT_MS = 1200 };
 
-int gang_is(const struct job *job, int64_t no)
+int is_gang_member(const struct job *job, int64_t no)
 {
     int64_t step = 0;
     spec_task(&job->spec, no, &step);
@@ -18,7 +18,7 @@
 {
     int64_t step = 0;
     spec_task(&job->spec, no, &step);
-    *first = spec_first(&job->spec, step);
+    *first = spec_first_task(&job->spec, step);
     *end = *first + job->spec.steps[step].n_tasks;
 }
 
@@ -27,7 +27,7 @@
 int gang_may_stage(const struct job *job, int64_t no)
 {
     int64_t first, end;
-    if (!gang_is(job, no))
+    if (!is_gang_member(job, no))
         return 1;
     gang_range(job, no, &first, &end);
     for (int64_t i = first; i < end; i++)
@@ -40,7 +40,7 @@
 {
     struct row *row = &job->rows[no];
     row->held = row->running = row->gang_since_ms = 0;
-    if (gang_is(job, no))
+    if (is_gang_member(job, no))
         row->gang_since_ms = world_ms(node->w);
 }
 
@@ -55,7 +55,7 @@
 
 /* Takes in the state of a member as its executor's owner reports it. Once all members are held or running, the go order
  * is sent to those not running. A new shard owner collects the states again; a member that runs counts as held. */
-void gang_seen(struct node *node, struct shard *shard, struct job *job, int64_t no, int64_t state)
+void gang_on_member_state(struct node *node, struct shard *shard, struct job *job, int64_t no, int64_t state)
 {
     int64_t first, end;
     struct row *row = &job->rows[no];
@@ -73,7 +73,7 @@
 }
 
 /* Stops the gang if not all members run within GANG_START_TIMEOUT_MS. */
-void gang_watch(struct node *node, struct shard *shard, struct job *job, int64_t no)
+void gang_check_timeout(struct node *node, struct shard *shard, struct job *job, int64_t no)
 {
     int64_t first, end, now_ms = world_ms(node->w);
     struct row *row = &job->rows[no];
--- a/src/shard/place.c
+++ b/src/shard/place.c
@@ -14,10 +14,10 @@
 
 static struct job *staging_job(struct node *node, const struct staging *staging)
 {
-    return rows_job(&node->shards[staging->shard].rows, staging->job);
+    return rows_find_job(&node->shards[staging->shard].rows, staging->job);
 }
 
-void place_forget(struct node *node, int64_t number)
+void staging_free(struct node *node, int64_t number)
 {
     struct staging *staging = staging_find(node, number);
     if (!staging)
@@ -32,17 +32,17 @@
 /* Fills in the request for all tasks of the staging on the executor of entry i. Returns how many there are, or 0 if an
  * earlier entry has the same executor. */
 static int64_t build_request(struct node *node, const struct staging *staging, int64_t number, int64_t i,
-                             struct reserve *message)
+                             struct reserve_request *message)
 {
     const struct staging_place *first = &staging->places[i];
     struct job *job = staging_job(node, staging);
-    *message = (struct reserve){.req = number,
-                                .shard = staging->shard,
-                                .shard_epoch = staging->shard_epoch,
-                                .home_epoch = first->home_epoch,
-                                .incarnation = first->incarnation,
-                                .executor = first->executor,
-                                .urgency = staging->urgency};
+    *message = (struct reserve_request){.req = number,
+                                        .shard = staging->shard,
+                                        .shard_epoch = staging->shard_epoch,
+                                        .executor_epoch = first->executor_epoch,
+                                        .incarnation = first->incarnation,
+                                        .executor = first->executor,
+                                        .urgency = staging->urgency};
     for (int64_t k = 0; k < i; k++)
         if (!strcmp(staging->places[k].executor, first->executor))
             return 0; /* contained in the request of that entry */
@@ -51,7 +51,7 @@
         if (strcmp(placement->executor, first->executor))
             continue;
         const struct task_spec *task = spec_task(&job->spec, placement->no, NULL);
-        *list_more(message->tasks, message->n_tasks) =
+        *array_add(message->tasks, message->n_tasks) =
             (struct task_ref){.job = job->id,
                               .no = placement->no,
                               .attempt = job->rows[placement->no].attempt + 1,
@@ -64,10 +64,10 @@
 static void send_to_owners(struct node *node, int64_t number, enum frame_kind kind)
 {
     struct staging copy = *staging_find(node, number);
-    struct reserve message;
+    struct reserve_request message;
     for (int64_t i = 0; i < copy.n_places; i++) {
         if (build_request(node, &copy, number, i, &message))
-            node_send(node, copy.places[i].home, kind, &reserve_schema, &message);
+            node_send(node, copy.places[i].executor_owner, kind, &reserve_request_schema, &message);
         free(message.tasks);
         /* an executor owner on this node may have answered during the call, which can end the staging */
         if (!staging_find(node, number))
@@ -88,14 +88,14 @@
         for (int64_t i = 0; i < staging->n_places; i++) {
             struct row *row = &job->rows[staging->places[i].no];
             row->staged = 0;
-            node_tell(node, job->id, staging->places[i].no, row->attempt + 1, "reservation released",
-                      staging->places[i].executor);
+            node_journal_add(node, job->id, staging->places[i].no, row->attempt + 1, "reservation released",
+                             staging->places[i].executor);
             /* random, so that two gangs that compete for the same executors do not collide again */
-            ready_time(shard, now_ms + 20 + (int64_t)(world_random(node->w) % RETRY_MS), job->id,
-                       staging->places[i].no);
+            ready_schedule_check(shard, now_ms + 20 + (int64_t)(world_random(node->w) % RETRY_MS), job->id,
+                                 staging->places[i].no);
         }
     }
-    place_forget(node, number);
+    staging_free(node, number);
 }
 
 static void commit(struct node *node, int64_t number)
@@ -108,17 +108,17 @@
     struct op *op = worker_buffer(node, shard, OP_PLACED, job->id, 0, number);
     for (int64_t i = 0; i < staging->n_places; i++) {
         const struct staging_place *placement = &staging->places[i];
-        *list_more(op->placements, op->n_placements) =
+        *array_add(op->placements, op->n_placements) =
             (struct placement){.no = placement->no,
                                .attempt = job->rows[placement->no].attempt + 1,
                                .incarnation = placement->incarnation,
-                               .home_epoch = placement->home_epoch,
+                               .executor_epoch = placement->executor_epoch,
                                .lease_ms = lease_ms,
                                .executor = must_dup(placement->executor)};
     }
 }
 
-void place_on_reserved(struct node *node, const struct reserved *message)
+void place_on_reserved(struct node *node, const struct reserve_reply *message)
 {
     struct staging *staging = staging_find(node, message->req);
     if (!staging || staging->committing || !message->executor)
@@ -130,7 +130,7 @@
             placement->answered = 1;
         waiting += !placement->answered;
     }
-    struct room *view = room_find(node, message->executor);
+    struct executor_summary *view = executor_summary_find(node, message->executor);
     if (message->error) {
         staging->failed = 1;
         if (view)
@@ -145,44 +145,44 @@
         commit(node, message->req);
 }
 
-void place_committed(struct node *node, struct shard *shard, int64_t number, const struct op *op, int folded)
+void place_committed(struct node *node, struct shard *shard, int64_t number, const struct op *op, int apply_error)
 {
     struct staging *staging = staging_find(node, number);
-    struct job *job = rows_job(&shard->rows, op->job);
-    if (folded) {
+    struct job *job = rows_find_job(&shard->rows, op->job);
+    if (apply_error) {
         if (staging && job) {
             send_to_owners(node, number, FRAME_RELEASE);
             for (int64_t i = 0; i < op->n_placements; i++) {
                 job->rows[op->placements[i].no].staged = 0;
-                ready_row(node, shard, job, op->placements[i].no);
+                ready_add_row(node, shard, job, op->placements[i].no);
             }
         }
-        place_forget(node, number);
+        staging_free(node, number);
         return;
     }
     for (int64_t i = 0; i < op->n_placements; i++) {
         int64_t no = op->placements[i].no;
-        node_tell(node, job->id, no, op->placements[i].attempt, "placed", op->placements[i].executor);
+        node_journal_add(node, job->id, no, op->placements[i].attempt, "placed", op->placements[i].executor);
         job->rows[no].staged = 0;
         job->rows[no].stopping = 0;
         job->rows[no].checked_ms = world_ms(node->w);
-        *list_more(shard->placed, shard->n_placed) = (struct task_ref){.job = job->id, .no = no};
-        ready_time(shard, job->rows[no].placed_ms + node_settings(node, job->queue)->run_max_ms, job->id, no);
+        *array_add(shard->placed, shard->n_placed) = (struct task_ref){.job = job->id, .no = no};
+        ready_schedule_check(shard, job->rows[no].placed_ms + node_settings(node, job->queue)->run_max_ms, job->id, no);
         gang_placed(node, job, no);
         const struct task_spec *task = spec_task(&job->spec, no, NULL);
         if (task->deadline_ms)
-            ready_time(shard, job->created_ms + task->deadline_ms, job->id, no);
+            ready_schedule_check(shard, job->created_ms + task->deadline_ms, job->id, no);
         node->queues[job->queue].drained++;
         track_start(node, shard, job, no);
     }
-    place_forget(node, number);
+    staging_free(node, number);
 }
 
 /* --- staging ---------------------------------------------------------------------- */
 
 static void stage(struct node *node, struct shard *shard, const struct ready_item *item)
 {
-    struct job *job = rows_job(&shard->rows, item->job);
+    struct job *job = rows_find_job(&shard->rows, item->job);
     int64_t number = slab_take(&node->stagings, sizeof(struct staging)), step = 0;
     int64_t now_ms = node_fleet_ms(node), not_before_ms = gang_may_stage(job, item->no) ? 0 : now_ms + RETRY_MS;
     spec_task(&job->spec, item->no, &step);
@@ -195,16 +195,16 @@
                                 .until_ms = world_ms(node->w) + RESERVE_TIMEOUT_MS,
                                 .urgency = row_urgency(node, job->queue, item->priority, item->due_ms, now_ms)};
     if (job->spec.steps[step].gang) {
-        int64_t first = spec_first(&job->spec, step), n = job->spec.steps[step].n_tasks;
+        int64_t first = spec_first_task(&job->spec, step), n = job->spec.steps[step].n_tasks;
         for (int64_t i = first; i < first + n; i++) {
             if (job->rows[i].state != ROW_READY || job->rows[i].staged)
                 continue;
-            list_more(staging->places, staging->n_places)->no = i;
+            array_add(staging->places, staging->n_places)->no = i;
             if (job->rows[i].due_ms > not_before_ms)
                 not_before_ms = job->rows[i].due_ms;
         }
     } else {
-        list_more(staging->places, staging->n_places)->no = item->no;
+        array_add(staging->places, staging->n_places)->no = item->no;
     }
     node->queues[job->queue].staged += staging->n_places;
     for (int64_t i = 0; i < staging->n_places; i++)
@@ -213,22 +213,22 @@
     if (rc && not_before_ms <= now_ms) {
         /* No executor has capacity for the queue's most urgent row. Try to reserve all the same, so that an executor's
          * owner keeps capacity for it, and do not search for the queue's other rows for a while. */
-        staging->bold = 1;
+        staging->ignores_view = 1;
         rc = assign_places(node, shard, job, staging);
         node->queues[job->queue].blocked_ms = world_ms(node->w) + QUEUE_BLOCK_MS;
     }
     if (rc) {
         for (int64_t i = 0; i < staging->n_places; i++) {
             job->rows[staging->places[i].no].staged = 0;
-            ready_time(shard, (not_before_ms > now_ms ? not_before_ms : now_ms + RETRY_MS), job->id,
-                       staging->places[i].no);
+            ready_schedule_check(shard, (not_before_ms > now_ms ? not_before_ms : now_ms + RETRY_MS), job->id,
+                                 staging->places[i].no);
         }
-        place_forget(node, number);
+        staging_free(node, number);
         return;
     }
     for (int64_t i = 0; i < staging->n_places; i++)
-        node_tell(node, job->id, staging->places[i].no, job->rows[staging->places[i].no].attempt + 1, "reserving",
-                  staging->places[i].executor);
+        node_journal_add(node, job->id, staging->places[i].no, job->rows[staging->places[i].no].attempt + 1,
+                         "reserving", staging->places[i].executor);
     send_to_owners(node, number, FRAME_RESERVE);
 }
 
--- a/src/shard/preempt.c
+++ b/src/shard/preempt.c
@@ -9,8 +9,8 @@
 /* Fleet time at which the executor leaves or is drained; 0: not planned. */
 static int64_t leave_time_ms(struct node *node, const char *executor, int64_t ahead_ms)
 {
-    const struct room *view = room_find(node, executor);
-    const struct planned *drain = config_tree_drained(&node->config_tree, executor, node_fleet_ms(node), ahead_ms);
+    const struct executor_summary *view = executor_summary_find(node, executor);
+    const struct planned *drain = config_tree_drain(&node->config_tree, executor, node_fleet_ms(node), ahead_ms);
     int64_t at_ms = view ? view->leave_ms : 0;
     if (drain && (!at_ms || drain->at_ms < at_ms))
         at_ms = drain->at_ms;
@@ -18,13 +18,13 @@
 }
 
 /* Proposes preemption for the shard's tasks on the executor where it is time. */
-void preempt_watch(struct node *node, struct shard *shard, const char *executor)
+void preempt_check(struct node *node, struct shard *shard, const char *executor)
 {
     int64_t now_ms = node_fleet_ms(node), at_ms = -1, for_ms = 0;
-    if (peers_level(&node->peers) < LEVEL_PREEMPT)
+    if (peers_min_level(&node->peers) < LEVEL_PREEMPT)
         return;
     for (int64_t i = 0; i < shard->n_placed; i++) {
-        struct job *job = rows_job(&shard->rows, shard->placed[i].job);
+        struct job *job = rows_find_job(&shard->rows, shard->placed[i].job);
         struct row *row = job ? &job->rows[shard->placed[i].no] : NULL;
         if (!row || row->state != ROW_PLACED || row->staged || row->preempt_proposed || row->stopping ||
             job->state != JOB_ACTIVE || strcmp(row->executor, executor))
@@ -45,7 +45,7 @@
 {
     int64_t step = 0;
     spec_task(&job->spec, op->no, &step);
-    int64_t first = spec_first(&job->spec, step), n = job->spec.steps[step].n_tasks;
+    int64_t first = spec_first_task(&job->spec, step), n = job->spec.steps[step].n_tasks;
     job->rows[op->no].preempt_proposed = 0;
     for (int64_t i = first; i < first + n; i++) {
         struct row *row = &job->rows[i];
@@ -53,7 +53,7 @@
             continue;
         world_note(node->w, EV_PREEMPTED, "job=%lld no=%lld attempt=%lld executor=%s", (long long)job->id, (long long)i,
                    (long long)row->attempt, row->executor);
-        node_tell(node, job->id, i, row->attempt, "preempted", row->executor);
+        node_journal_add(node, job->id, i, row->attempt, "preempted", row->executor);
         track_stop(node, shard, job, i);
     }
 }
--- a/src/shard/rows.h
+++ b/src/shard/rows.h
@@ -20,8 +20,8 @@
  * run all at once. start_at_ms: fleet time before which it does not start. */
 struct step_spec {
     char *name, *rack;
-    char **after;
-    int64_t n_after;
+    char **depends_on;
+    int64_t n_depends_on;
     int64_t per_executor, per_rack, gang, start_at_ms;
     struct task_spec *tasks;
     int64_t n_tasks;
@@ -39,10 +39,10 @@
 enum job_state { JOB_ACTIVE, JOB_FAILING, JOB_CANCELLING, JOB_DONE, JOB_FAILED, JOB_CANCELLED };
 
 /* The state of one task. due_ms: fleet time from which it may be placed; meta: why the newest attempt ended as it did.
- * Invariants: attempt counts placements and only rises; executor, incarnation, home_epoch and lease_ms are of that
+ * Invariants: attempt counts placements and only rises; executor, incarnation, executor_epoch and lease_ms are of that
  * attempt and valid while the state is ROW_PLACED. */
 struct row {
-    int64_t state, attempt, failures, due_ms, incarnation, home_epoch, lease_ms, placed_ms, ended_ms;
+    int64_t state, attempt, failures, due_ms, incarnation, executor_epoch, lease_ms, placed_ms, ended_ms;
     int64_t preempted; /* the attempt that is preempted, committed before its stop is ordered; 0: none was */
     char *executor, *meta;
     /* Kept by the shard's owner only, not in the log. staged: a placement or an op that ends the attempt is in
@@ -71,7 +71,7 @@
 
 /* Placement of row no on an executor. */
 struct placement {
-    int64_t no, attempt, incarnation, home_epoch, lease_ms;
+    int64_t no, attempt, incarnation, executor_epoch, lease_ms;
     char *executor;
 };
 
@@ -128,21 +128,21 @@
 void rows_snapshot(const struct rows *rows, struct bytes *to);
 int rows_restore(struct rows *rows, const struct bytes *from);
 /* NULL: no such job. */
-struct job *rows_job(const struct rows *rows, int64_t id);
+struct job *rows_find_job(const struct rows *rows, int64_t id);
 /* 0: unknown key; > 0: id of its job; < 0: -1 - shard of its redirect. */
-int64_t rows_key(const struct rows *rows, const char *key);
+int64_t rows_find_key(const struct rows *rows, const char *key);
 /* The job with the lowest id above *id, which is set to it; NULL: none. */
-struct job *rows_next(const struct rows *rows, int64_t *id);
+struct job *rows_next_job(const struct rows *rows, int64_t *id);
 
 /* rows_spec.c */
 /* Tasks over all steps. */
-int64_t spec_tasks(const struct job_spec *spec);
+int64_t spec_task_count(const struct job_spec *spec);
 /* Validates what the schema cannot. Returns 0, or an error with the member at fault in validation_error. */
 int spec_check(const struct job_spec *spec, struct validation_error *validation_error);
 /* Task number no, counted over all steps, and the index of its step (step may be NULL). */
 const struct task_spec *spec_task(const struct job_spec *spec, int64_t no, int64_t *step);
 /* Number of the step's first task. */
-int64_t spec_first(const struct job_spec *spec, int64_t step);
+int64_t spec_first_task(const struct job_spec *spec, int64_t step);
 const char *row_state_name(int64_t state);
 const char *job_state_name(int64_t state);
 /* Whether all steps that the step depends on are done. */
--- a/src/shard/worker.c
+++ b/src/shard/worker.c
@@ -12,26 +12,26 @@
 struct op *worker_buffer(struct node *node, struct shard *shard, int64_t kind, int64_t job, int64_t request,
                          int64_t staging)
 {
-    struct buffered *buffered = list_more(shard->buffer, shard->n_buffer);
-    buffered->request = request;
-    buffered->staging = staging;
-    buffered->since_ms = world_ms(node->w);
-    buffered->op.kind = kind;
-    buffered->op.job = job;
-    buffered->op.time_ms = node_fleet_ms(node);
-    return &buffered->op; /* valid until the next call */
+    struct buffered_op *buffered_op = array_add(shard->buffer, shard->n_buffer);
+    buffered_op->request = request;
+    buffered_op->staging = staging;
+    buffered_op->since_ms = world_ms(node->w);
+    buffered_op->op.kind = kind;
+    buffered_op->op.job = job;
+    buffered_op->op.time_ms = node_fleet_ms(node);
+    return &buffered_op->op; /* valid until the next call */
 }
 
 /* --- breaker -------------------------------------------------------------------- */
 
-void breaker_count(struct node *node, struct shard *shard, int good, int64_t took_ms)
+void breaker_record(struct node *node, struct shard *shard, int good, int64_t took_ms)
 {
     struct breaker *breaker = &shard->breaker;
     const struct settings *settings = &node->root_settings;
     int64_t now_ms = world_ms(node->w);
-    if (now_ms - breaker->window_from_ms > settings->breaker_window_ms)
+    if (now_ms - breaker->window_start_ms > settings->breaker_window_ms)
         *breaker = (struct breaker){
-            .window_from_ms = now_ms, .open_until_ms = breaker->open_until_ms, .trips = breaker->trips};
+            .window_start_ms = now_ms, .open_until_ms = breaker->open_until_ms, .trips = breaker->trips};
     if (!good)
         breaker->bad++;
     else if (took_ms > settings->breaker_slow_ms)
@@ -39,15 +39,16 @@
     else
         breaker->good++;
     int64_t total = breaker->good + breaker->bad + breaker->slow;
-    if (total < settings->breaker_least || (breaker->bad + breaker->slow) * 100 < total * settings->breaker_errors_pct)
+    if (total < settings->breaker_min_ops ||
+        (breaker->bad + breaker->slow) * 100 < total * settings->breaker_errors_pct)
         return;
     *breaker = (struct breaker){
-        .window_from_ms = now_ms, .open_until_ms = now_ms + settings->breaker_open_ms, .trips = breaker->trips + 1};
+        .window_start_ms = now_ms, .open_until_ms = now_ms + settings->breaker_open_ms, .trips = breaker->trips + 1};
     world_note(node->w, EV_BREAKER_OPEN, "shard=%lld for=%lldms", (long long)shard->no,
                (long long)settings->breaker_open_ms);
 }
 
-int breaker_shut(struct node *node, struct shard *shard)
+int breaker_closed(struct node *node, struct shard *shard)
 {
     struct breaker *breaker = &shard->breaker;
     if (!breaker->open_until_ms)
@@ -64,26 +65,26 @@
 static void apply_committed(struct node *node, struct shard *shard)
 {
     int64_t n = shard->in_flight;
-    struct buffered *batch = must_alloc(sizeof *batch * (size_t)n);
+    struct buffered_op *batch = must_alloc(sizeof *batch * (size_t)n);
     memcpy(batch, shard->buffer, sizeof *batch * (size_t)n);
     shard->n_buffer -= n;
     memmove(shard->buffer, shard->buffer + n, sizeof *batch * (size_t)shard->n_buffer);
     shard->in_flight = 0;
     shard->commits += n;
     for (int64_t i = 0; i < n; i++) {
-        struct buffered *buffered = &batch[i];
+        struct buffered_op *buffered_op = &batch[i];
         shard->seq++;
         shard->rows.seq = shard->seq;
-        int rc = rows_apply_op(&shard->rows, &buffered->op);
-        switch (buffered->op.kind) {
-        case OP_PLACED: place_committed(node, shard, buffered->staging, &buffered->op, rc); break;
+        int rc = rows_apply_op(&shard->rows, &buffered_op->op);
+        switch (buffered_op->op.kind) {
+        case OP_PLACED: place_committed(node, shard, buffered_op->staging, &buffered_op->op, rc); break;
         case OP_END:
         case OP_NACK:
         case OP_ACK:
-        case OP_PREEMPT: track_committed(node, shard, &buffered->op); break;
-        default: enqueue_committed(node, shard, buffered, rc);
+        case OP_PREEMPT: track_committed(node, shard, &buffered_op->op); break;
+        default: enqueue_committed(node, shard, buffered_op, rc);
         }
-        schema_free(&op_schema, &buffered->op);
+        schema_free(&op_schema, &buffered_op->op);
     }
     free(batch);
 }
@@ -98,7 +99,7 @@
     shard->proposal = 0;
     if (!error && schema_unpack(&batch_result_schema, &result, bytes->at, bytes->len))
         error = ERROR_BAD_FRAME;
-    breaker_count(node, shard, !error, took_ms);
+    breaker_record(node, shard, !error, took_ms);
     if (error)
         return; /* the batch is proposed again; ops are applied once, by their sequence numbers */
     if (result.error == ERROR_EPOCH || result.error == ERROR_REJECTED)
@@ -110,7 +111,7 @@
 
 void worker_on_timer(struct node *node, struct shard *shard)
 {
-    if (shard->proposal || !shard->n_buffer || !admission_open(node) || !breaker_shut(node, shard))
+    if (shard->proposal || !shard->n_buffer || !admission_open(node) || !breaker_closed(node, shard))
         return;
     if (!shard->in_flight) {
         int64_t max = node->root_settings.batch_max;
--- a/tests/unit/rows_test.cc
+++ b/tests/unit/rows_test.cc
@@ -107,7 +107,7 @@
     ASSERT_EQ((size_t)rows->n_jobs, model.jobs.size());
     int64_t live = 0;
     for (auto &[id, expected] : model.jobs) {
-        const job *actual = rows_job(rows, id);
+        const job *actual = rows_find_job(rows, id);
         ASSERT_NE(actual, nullptr);
         ASSERT_EQ(actual->state, expected.state) << id;
         for (size_t i = 0; i < expected.rows.size(); i++) {
@@ -221,7 +221,7 @@
     EXPECT_EQ(apply(2, 1, 0, 0).error, ERROR_EPOCH);
     EXPECT_EQ(apply(1, 0, 3, 1).error, ERROR_EPOCH);
     EXPECT_EQ(apply(3, 0, 1, 1).seq, 1);
-    EXPECT_EQ(rows_key(&shard_rows, "k"), -4);
+    EXPECT_EQ(rows_find_key(&shard_rows, "k"), -4);
     EXPECT_EQ(shard_rows.n_redirects, 1);
     rows_end(&shard_rows);
 }
