--- a/src/executor_owner/executor_orders.c
+++ b/src/executor_owner/executor_orders.c
@@ -1,5 +1,5 @@
-/* Calls to the executor with its orders, its state in response, its health, and the views of executors sent to other
- * nodes. At most one call is in flight; orders may be repeated, and each response is the executor's whole state. */
+/* Calls to the executor with its orders, its state in response, its health, and the summaries sent to other nodes. At
+ * most one call is in flight; orders may be repeated, and each response is the executor's whole state. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -12,9 +12,9 @@
 enum {
     CALL_TIMEOUT_MS = 1000,
     HEARTBEAT_MS = 400,
-    VIEWS_INTERVAL_MS = 300,
-    VIEWS_TO_ALL_MIN_MS = 5000,
-    VIEWS_TO_ALL_PER_PEER_MS = 100,
+    SUMMARIES_INTERVAL_MS = 300,
+    SUMMARIES_TO_ALL_MIN_MS = 5000,
+    SUMMARIES_TO_ALL_PER_PEER_MS = 100,
     STARTS_PER_CALL_MAX = 64
 };
 
@@ -72,7 +72,7 @@
     world_note(node->w, EV_QUARANTINE, "executor=%s forMs=%lld", owner->name, (long long)duration_ms);
 }
 
-int64_t executor_owner_view_state(struct node *node, struct executor_owner *owner)
+int64_t executor_owner_summary_state(struct node *node, struct executor_owner *owner)
 {
     if (!owner->opened)
         return EXECUTOR_CLOSED;
@@ -212,18 +212,18 @@
     free(orders.goes);
 }
 
-/* --- executor views ------------------------------------------------------------------------ */
+/* --- summaries ----------------------------------------------------------------------------- */
 
-/* Hash of what all nodes use of the views: not of the free capacity, which only shard owners use. */
-static int64_t views_hash(const struct executor_summaries_msg *message)
+/* Hash of what all nodes use of the summaries: not of the free capacity, which only shard owners use. */
+static int64_t hash_summaries(const struct executor_summaries_msg *message)
 {
     uint64_t hash = 1;
     for (int64_t i = 0; i < message->n; i++) {
-        const struct executor_summary *view = &message->views[i];
-        hash = hash_mix(hash_mix(hash, hash_text(view->executor)),
-                        (uint64_t)(view->state << 8 ^ view->epoch << 16 ^ view->incarnation));
-        hash = hash_mix(hash_mix(hash, (uint64_t)view->addr),
-                        (uint64_t)(view->cores << 20 ^ view->mem_mb ^ (view->leave_ms != 0)));
+        const struct executor_summary *summary = &message->summaries[i];
+        hash = hash_mix(hash_mix(hash, hash_text(summary->executor)),
+                        (uint64_t)(summary->state << 8 ^ summary->epoch << 16 ^ summary->incarnation));
+        hash = hash_mix(hash_mix(hash, (uint64_t)summary->addr),
+                        (uint64_t)(summary->cores << 20 ^ summary->mem_mb ^ (summary->leave_ms != 0)));
     }
     return (int64_t)(hash | 1);
 }
@@ -236,41 +236,42 @@
     return 0;
 }
 
-/* Sends the views to the shard owners, which place by the free capacity and are at most SHARD_COUNT. All other nodes
- * get them only when something else than the free capacity changed, and once in a while: sending to all nodes each time
- * made the traffic grow with the square of their number. */
-void executor_views_send(struct node *node)
+/* Sends the summaries to the shard owners, which place by the free capacity and are at most SHARD_COUNT. All other
+ * nodes get them only when something else than the free capacity changed, and once in a while: sending to all nodes
+ * each time made the traffic grow with the square of their number. */
+void executor_summaries_send(struct node *node)
 {
     struct executor_summaries_msg message = {0};
     int64_t now_ms = world_ms(node->w), owners[SHARD_COUNT];
-    node->summaries_due_ms = now_ms + VIEWS_INTERVAL_MS;
+    node->summaries_due_ms = now_ms + SUMMARIES_INTERVAL_MS;
     node->summaries_sent_ms = now_ms;
     for (int64_t i = 0; i < node->n_executor_owners; i++) {
         struct executor_owner *owner = node->executor_owners[i];
         if (!owner->state.kind)
             continue;
-        struct executor_summary *view = array_add(message.views, message.n);
-        *view = (struct executor_summary){.executor = owner->name,
-                                          .kind = owner->state.kind,
-                                          .rack = owner->state.rack,
-                                          .services = owner->state.services,
-                                          .n_services = owner->state.n_services,
-                                          .executor_owner = (int64_t)node->w->self,
-                                          .epoch = owner->epoch,
-                                          .incarnation = owner->incarnation,
-                                          .state = executor_owner_view_state(node, owner),
-                                          .cores = owner->state.cores,
-                                          .mem_mb = owner->state.mem_mb,
-                                          .addr = owner->addr,
-                                          .leave_ms = owner->leave_ms,
-                                          .urgency_limit =
-                                              owner->denied_until_ms > now_ms ? owner->denied_urgency : INT64_MAX};
-        allocations_free_capacity(owner, &view->free_cores, &view->free_mb);
+        struct executor_summary *summary = array_add(message.summaries, message.n);
+        *summary = (struct executor_summary){.executor = owner->name,
+                                             .kind = owner->state.kind,
+                                             .rack = owner->state.rack,
+                                             .services = owner->state.services,
+                                             .n_services = owner->state.n_services,
+                                             .executor_owner = (int64_t)node->w->self,
+                                             .epoch = owner->epoch,
+                                             .incarnation = owner->incarnation,
+                                             .state = executor_owner_summary_state(node, owner),
+                                             .cores = owner->state.cores,
+                                             .mem_mb = owner->state.mem_mb,
+                                             .addr = owner->addr,
+                                             .leave_ms = owner->leave_ms,
+                                             .urgency_limit =
+                                                 owner->denied_until_ms > now_ms ? owner->denied_urgency : INT64_MAX};
+        allocations_free_capacity(owner, &summary->free_cores, &summary->free_mb);
     }
-    int64_t hash = views_hash(&message);
-    int64_t every_ms = VIEWS_TO_ALL_PER_PEER_MS * node->peers.n;
-    int to_all = hash != node->summaries_hash || now_ms - node->summaries_sent_to_all_ms >=
-                                                     (every_ms > VIEWS_TO_ALL_MIN_MS ? every_ms : VIEWS_TO_ALL_MIN_MS);
+    int64_t hash = hash_summaries(&message);
+    int64_t every_ms = SUMMARIES_TO_ALL_PER_PEER_MS * node->peers.n;
+    int to_all =
+        hash != node->summaries_hash || now_ms - node->summaries_sent_to_all_ms >=
+                                            (every_ms > SUMMARIES_TO_ALL_MIN_MS ? every_ms : SUMMARIES_TO_ALL_MIN_MS);
     node->summaries_hash = hash;
     if (to_all)
         node->summaries_sent_to_all_ms = now_ms;
@@ -290,5 +291,5 @@
             node->w->calls->send(node->w, (uint64_t)info->addr, frame, 0);
     }
     blob_drop(frame);
-    free(message.views);
+    free(message.summaries);
 }
--- a/src/executor_owner/executor_owner.c
+++ b/src/executor_owner/executor_owner.c
@@ -61,8 +61,8 @@
     owner->started_ms = owner->last_response_ms = world_ms(node->w);
     /* the former owner could receive tickets until its admission closed, at most ADMISSION_MS after this */
     owner->ticket_ms = owner->started_ms + ADMISSION_MS;
-    struct executor_summary *view = executor_summary_find(node, name); /* as the former owner sent it */
-    owner->addr = view ? view->addr : 0;
+    struct executor_summary *summary = executor_summary_find(node, name); /* as the former owner sent it */
+    owner->addr = summary ? summary->addr : 0;
     *array_add(node->executor_owners, node->n_executor_owners) = owner;
     return owner;
 }
@@ -143,9 +143,9 @@
                            int64_t left_mb)
 {
     int64_t now_ms = world_ms(node->w);
-    int keeps = owner->denied_until_ms > now_ms;
+    int keeps_capacity = owner->denied_until_ms > now_ms;
     if (left_cores < 0 || left_mb < 0) {
-        if (keeps && urgency >= owner->denied_urgency)
+        if (keeps_capacity && urgency >= owner->denied_urgency)
             return 0;
         int64_t cores, mem_mb;
         allocations_free_capacity(owner, &cores, &mem_mb);
@@ -155,9 +155,10 @@
         owner->denied_until_ms = now_ms + DENIED_KEEP_MS;
         return 0;
     }
-    if (keeps && urgency > owner->denied_urgency && (left_cores < owner->denied_cores || left_mb < owner->denied_mb))
+    if (keeps_capacity && urgency > owner->denied_urgency &&
+        (left_cores < owner->denied_cores || left_mb < owner->denied_mb))
         return 0;
-    if (keeps && urgency <= owner->denied_urgency)
+    if (keeps_capacity && urgency <= owner->denied_urgency)
         owner->denied_until_ms = 0;
     return 1;
 }
@@ -169,7 +170,7 @@
         owner->incarnation != message->incarnation || !admission_open(node) || node->leaving ||
         !accept_shard_epoch(node, owner, message->shard, message->shard_epoch))
         return 0;
-    int64_t state = executor_owner_view_state(node, owner);
+    int64_t state = executor_owner_summary_state(node, owner);
     if (state != EXECUTOR_OPEN && state != EXECUTOR_PROBATION)
         return 0;
     allocations_free_capacity(owner, &cores, &mem_mb);
@@ -178,7 +179,7 @@
         mem_mb -= message->tasks[i].mem_mb;
     }
     if (state == EXECUTOR_PROBATION && owner->n_rows)
-        return 0; /* one task at a time */
+        return 0; /* one reservation at a time until the probation is over */
     return capacity_allows(node, owner, message->urgency, cores, mem_mb);
 }
 
@@ -254,7 +255,7 @@
         allocation_end(node, owner, allocation, OUTCOME_NOT_STARTED, "the executor was restarted");
         return;
     }
-    int64_t state = executor_owner_view_state(node, owner);
+    int64_t state = executor_owner_summary_state(node, owner);
     if (state == EXECUTOR_LEAVING || state == EXECUTOR_CLOSED) {
         allocation_end(node, owner, allocation, OUTCOME_NOT_STARTED, "the executor is leaving");
         return;
--- a/src/executor_owner/executor_owner.h
+++ b/src/executor_owner/executor_owner.h
@@ -43,9 +43,9 @@
     int64_t job, no, attempt, lease_ms;
 };
 
-/* The body of a call to an executor. home: HTTP address of its owner; ticket: that of the newest state received from
- * the executor; leases granted or renewed by these orders run from that time. acks: ended tasks whose end is recorded,
- * the executor may forget them; goes: held tasks that may run. */
+/* The body of a call to an executor. executor_owner: HTTP address of its owner; ticket: that of the newest state
+ * received from the executor; leases granted or renewed by these orders run from that time. acks: ended tasks whose end
+ * is recorded, the executor may forget them; goes: held tasks that may run. */
 struct exec_orders {
     char *cluster, *executor_owner;
     int64_t epoch, incarnation, ticket;
@@ -59,7 +59,7 @@
 
 /* --- messages to and from shard owners ------------------------------------ */
 
-/* Only OPEN executors take reservations, and under PROBATION one task at a time. Values go over the wire. */
+/* Only OPEN executors get reservations, and those on PROBATION one at a time. Values go over the wire. */
 enum executor_summary_state {
     EXECUTOR_OPEN,
     EXECUTOR_SILENT,
@@ -69,7 +69,8 @@
     EXECUTOR_CLOSED
 };
 
-/* An executor as its owner describes it to other nodes. home: address of that owner; epoch: epoch of its ownership. */
+/* An executor as its owner describes it to other nodes. executor_owner: address of that owner; epoch: epoch of its
+ * ownership. */
 struct executor_summary {
     char *executor, *kind, *rack;
     char **services;
@@ -82,7 +83,7 @@
     int64_t received_ms, slow_pct;
 };
 struct executor_summaries_msg {
-    struct executor_summary *views;
+    struct executor_summary *summaries;
     int64_t n;
 };
 
@@ -131,8 +132,8 @@
     int64_t n_tasks;
 };
 
-/* How an attempt ended. LEASE_EXPIRED: its executor stopped it for want of a lease; NOT_STARTED: it never ran and never
- * will; LOST: the outcome is unknown, but it runs no longer. Values go over the wire. */
+/* How an attempt ended. LEASE_EXPIRED: its executor stopped it because its lease expired; NOT_STARTED: it never ran and
+ * never will; LOST: the outcome is unknown, but it is no longer running. Values go over the wire. */
 enum outcome {
     OUTCOME_DONE,
     OUTCOME_FAILED,
@@ -162,7 +163,7 @@
 };
 
 /* Capacity of an executor that is allocated to a task. Invariant: the capacity counts as used from the reservation
- * until the executor reports the end of the task, also while the task is being stopped. */
+ * until the executor reports the end of the task or cannot run it any more, also while the task is being stopped. */
 struct account {
     struct task_ref ref;
     /* state: enum allocation_state; since_ms: when it was reserved or its start ordered; reported_serial: serial of the
@@ -206,7 +207,7 @@
 struct executor_owner *executor_owner_start(struct node *node, const char *name, int64_t epoch);
 /* Gives up the ownership and frees owner. */
 void executor_owner_drop(struct node *node, struct executor_owner *owner);
-/* To be called on each tick: checks leases and silence, repeats messages, sends orders and executor views. */
+/* To be called on each tick: checks leases and silence, repeats messages, sends orders and summaries. */
 void executor_owners_on_timer(struct node *node);
 /* Frees all owners of the node. */
 void executor_owners_end(struct node *node);
@@ -223,7 +224,7 @@
 void executor_owner_on_check(struct node *node, int64_t from, const struct check_request *message);
 void executor_owner_on_ended_ack(struct node *node, const struct ended *message);
 
-/* home_account.c */
+/* allocations.c */
 /* NULL: none. Pointers to allocations are valid until one is added or removed. */
 struct account *allocation_find(struct executor_owner *owner, int64_t job, int64_t no, int64_t attempt);
 /* Frees what the allocation owns; allocation_remove() also takes it from the list. */
@@ -241,7 +242,7 @@
 /* The outcome of this outer name, OUTCOME_LOST for any other text. */
 int outcome_parse(const char *text);
 
-/* home_orders.c */
+/* executor_orders.c */
 /* Takes over a state of the executor unless it is older than the current one. is_response: it answers a call of this
  * owner, so it is not a report. */
 void executor_owner_apply_state(struct node *node, struct executor_owner *owner, struct exec_state *state,
@@ -253,7 +254,7 @@
 /* Quarantines the executor, unless half of the executors of its kind are quarantined or on probation. */
 void executor_owner_quarantine(struct node *node, struct executor_owner *owner);
 /* The executor's enum executor_summary_state. */
-int64_t executor_owner_view_state(struct node *node, struct executor_owner *owner);
-/* Sends views of this node's executors to other nodes. */
-void executor_views_send(struct node *node);
+int64_t executor_owner_summary_state(struct node *node, struct executor_owner *owner);
+/* Sends summaries of this node's executors to other nodes. */
+void executor_summaries_send(struct node *node);
 #endif
--- a/src/executor_owner/executor_owner_schemas.c
+++ b/src/executor_owner/executor_owner_schemas.c
@@ -63,26 +63,26 @@
                                              LIST(exec_orders, goes, n_goes, renew_schema)};
 SCHEMA(exec_orders_schema, exec_orders, orders_fields);
 
-static const struct field room_fields[] = {STR(executor_summary, executor),
-                                           STR(executor_summary, kind),
-                                           STR(executor_summary, rack),
-                                           STRS(executor_summary, services, n_services),
-                                           INT_NAMED(executor_summary, executor_owner, "home"),
-                                           INT(executor_summary, epoch),
-                                           INT(executor_summary, incarnation),
-                                           INT(executor_summary, state),
-                                           INT(executor_summary, cores),
-                                           INT_NAMED(executor_summary, mem_mb, "memMb"),
-                                           INT_NAMED(executor_summary, free_cores, "freeCores"),
-                                           INT_NAMED(executor_summary, free_mb, "freeMb"),
-                                           INT_NAMED(executor_summary, urgency_limit, "wanted"),
-                                           INT(executor_summary, addr),
-                                           INT_NAMED(executor_summary, leave_ms, "leaveMs")};
-SCHEMA(executor_summary_schema, executor_summary, room_fields);
+static const struct field summary_fields[] = {STR(executor_summary, executor),
+                                              STR(executor_summary, kind),
+                                              STR(executor_summary, rack),
+                                              STRS(executor_summary, services, n_services),
+                                              INT_NAMED(executor_summary, executor_owner, "home"),
+                                              INT(executor_summary, epoch),
+                                              INT(executor_summary, incarnation),
+                                              INT(executor_summary, state),
+                                              INT(executor_summary, cores),
+                                              INT_NAMED(executor_summary, mem_mb, "memMb"),
+                                              INT_NAMED(executor_summary, free_cores, "freeCores"),
+                                              INT_NAMED(executor_summary, free_mb, "freeMb"),
+                                              INT_NAMED(executor_summary, urgency_limit, "wanted"),
+                                              INT(executor_summary, addr),
+                                              INT_NAMED(executor_summary, leave_ms, "leaveMs")};
+SCHEMA(executor_summary_schema, executor_summary, summary_fields);
 
-static const struct field rooms_fields[] = {
-    LIST_NAMED(executor_summaries_msg, views, "rooms", n, executor_summary_schema)};
-SCHEMA(executor_summaries_msg_schema, executor_summaries_msg, rooms_fields);
+static const struct field summaries_fields[] = {
+    LIST_NAMED(executor_summaries_msg, summaries, "rooms", n, executor_summary_schema)};
+SCHEMA(executor_summaries_msg_schema, executor_summaries_msg, summaries_fields);
 
 static const struct field ref_fields[] = {INT(task_ref, job), INT(task_ref, no), INT(task_ref, attempt),
                                           INT(task_ref, cores), INT_NAMED(task_ref, mem_mb, "memMb")};
--- a/src/executor_owner/executor_owner_timers.c
+++ b/src/executor_owner/executor_owner_timers.c
@@ -5,7 +5,7 @@
 #include "base/events.h"
 #include "node/node.h"
 
-enum { RESERVATION_TTL_MS = 8000, ENDED_RESEND_MS = 300, VIEWS_MIN_INTERVAL_MS = 40 };
+enum { RESERVATION_TTL_MS = 8000, ENDED_RESEND_MS = 300, SUMMARIES_MIN_INTERVAL_MS = 40 };
 
 static void expire_reservations(struct executor_owner *owner, int64_t now_ms)
 {
@@ -74,7 +74,7 @@
         send_ended(node, owner, now_ms);
         executor_owner_send_orders(node, owner);
     }
-    if (now_ms >= node->summaries_due_ms && now_ms - node->summaries_sent_ms >= VIEWS_MIN_INTERVAL_MS &&
+    if (now_ms >= node->summaries_due_ms && now_ms - node->summaries_sent_ms >= SUMMARIES_MIN_INTERVAL_MS &&
         admission_open(node))
-        executor_views_send(node);
+        executor_summaries_send(node);
 }
--- a/src/shard/assign.c
+++ b/src/shard/assign.c
@@ -1,12 +1,12 @@
 /* Choice of an executor for a task: of those that satisfy all constraints, the one with the best score. Also keeps the
- * node's views of executors. */
+ * node's summaries of executors. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "base/error.h"
 #include "node/node.h"
 
-enum { VIEW_FRESH_MS = 2000 };
+enum { SUMMARY_FRESH_MS = 2000 };
 
 struct executor_summary *executor_summary_find(struct node *node, const char *executor)
 {
@@ -19,28 +19,28 @@
 void executor_summaries_merge(struct node *node, int64_t from, struct executor_summaries_msg *message)
 {
     for (int64_t i = 0; i < message->n; i++) {
-        struct executor_summary *view = &message->views[i];
-        if (!view->executor || !view->kind || !view->rack || view->executor_owner != from)
+        struct executor_summary *summary = &message->summaries[i];
+        if (!summary->executor || !summary->kind || !summary->rack || summary->executor_owner != from)
             continue;
-        struct executor_summary *known = executor_summary_find(node, view->executor);
-        if (known && view->epoch < known->epoch)
+        struct executor_summary *known = executor_summary_find(node, summary->executor);
+        if (known && summary->epoch < known->epoch)
             continue;
         int64_t slow_pct = known ? known->slow_pct : 100;
         if (!known)
             known = array_add(node->executor_summaries, node->n_executor_summaries);
         else
             schema_free(&executor_summary_schema, known);
-        *known = *view;
+        *known = *summary;
         known->slow_pct = slow_pct;
         known->received_ms = world_ms(node->w);
-        memset(view, 0, sizeof *view); /* the known view owns its strings now */
+        memset(summary, 0, sizeof *summary); /* the known summary owns its strings now */
     }
 }
 
-static int serves(const struct executor_summary *view, const char *service)
+static int serves(const struct executor_summary *summary, const char *service)
 {
-    for (int64_t i = 0; i < view->n_services; i++)
-        if (!strcmp(view->services[i], service))
+    for (int64_t i = 0; i < summary->n_services; i++)
+        if (!strcmp(summary->services[i], service))
             return 1;
     return 0;
 }
@@ -57,18 +57,18 @@
     const char *rack;
 };
 
-static void count_placed(struct node *node, struct placed_counts *counts, const struct executor_summary *view,
+static void count_placed(struct node *node, struct placed_counts *counts, const struct executor_summary *summary,
                          const char *executor)
 {
     struct executor_summary *other = executor_summary_find(node, executor);
-    counts->on_executor += !strcmp(executor, view->executor);
-    counts->on_rack += other && !strcmp(other->rack, view->rack);
+    counts->on_executor += !strcmp(executor, summary->executor);
+    counts->on_rack += other && !strcmp(other->rack, summary->rack);
     if (other)
         counts->rack = other->rack;
 }
 
 static struct placed_counts count_step(struct node *node, const struct job *job, int64_t step,
-                                       const struct executor_summary *view, const struct staging *current)
+                                       const struct executor_summary *summary, const struct staging *current)
 {
     struct placed_counts counts = {0};
     int64_t first = spec_first_task(&job->spec, step), n = job->spec.steps[step].n_tasks;
@@ -77,7 +77,7 @@
             (job->rows[i].state == ROW_DONE && !strcmp(job->spec.steps[step].rack, "one")))
             if (job->rows[i].executor) {
                 struct placed_counts updated = counts;
-                count_placed(node, &updated, view, job->rows[i].executor);
+                count_placed(node, &updated, summary, job->rows[i].executor);
                 if (job->rows[i].state != ROW_PLACED)
                     updated.on_executor = counts.on_executor, updated.on_rack = counts.on_rack;
                 counts = updated;
@@ -88,61 +88,62 @@
             continue;
         for (int64_t k = 0; k < staging->n_places; k++)
             if (staging->places[k].executor)
-                count_placed(node, &counts, view, staging->places[k].executor);
+                count_placed(node, &counts, summary, staging->places[k].executor);
     }
     for (int64_t k = 0; current && k < current->n_places; k++)
         if (current->places[k].executor)
-            count_placed(node, &counts, view, current->places[k].executor);
+            count_placed(node, &counts, summary, current->places[k].executor);
     return counts;
 }
 
 /* Why the executor cannot take the task, or NULL. current: the staging that the task is in; NULL: only checked. */
-static const char *rejection(struct node *node, const struct job *job, int64_t no, const struct executor_summary *view,
-                             const struct staging *current)
+static const char *rejection(struct node *node, const struct job *job, int64_t no,
+                             const struct executor_summary *summary, const struct staging *current)
 {
     int64_t step = 0, now_ms = node_fleet_ms(node);
     const struct task_spec *task = spec_task(&job->spec, no, &step);
     const struct step_spec *step_spec = &job->spec.steps[step];
     static const char *const states[] = {NULL, "silent", "leaving", "in quarantine", NULL, "closed"};
-    if (!serves(view, job->spec.service))
+    if (!serves(summary, job->spec.service))
         return "does not serve this service";
-    if (strcmp(view->kind, task->kind))
+    if (strcmp(summary->kind, task->kind))
         return "is of another kind";
-    if (view->cores < task->cores || view->mem_mb < task->mem_mb)
+    if (summary->cores < task->cores || summary->mem_mb < task->mem_mb)
         return "is too small for it";
-    if (has_named_rack(step_spec) && strcmp(step_spec->rack, view->rack))
+    if (has_named_rack(step_spec) && strcmp(step_spec->rack, summary->rack))
         return "is not on the named rack";
-    if (states[view->state])
-        return states[view->state];
-    if (world_ms(node->w) - view->received_ms > VIEW_FRESH_MS)
+    if (states[summary->state])
+        return states[summary->state];
+    if (world_ms(node->w) - summary->received_ms > SUMMARY_FRESH_MS)
         return "has no recent report from its owner";
-    if (config_tree_drain(&node->config_tree, view->executor, now_ms, node_settings(node, job->queue)->lease_ms))
+    if (config_tree_drain(&node->config_tree, summary->executor, now_ms, node_settings(node, job->queue)->lease_ms))
         return "is drained by the calendar";
-    if ((!current || !current->ignores_view) && (view->free_cores < task->cores || view->free_mb < task->mem_mb))
+    if ((!current || !current->ignores_view) && (summary->free_cores < task->cores || summary->free_mb < task->mem_mb))
         return "has no free capacity now";
-    if (current && !current->ignores_view && current->urgency > view->urgency_limit)
+    if (current && !current->ignores_view && current->urgency > summary->urgency_limit)
         return "keeps its capacity for more urgent work";
-    struct placed_counts counts = count_step(node, job, step, view, current);
+    struct placed_counts counts = count_step(node, job, step, summary, current);
     if (step_spec->per_executor && counts.on_executor >= step_spec->per_executor)
         return "has as many tasks of this step as allowed";
     if (step_spec->per_rack && counts.on_rack >= step_spec->per_rack)
         return "its rack has as many tasks of this step as allowed";
-    if (step_spec->rack && !strcmp(step_spec->rack, "one") && counts.rack && strcmp(counts.rack, view->rack))
+    if (step_spec->rack && !strcmp(step_spec->rack, "one") && counts.rack && strcmp(counts.rack, summary->rack))
         return "is not on the rack that the step uses";
     return NULL;
 }
 
-const char *assign_rejection(struct node *node, const struct job *job, int64_t no, const struct executor_summary *view)
+const char *assign_rejection(struct node *node, const struct job *job, int64_t no,
+                             const struct executor_summary *summary)
 {
-    return rejection(node, job, no, view, NULL);
+    return rejection(node, job, no, summary, NULL);
 }
 
-static int64_t score(struct node *node, const struct executor_summary *view)
+static int64_t score(struct node *node, const struct executor_summary *summary)
 {
-    int64_t free = view->cores ? view->free_cores * 1000 / view->cores : 0;
+    int64_t free = summary->cores ? summary->free_cores * 1000 / summary->cores : 0;
     /* its tasks take longer than others: each 100 % more costs 300 of the 1000 points for free cores */
-    if (view->slow_pct > 125)
-        free -= (view->slow_pct < 1000 ? view->slow_pct - 100 : 900) * 3;
+    if (summary->slow_pct > 125)
+        free -= (summary->slow_pct < 1000 ? summary->slow_pct - 100 : 900) * 3;
     return free * 64 + (int64_t)(world_random(node->w) % 4096);
 }
 
@@ -152,12 +153,12 @@
 {
     const struct row *row = &job->rows[no];
     struct queue *queue = &node->queues[job->queue];
-    struct executor_summary *view = row->executor ? executor_summary_find(node, row->executor) : NULL;
+    struct executor_summary *summary = row->executor ? executor_summary_find(node, row->executor) : NULL;
     int64_t took_ms = row->ended_ms - row->placed_ms;
-    if (!view || took_ms < 1)
+    if (!summary || took_ms < 1)
         return;
     int64_t pct = queue->mean_ms ? took_ms * 100 / queue->mean_ms : 100;
-    view->slow_pct += ((pct < 2000 ? pct : 2000) - view->slow_pct) / 4;
+    summary->slow_pct += ((pct < 2000 ? pct : 2000) - summary->slow_pct) / 4;
     /* durations are capped so that a slow executor does not raise the mean of its queue much */
     if (!queue->mean_ms)
         queue->mean_ms = took_ms;
@@ -167,19 +168,19 @@
         queue->mean_ms = 1;
 }
 
-static struct executor_summary *best_view(struct node *node, const struct job *job, int64_t no,
-                                          const struct staging *current, const char *rack)
+static struct executor_summary *best_executor(struct node *node, const struct job *job, int64_t no,
+                                              const struct staging *current, const char *rack)
 {
     struct executor_summary *best = NULL;
     int64_t best_score = 0;
     for (int64_t i = 0; i < node->n_executor_summaries; i++) {
-        struct executor_summary *view = &node->executor_summaries[i];
-        if ((rack && strcmp(rack, view->rack)) || rejection(node, job, no, view, current))
+        struct executor_summary *summary = &node->executor_summaries[i];
+        if ((rack && strcmp(rack, summary->rack)) || rejection(node, job, no, summary, current))
             continue;
-        int64_t value = score(node, view);
+        int64_t value = score(node, summary);
         if (best && value <= best_score)
             continue;
-        best = view;
+        best = summary;
         best_score = value;
     }
     return best;
@@ -189,11 +190,12 @@
 {
     for (int64_t i = 0; i < staging->n_places; i++) {
         struct staging_place *placement = &staging->places[i];
-        struct executor_summary *view = placement->executor ? executor_summary_find(node, placement->executor) : NULL;
+        struct executor_summary *summary =
+            placement->executor ? executor_summary_find(node, placement->executor) : NULL;
         const struct task_spec *task = spec_task(&job->spec, placement->no, NULL);
-        if (view) {
-            view->free_cores += task->cores;
-            view->free_mb += task->mem_mb;
+        if (summary) {
+            summary->free_cores += task->cores;
+            summary->free_mb += task->mem_mb;
         }
         free(placement->executor);
         placement->executor = NULL;
@@ -204,18 +206,18 @@
 {
     for (int64_t i = 0; i < staging->n_places; i++) {
         struct staging_place *placement = &staging->places[i];
-        struct executor_summary *view = best_view(node, job, placement->no, staging, rack);
+        struct executor_summary *summary = best_executor(node, job, placement->no, staging, rack);
         const struct task_spec *task = spec_task(&job->spec, placement->no, NULL);
-        if (!view) {
+        if (!summary) {
             unassign(node, job, staging);
             return ERROR_REJECTED;
         }
-        placement->executor = must_dup(view->executor);
-        placement->executor_epoch = view->epoch;
-        placement->incarnation = view->incarnation;
-        placement->executor_owner = view->executor_owner;
-        view->free_cores -= task->cores; /* until its owner sends a new view */
-        view->free_mb -= task->mem_mb;
+        placement->executor = must_dup(summary->executor);
+        placement->executor_epoch = summary->epoch;
+        placement->incarnation = summary->incarnation;
+        placement->executor_owner = summary->executor_owner;
+        summary->free_cores -= task->cores; /* until its owner sends a new summary */
+        summary->free_mb -= task->mem_mb;
     }
     return ERROR_NONE;
 }
@@ -247,11 +249,11 @@
         if (step->tasks[t].cores < least)
             least = step->tasks[t].cores;
     for (int64_t i = 0; i < node->n_executor_summaries; i++) {
-        const struct executor_summary *view = &node->executor_summaries[i];
-        if (!serves(view, spec->service) || strcmp(view->kind, step->tasks[0].kind) ||
-            (rack && strcmp(rack, view->rack)))
+        const struct executor_summary *summary = &node->executor_summaries[i];
+        if (!serves(summary, spec->service) || strcmp(summary->kind, step->tasks[0].kind) ||
+            (rack && strcmp(rack, summary->rack)))
             continue;
-        int64_t here = least > 0 ? view->cores / least : step->n_tasks;
+        int64_t here = least > 0 ? summary->cores / least : step->n_tasks;
         n += step->per_executor && here > step->per_executor ? step->per_executor : here;
     }
     return n;
@@ -279,10 +281,10 @@
  * executor is known. */
 int assign_could_fit(struct node *node, const struct job_spec *spec, int64_t *bad_no)
 {
-    int64_t homes = 0, no = 0;
+    int64_t n_owned = 0, no = 0;
     for (int64_t i = 0; i < node->config_tree.n_ownerships; i++)
-        homes += !strncmp(node->config_tree.ownerships[i].name, "home/", 5);
-    if (!homes || node->n_executor_summaries < homes)
+        n_owned += !strncmp(node->config_tree.ownerships[i].name, "home/", 5);
+    if (!n_owned || node->n_executor_summaries < n_owned)
         return 1;
     for (int64_t s = 0; s < spec->n_steps; s++) {
         *bad_no = no;
@@ -292,10 +294,10 @@
             const struct task_spec *task = &spec->steps[s].tasks[t];
             int fits = 0;
             for (int64_t i = 0; i < node->n_executor_summaries && !fits; i++) {
-                const struct executor_summary *view = &node->executor_summaries[i];
-                fits = serves(view, spec->service) && !strcmp(view->kind, task->kind) && view->cores >= task->cores &&
-                       view->mem_mb >= task->mem_mb &&
-                       (!has_named_rack(&spec->steps[s]) || !strcmp(spec->steps[s].rack, view->rack));
+                const struct executor_summary *summary = &node->executor_summaries[i];
+                fits = serves(summary, spec->service) && !strcmp(summary->kind, task->kind) &&
+                       summary->cores >= task->cores && summary->mem_mb >= task->mem_mb &&
+                       (!has_named_rack(&spec->steps[s]) || !strcmp(spec->steps[s].rack, summary->rack));
             }
             *bad_no = no;
             if (!fits)
--- a/src/shard/place.c
+++ b/src/shard/place.c
@@ -130,11 +130,11 @@
             placement->answered = 1;
         waiting += !placement->answered;
     }
-    struct executor_summary *view = executor_summary_find(node, message->executor);
+    struct executor_summary *summary = executor_summary_find(node, message->executor);
     if (message->error) {
         staging->failed = 1;
-        if (view)
-            view->free_cores = 0; /* this node's view is outdated: nothing more there until its owner sends a new one */
+        if (summary)
+            summary->free_cores = 0; /* the summary is outdated: place nothing there until its owner sends a new one */
     }
     if (waiting)
         return;
--- a/src/shard/preempt.c
+++ b/src/shard/preempt.c
@@ -9,9 +9,9 @@
 /* Fleet time at which the executor leaves or is drained; 0: not planned. */
 static int64_t leave_time_ms(struct node *node, const char *executor, int64_t ahead_ms)
 {
-    const struct executor_summary *view = executor_summary_find(node, executor);
+    const struct executor_summary *summary = executor_summary_find(node, executor);
     const struct planned *drain = config_tree_drain(&node->config_tree, executor, node_fleet_ms(node), ahead_ms);
-    int64_t at_ms = view ? view->leave_ms : 0;
+    int64_t at_ms = summary ? summary->leave_ms : 0;
     if (drain && (!at_ms || drain->at_ms < at_ms))
         at_ms = drain->at_ms;
     return at_ms;
--- a/src/shard/rows.h
+++ b/src/shard/rows.h
@@ -1,4 +1,4 @@
-/* The jobs of a shard and the rows of their tasks, as state machine of the jobs log. Keepers apply the ops of every
+/* The jobs of a shard and the rows of their tasks: the state machine of the jobs log. Keepers apply the ops of every
  * shard; the owner of a shard applies the same ops once they are committed. */
 #ifndef SAGEHITCH_SHARD_ROWS_H
 #define SAGEHITCH_SHARD_ROWS_H
@@ -9,15 +9,15 @@
 /* SHARD_BITS: low bits of a job's id, a number within its shard; TASKS_MAX: tasks of a job over all steps. */
 enum { SHARD_COUNT = 24, SHARD_BITS = 40, TASKS_MAX = 2000 };
 
-/* A job as submitted. deadline_ms: the task is stopped, or not started any more, so long after the job was accepted;
- * ttl_ms: not started later than this after the job's start time. 0: no deadline; the queue's default ttl. */
+/* A task as submitted. deadline_ms: the task is stopped, or not started any more, so long after the job was accepted,
+ * 0: no deadline; ttl_ms: it is not started later than this after the job's start time, 0: the queue's default. */
 struct task_spec {
     char *kind, *payload;
     int64_t cores, mem_mb, deadline_ms, ttl_ms;
 };
-/* A step starts when all tasks of the steps named in after are done. rack: "any"; "one", all tasks on the same rack; or
- * the name of a rack. per_executor, per_rack: at most so many of its tasks there at once, 0: no limit. gang: its tasks
- * run all at once. start_at_ms: fleet time before which it does not start. */
+/* A step starts when all tasks of the steps named in depends_on are done. rack: "any"; "one", all tasks on the same
+ * rack; or the name of a rack. per_executor, per_rack: at most so many of its tasks there at once, 0: no limit. gang:
+ * its tasks run all at once. start_at_ms: fleet time before which it does not start. */
 struct step_spec {
     char *name, *rack;
     char **depends_on;
@@ -26,7 +26,8 @@
     struct task_spec *tasks;
     int64_t n_tasks;
 };
-/* key: chosen by the caller, makes submissions idempotent; priority: lower is more urgent, -1: that of the queue. */
+/* A job as submitted. key: chosen by the caller, makes submissions idempotent; priority: lower is more urgent, -1: that
+ * of the queue. */
 struct job_spec {
     char *key, *service, *queue;
     int64_t priority, start_at_ms;
