--- a/sim/cluster.c
+++ b/sim/cluster.c
@@ -23,32 +23,32 @@
 
 /* --- trace -------------------------------------------------------------------- */
 
-void cluster_tell(struct cluster *cluster, int64_t job, const char *format, ...)
+void cluster_trace(struct cluster *cluster, int64_t job, const char *format, ...)
 {
     char text[400];
     va_list args;
     va_start(args, format);
     vsnprintf(text, sizeof text, format, args);
     va_end(args);
-    struct story_line *line = array_add(cluster->story, cluster->n_story);
+    struct story_line *line = array_add(cluster->trace, cluster->n_trace);
     line->at_us = cluster->now_us;
     line->job = job;
     line->text = must_dup(text);
-    if (cluster->trace)
+    if (cluster->trace_level)
         fprintf(stderr, "%10.3f %s%s\n", (double)cluster->now_us / 1e6, job ? "  " : "", text);
 }
 
 /* The violations, then the trace lines of the cluster and of the job of the first violation. */
-char *cluster_story(const struct cluster *cluster)
+char *cluster_trace_text(const struct cluster *cluster)
 {
     struct bytes to = {0};
-    bytes_printf(&to, "%lld breaches\n", (long long)cluster->n_breaches);
-    for (int64_t i = 0; i < cluster->n_breaches && i < 20; i++)
-        bytes_printf(&to, "  %s\n", cluster->breaches[i]);
-    for (int64_t i = 0; i < cluster->n_story; i++)
-        if (!cluster->story[i].job || cluster->story[i].job == cluster->violation_job)
-            bytes_printf(&to, "%10.3f %s%s\n", (double)cluster->story[i].at_us / 1e6, cluster->story[i].job ? "  " : "",
-                         cluster->story[i].text);
+    bytes_printf(&to, "%lld breaches\n", (long long)cluster->n_violations);
+    for (int64_t i = 0; i < cluster->n_violations && i < 20; i++)
+        bytes_printf(&to, "  %s\n", cluster->violations[i]);
+    for (int64_t i = 0; i < cluster->n_trace; i++)
+        if (!cluster->trace[i].job || cluster->trace[i].job == cluster->violation_job)
+            bytes_printf(&to, "%10.3f %s%s\n", (double)cluster->trace[i].at_us / 1e6, cluster->trace[i].job ? "  " : "",
+                         cluster->trace[i].text);
     return (char *)to.at;
 }
 
@@ -64,7 +64,7 @@
     host->kind = kind;
     host->index = cluster->n;
     host->with_disk = with_disk;
-    host->trouble_us = -CONTACT_MS * 1000LL;
+    host->last_fault_us = -CONTACT_MS * 1000LL;
     host->base.calls = &calls;
     host->base.self = (10ull << 40 | (uint64_t)zone << 32 | (uint64_t)(cluster->n + 1) << 24 | 1ull << 16) | 7000;
     host->base.http_addr = host->base.self + 1000;
@@ -115,7 +115,7 @@
                                      .codec = &cluster_api_codec};
     host->controller = controller_new(&host->base, &setup);
     if (!host->controller) {
-        cluster_tell(cluster, 0, "%s rejects its disk and exits", host->name);
+        cluster_trace(cluster, 0, "%s rejects its disk and exits", host->name);
         host->up = 0;
     }
 }
@@ -138,23 +138,23 @@
     host->agent = agent_new(&host->base, &setup);
 }
 
-void host_trouble(struct host *host)
+void host_note_fault(struct host *host)
 {
     struct cluster *cluster = host->cluster;
-    host->trouble_us = cluster->trouble_us = cluster->now_us;
+    host->last_fault_us = cluster->last_fault_us = cluster->now_us;
     if (host->kind == HOST_CONTROLLER)
         cluster->last_controller_fault_us = cluster->now_us;
 }
 
-void cluster_core_trouble(struct cluster *cluster)
+void cluster_note_controller_fault(struct cluster *cluster)
 {
-    cluster->last_controller_fault_us = cluster->trouble_us = cluster->now_us;
+    cluster->last_controller_fault_us = cluster->last_fault_us = cluster->now_us;
 }
 
 void host_boot(struct host *host, int first_start)
 {
     struct cluster *cluster = host->cluster;
-    if (host->gone || host->up)
+    if (host->removed || host->up)
         return;
     host->generation++;
     host->booted_us = cluster->now_us;
@@ -162,8 +162,8 @@
     host->frozen = host->leaving = host->thaw_us = 0;
     host->busy_until_us = host->stall_us = host->flush_due = 0;
     if (host->ever_up) {
-        cluster_tell(cluster, 0, "%s starts", host->name);
-        host_trouble(host);
+        cluster_trace(cluster, 0, "%s starts", host->name);
+        host_note_fault(host);
     }
     host->ever_up = 1;
     if (host->kind == HOST_CONTROLLER)
@@ -194,12 +194,12 @@
 void host_kill(struct host *host, int power)
 {
     if (host->up) {
-        cluster_tell(host->cluster, 0, "%s is killed%s", host->name, power ? " by a power loss" : "");
+        cluster_trace(host->cluster, 0, "%s is killed%s", host->name, power ? " by a power loss" : "");
         host->up = 0;
         host->generation++;
         host_end(host);
     }
-    host_trouble(host);
+    host_note_fault(host);
     if (power && host->disk)
         cluster_disk_power_loss(host->disk);
 }
@@ -224,32 +224,32 @@
         return;
     int left = host->controller ? controller_left(host->controller) : agent_left(host->agent);
     if (!left && n > 0) {
-        cluster_at(cluster, 50, finish_leaving, host, n - 50);
+        cluster_schedule(cluster, 50, finish_leaving, host, n - 50);
         return;
     }
     if (!left)
-        cluster_tell(cluster, 0, "%s has not stopped gracefully in time", host->name);
+        cluster_trace(cluster, 0, "%s has not stopped gracefully in time", host->name);
     host_kill(host, 0);
-    cluster_at(cluster, 300, boot_again, host, 0);
+    cluster_schedule(cluster, 300, boot_again, host, 0);
 }
 
 void host_leave(struct host *host)
 {
     if (!host->up || host->leaving)
         return;
-    cluster_tell(host->cluster, 0, "%s is requested to stop", host->name);
-    host_trouble(host);
+    cluster_trace(host->cluster, 0, "%s is requested to stop", host->name);
+    host_note_fault(host);
     host->leaving = 1;
     if (host->controller)
         controller_leave(host->controller);
     else
         agent_leave(host->agent);
-    cluster_at(host->cluster, 50, finish_leaving, host, 6000);
+    cluster_schedule(host->cluster, 50, finish_leaving, host, 6000);
 }
 
 void host_wipe(struct host *host)
 {
-    cluster_tell(host->cluster, 0, "%s loses its disk", host->name);
+    cluster_trace(host->cluster, 0, "%s loses its disk", host->name);
     if (host->disk)
         cluster_disk_clear(host->disk);
 }
@@ -263,7 +263,7 @@
 
 void host_disk_rewind(struct host *host)
 {
-    cluster_tell(host->cluster, 0, "the disk of %s is restored from an old copy", host->name);
+    cluster_trace(host->cluster, 0, "the disk of %s is restored from an old copy", host->name);
     cluster_disk_copy(host->disk, host->disk_copy);
 }
 
@@ -273,27 +273,27 @@
     (void)n;
     if (!host->frozen || cluster->now_us < host->thaw_us)
         return;
-    cluster_tell(cluster, 0, "%s continues", host->name);
+    cluster_trace(cluster, 0, "%s continues", host->name);
     host->frozen = 0;
-    host_trouble(host);
+    host_note_fault(host);
 }
 
 void host_freeze(struct host *host, int64_t for_ms)
 {
-    cluster_tell(host->cluster, 0, "%s freezes for %lld ms", host->name, (long long)for_ms);
+    cluster_trace(host->cluster, 0, "%s freezes for %lld ms", host->name, (long long)for_ms);
     host->frozen = 1;
     int64_t thaw_us = host->cluster->now_us + for_ms * 1000;
     host->thaw_us = thaw_us > host->thaw_us ? thaw_us : host->thaw_us;
-    host_trouble(host);
-    cluster_at(host->cluster, for_ms, thaw, host, 0);
+    host_note_fault(host);
+    cluster_schedule(host->cluster, for_ms, thaw, host, 0);
 }
 
 void host_skew(struct host *host, int64_t by_ms)
 {
-    cluster_tell(host->cluster, 0, "the wall clock of %s jumps by %lld ms", host->name, (long long)by_ms);
+    cluster_trace(host->cluster, 0, "the wall clock of %s jumps by %lld ms", host->name, (long long)by_ms);
     host->cluster->clocks_jump = 1;
     host->skew_ms += by_ms;
-    host_trouble(host);
+    host_note_fault(host);
 }
 
 /* Whether more than one of the other controllers with a disk is down or not connected to the host in both directions,
@@ -303,7 +303,7 @@
     int64_t reached = 0, running = 0;
     for (int64_t i = 0; i < cluster->n; i++) {
         const struct host *to = cluster->hosts[i];
-        if (to->kind != HOST_CONTROLLER || !to->with_disk || to->gone || to == host)
+        if (to->kind != HOST_CONTROLLER || !to->with_disk || to->removed || to == host)
             continue;
         running++;
         reached += to->up && !cluster->cut[host->index][i] && !cluster->cut[i][host->index];
@@ -314,16 +314,16 @@
 int cluster_is_reachable(const struct cluster *cluster, const struct host *host)
 {
     return host->up && !host->frozen && !is_partitioned(cluster, host) &&
-           cluster->now_us - host->trouble_us > CONTACT_MS * 1000LL &&
+           cluster->now_us - host->last_fault_us > CONTACT_MS * 1000LL &&
            cluster->now_us - cluster->last_controller_fault_us > CONTACT_MS * 1000LL;
 }
 
-uint64_t host_founders(const struct host *host)
+uint64_t host_bootstrap_hash(const struct host *host)
 {
     return host->up && host->controller ? controller_bootstrap_hash(host->controller) : 0;
 }
 
-uint64_t host_agreed(const struct host *host)
+uint64_t host_chosen_hash(const struct host *host)
 {
     return host->up && host->controller ? controller_chosen_hash(host->controller) : 0;
 }
@@ -339,7 +339,7 @@
 struct host *cluster_controller(struct cluster *cluster, int64_t n)
 {
     for (int64_t i = 0; i < cluster->n; i++)
-        if (cluster->hosts[i]->kind == HOST_CONTROLLER && !cluster->hosts[i]->gone && n-- == 0)
+        if (cluster->hosts[i]->kind == HOST_CONTROLLER && !cluster->hosts[i]->removed && n-- == 0)
             return cluster->hosts[i];
     return NULL;
 }
@@ -356,9 +356,9 @@
 {
     struct cluster *cluster = old->cluster;
     host_kill(old, 1);
-    old->gone = 1;
+    old->removed = 1;
     struct host *replacement = cluster_add(cluster, old->kind, (int)old->with_disk, old->zone[1] - '0');
-    cluster_tell(cluster, 0, "%s replaces %s, with an empty disk", replacement->name, old->name);
+    cluster_trace(cluster, 0, "%s replaces %s, with an empty disk", replacement->name, old->name);
     for (int64_t i = 0; i < cluster->n_seeds; i++)
         if (cluster->seeds[i] == (int64_t)old->base.self)
             cluster->seeds[i] = (int64_t)replacement->base.self;
--- a/sim/cluster.h
+++ b/sim/cluster.h
@@ -49,15 +49,15 @@
 /* A machine with one controller, or with one agent and its executor. generation counts its starts. Times are virtual;
  * booted_us: the last start; busy_until_us: the core handles no event before; stall_us: time that the event being
  * handled has spent waiting for the disk; skew_ms: error of its wall clock; flush_due: a flush event is queued; gone:
- * it was replaced and never starts again; trouble_us: the last fault that affected it. Invariants: events for an older
- * generation are dropped; events that arrive while the host is frozen or busy are handled afterwards, in order of
+ * it was replaced and never starts again; last_fault_us: the last fault that affected it. Invariants: events for an
+ * older generation are dropped; events that arrive while the host is frozen or busy are handled afterwards, in order of
  * arrival. */
 struct host {
     struct world base; /* must be the first member */
     struct cluster *cluster;
     enum host_kind kind;
     int64_t index, up, generation, frozen, thaw_us, busy_until_us, stall_us;
-    int64_t skew_ms, booted_us, flush_due, with_disk, gone, trouble_us;
+    int64_t skew_ms, booted_us, flush_due, with_disk, removed, last_fault_us;
     int64_t ever_up, leaving;
     char name[16], zone[8], rack[8];
     struct cluster_disk *disk, *disk_copy;        /* disk_copy: made by host_disk_copy(), NULL: none */
@@ -141,7 +141,7 @@
 struct standin {
     struct host *host;
     int64_t index, up, generation, booted_us, clock_offset_ms, clock_slow_ppm, lease_until_ms, fence_epoch, seq,
-        last_on_timer_us, gone;
+        last_on_timer_us, removed;
     char incarnation[32];
     const char *service, *rack, *label;
     int64_t checks_capacity, cpu_milli, memory_mb, gpus;
@@ -151,7 +151,7 @@
     struct standin_poll *polls;
     int64_t n_runs, n_ended, n_barred, n_polls;
     int64_t draining, drain_ack_us, leaves_us, return_after_ms, next_heartbeat_us, heartbeat_seq, heartbeat_sent_us;
-    int64_t slow_pct, hang_us, fail_us, sick_us, late_us,
+    int64_t slow_pct, hang_until_us, fail_until_us, sick_until_us, late_until_us,
         faulty_until_us; /* slow_pct: time per work; until when it hangs, fails all runs, refuses starts or
                           carries out requests late; until when it had a fault */
 };
@@ -221,26 +221,27 @@
     int64_t orders_by_heartbeat; /* 1: executors get their orders in the responses to their heartbeats */
     int64_t loss_pct, slow_link_ms;
     struct cluster_log log;
-    int64_t machines_lost;      /* how many may be lost at once: a setting of the controllers */
-    int64_t n_events[10000];    /* by event number, over all hosts */
-    int64_t reset_pct, late_ms; /* share of frames that are lost; delay of frames, at most */
+    int64_t machines_lost;           /* how many may be lost at once: a setting of the controllers */
+    int64_t n_events[10000];         /* by event number, over all hosts */
+    int64_t reset_pct, max_delay_ms; /* share of frames that are lost; delay of frames, at most */
     struct cluster_call *calls;
     int64_t n_calls_open;
     struct tracked_job **jobs;
     int64_t n_jobs, load_until_us, load_every_us, mix, quiet;
     int64_t seeds[3], n_seeds;
-    int64_t last_controller_fault_us, trouble_us, clocks_jump, calm;
-    struct host *operators_use; /* controller that gets all changes; NULL: any */
+    int64_t last_controller_fault_us, last_fault_us, clocks_jump, fault_free;
+    struct host *operators_target; /* controller that gets all changes; NULL: any */
     struct op_change *changes;
-    int64_t n_changes, acked_version, acked_us, read_version, answers_lost_pct;
+    int64_t n_changes, acked_version, acked_us, read_version, lost_responses_pct;
     struct config_call *config_calls;
     int64_t n_config_calls;
-    struct story_line *story;
-    int64_t n_story;
-    char **breaches;
-    int64_t n_breaches, violation_job, judged;
-    int64_t n_starts, n_ends[8], n_capacity_refused, n_late_orders, n_accepted, n_refused, n_shown_done, lost_core_ms;
-    int trace;
+    struct story_line *trace;
+    int64_t n_trace;
+    char **violations;
+    int64_t n_violations, violation_job, n_checks;
+    int64_t n_starts, n_ends[8], n_capacity_refused, n_late_orders, n_accepted, n_refused, n_jobs_seen_done,
+        lost_core_ms;
+    int trace_level;
     /* Tests of the oracle: responds in place of the cores. Returns the status, 0: no response. */
     int (*fake)(struct cluster *cluster, const char *method, const char *path, const char *body, char **answer);
 };
@@ -249,17 +250,17 @@
 
 /* --- cluster.c, cluster_run.c ------------------------------------------------------------------------------ */
 void cluster_start(struct cluster *cluster, uint64_t seed, int disks, int diskless, int agents);
-void cluster_start_with(struct cluster *cluster, uint64_t seed, int disks, int diskless, int agents,
-                        const struct cluster_log *log);
-void cluster_start_bearing(struct cluster *cluster, uint64_t seed, int machines_lost, int disks, int diskless,
-                           int agents);
+void cluster_start_with_log(struct cluster *cluster, uint64_t seed, int disks, int diskless, int agents,
+                            const struct cluster_log *log);
+void cluster_start_tolerating(struct cluster *cluster, uint64_t seed, int machines_lost, int disks, int diskless,
+                              int agents);
 /* Size and settings of a cluster; a member that is 0 has the value that cluster_start() uses. */
 struct cluster_options {
     int disks, diskless, agents, machines_lost, orders_by_heartbeat;
     struct cluster_log log;
 };
-void cluster_start_as(struct cluster *cluster, uint64_t seed, const struct cluster_options *options);
-void cluster_end(struct cluster *cluster);
+void cluster_start_with_options(struct cluster *cluster, uint64_t seed, const struct cluster_options *options);
+void cluster_free(struct cluster *cluster);
 void cluster_run(struct cluster *cluster, int64_t ms);
 uint64_t cluster_random(struct cluster *cluster);
 int64_t cluster_pick(struct cluster *cluster, int64_t n);
@@ -275,26 +276,26 @@
 void host_disk_rewind(struct host *host); /* restores that copy; only while the host is down */
 void host_freeze(struct host *host, int64_t for_ms);
 void host_skew(struct host *host, int64_t by_ms);
-void host_trouble(struct host *host); /* the oracle tolerates delays for CONTACT_MS */
+void host_note_fault(struct host *host); /* the oracle tolerates delays for CONTACT_MS */
 /* Hashes of lists of voters: the one that this host's log was bootstrapped with, and the one that the seeds agreed on
  * as far as this host knows; 0: none. */
-uint64_t host_founders(const struct host *host);
-uint64_t host_agreed(const struct host *host);
+uint64_t host_bootstrap_hash(const struct host *host);
+uint64_t host_chosen_hash(const struct host *host);
 struct host *cluster_leader(struct cluster *cluster);                /* NULL: none */
 struct host *cluster_controller(struct cluster *cluster, int64_t n); /* the nth that was not replaced, NULL: none */
 struct host *cluster_any_controller(struct cluster *cluster);        /* at random, may be down */
-struct host *cluster_replace(struct host *gone);                     /* adds an empty host at another address */
+struct host *cluster_replace(struct host *removed);                  /* adds an empty host at another address */
 /* Whether the host runs, is connected to the controllers and neither had a fault within CONTACT_MS. */
 int cluster_is_reachable(const struct cluster *cluster, const struct host *host);
-void cluster_core_trouble(struct cluster *cluster);
-void cluster_tell(struct cluster *cluster, int64_t job, const char *format, ...) __attribute__((format(printf, 3, 4)));
-char *cluster_story(const struct cluster *cluster); /* violations and trace, to be freed by the caller */
+void cluster_note_controller_fault(struct cluster *cluster);
+void cluster_trace(struct cluster *cluster, int64_t job, const char *format, ...) __attribute__((format(printf, 3, 4)));
+char *cluster_trace_text(const struct cluster *cluster); /* violations and trace, to be freed by the caller */
 
 /* --- cluster_net.c ---------------------------------------------------------------------------- */
 void cluster_push(struct cluster *cluster, struct cluster_event *event, int64_t at_us);
 void cluster_deliver(struct cluster *cluster, struct cluster_event *event);
 void cluster_event_free(struct cluster_event *event);
-void cluster_at(struct cluster *cluster, int64_t in_ms, cluster_action *action, void *arg, int64_t n);
+void cluster_schedule(struct cluster *cluster, int64_t in_ms, cluster_action *action, void *arg, int64_t n);
 void cluster_calls_net(struct world_calls *calls);
 /* to NULL: the event belongs to no host */
 struct cluster_event *cluster_event_new(enum cluster_event_kind kind, struct host *to);
@@ -376,27 +377,27 @@
 /* --- cluster_callers.c -------------------------------------------------------------------------- */
 /* What a job looks like; all but SHAPE_STEPS have one step. SHAPE_RAW: for executors that do not check their capacity.
  */
-enum job_schema {
-    SCHEMA_ONE,
+enum job_shape {
+    SHAPE_SINGLE_STEP,
     SHAPE_STEPS,
-    SCHEMA_GANG,
+    SHAPE_GANG,
     SHAPE_LABEL,
     SHAPE_PREFERRED_RACK,
     SHAPE_PER_EXECUTOR_LIMIT,
     SHAPE_LONG_RUNNING,
     SHAPE_REPEATED,
-    SCHEMA_SAVES,
+    SHAPE_CHECKPOINTS,
     SHAPE_UNPLACEABLE,
     SHAPE_FAILING_TASK,
     SHAPE_RAW,
-    SCHEMA_LARGE,
+    SHAPE_LARGE,
     SHAPE_DUPLICATES,
-    SCHEMA_COUNT
+    SHAPE_COUNT
 };
-struct tracked_job *callers_new_job(struct cluster *cluster, enum job_schema shape); /* not submitted yet */
+struct tracked_job *callers_new_job(struct cluster *cluster, enum job_shape shape); /* not submitted yet */
 void callers_submit(struct cluster *cluster, struct tracked_job *job);
 void callers_load(struct cluster *cluster, int64_t per_s, int64_t for_ms);
-void callers_burst(struct cluster *cluster, int64_t jobs, enum job_schema shape);
+void callers_burst(struct cluster *cluster, int64_t jobs, enum job_shape shape);
 void callers_cancel(struct cluster *cluster, struct tracked_job *job);
 struct tracked_job *tracked_job(const struct cluster *cluster, int64_t id);
 struct tracked_task *tracked_task(const struct tracked_job *job, int64_t task); /* NULL: the job has no such task */
@@ -405,7 +406,7 @@
 void tracked_job_free(struct tracked_job *job);
 int64_t callers_unfinished(const struct cluster *cluster);
 /* Ends all faults and runs until all jobs have finished; the oracle reports those that have not within FINISH_MS. */
-void cluster_close(struct cluster *cluster);
+void cluster_finish(struct cluster *cluster);
 
 /* --- cluster_oracle.c ------------------------------------------------------------------------------- */
 /* Records a violation of one of the oracle's rules. job 0: it concerns no job. */
--- a/sim/cluster_beats.c
+++ b/sim/cluster_beats.c
@@ -65,11 +65,11 @@
 {
     struct received_orders *received = must_alloc(sizeof *received);
     int64_t left_us = sent_us + HEARTBEAT_WAIT_MS * 1000LL - cluster->now_us;
-    int64_t late = cluster->now_us < standin->late_us && cluster_pick(cluster, 2) == 0;
+    int64_t late = cluster->now_us < standin->late_until_us && cluster_pick(cluster, 2) == 0;
     *received = (struct received_orders){
         .standin = standin, .generation = standin->generation, .sent_us = sent_us, .orders = must_dup(body)};
     if (late)
-        cluster_at(cluster, cluster_pick(cluster, left_us) / 1000, apply_received_orders, received, 1);
+        cluster_schedule(cluster, cluster_pick(cluster, left_us) / 1000, apply_received_orders, received, 1);
     else
         apply_received_orders(cluster, received, 0);
 }
@@ -80,7 +80,7 @@
 {
     standin->drain_ack_us = cluster->now_us;
     standin->leaves_us = cluster->now_us + (DRAIN_MS + 500 + cluster_pick(cluster, 2000)) * 1000;
-    cluster_tell(cluster, 0, "the draining of %s is acknowledged", standin->incarnation);
+    cluster_trace(cluster, 0, "the draining of %s is acknowledged", standin->incarnation);
 }
 
 static void on_heartbeat_response(struct cluster *cluster, void *arg, int64_t tag, int status, const char *body)
@@ -150,6 +150,6 @@
                                                             .on_response = ignore_response,
                                                             .arg = standin});
     free(body);
-    cluster_tell(cluster, 0, "executor %s leaves", standin->incarnation);
+    cluster_trace(cluster, 0, "executor %s leaves", standin->incarnation);
     standin_shut_down(standin, standin->return_after_ms);
 }
--- a/sim/cluster_callers.c
+++ b/sim/cluster_callers.c
@@ -86,7 +86,7 @@
     add_dependency(last, 2);
 }
 
-static void add_single_step(struct cluster *cluster, struct tracked_job *job, enum job_schema shape)
+static void add_single_step(struct cluster *cluster, struct tracked_job *job, enum job_shape shape)
 {
     struct job_spec *spec = job->spec;
     struct step_spec *step = add_step(cluster, spec, 1 + cluster_pick(cluster, 5), 600);
@@ -96,10 +96,10 @@
         step->rack = must_printf("z%lld-0", (long long)cluster_pick(cluster, 3));
     else if (shape == SHAPE_PER_EXECUTOR_LIMIT)
         step->per_executor = 1 + cluster_pick(cluster, 2);
-    else if (shape == SCHEMA_SAVES) {
+    else if (shape == SHAPE_CHECKPOINTS) {
         step->checkpoints = 1;
         step->estimate_ms = 5000;
-    } else if (shape == SCHEMA_LARGE) {
+    } else if (shape == SHAPE_LARGE) {
         step->cpu_milli = 9000;
         step->estimate_ms = 2500;
     } else if (shape == SHAPE_LONG_RUNNING) {
@@ -119,7 +119,7 @@
         job->failing_task = task_of(0, 0, cluster_pick(cluster, step->task_count));
 }
 
-struct tracked_job *callers_new_job(struct cluster *cluster, enum job_schema shape)
+struct tracked_job *callers_new_job(struct cluster *cluster, enum job_shape shape)
 {
     static const char *const prefixes[] = {"/fast/", "/mid/", "/slow/"};
     struct tracked_job *job = must_alloc(sizeof *job);
@@ -129,13 +129,13 @@
     job->serial = cluster->n_jobs;
     job->failing_task = job->accepted_us = job->sent_us = job->cancel_ack_us = job->seen_state_us = -1;
     job->host_name = "jobs.example";
-    job->prefix = shape == SHAPE_RAW ? "/raw/" : shape == SCHEMA_LARGE ? "/slow/" : prefixes[cluster_pick(cluster, 3)];
+    job->prefix = shape == SHAPE_RAW ? "/raw/" : shape == SHAPE_LARGE ? "/slow/" : prefixes[cluster_pick(cluster, 3)];
     job->service = shape == SHAPE_RAW ? "raw" : "guarded";
     job->fail_pct = shape == SHAPE_LONG_RUNNING ? 20 : cluster_pick(cluster, 3) == 0 ? 4 : 0;
     spec->text = must_printf("text of %llx", (unsigned long long)job->id);
     if (shape == SHAPE_STEPS)
         add_shape_steps(cluster, spec);
-    else if (shape == SCHEMA_GANG) {
+    else if (shape == SHAPE_GANG) {
         struct step_spec *step = add_step(cluster, spec, 2 + cluster_pick(cluster, 3), 1500);
         step->gang = 1;
         step->same_rack = cluster_pick(cluster, 2);
@@ -150,7 +150,7 @@
     job->tracked_tasks =
         must_alloc(sizeof *job->tracked_tasks * (size_t)(job->tasks_per_repetition * job->repetitions));
     job->body = schema_to_text(&submission_without_outlet_schema, spec);
-    cluster_tell(cluster, job->id, "shape %d to %s: %s", (int)shape, job->prefix, job->body);
+    cluster_trace(cluster, job->id, "shape %d to %s: %s", (int)shape, job->prefix, job->body);
     return job;
 }
 
@@ -205,7 +205,7 @@
         cluster_oracle_on_job_not_found(cluster, job, cluster->hosts[tag]);
     json_decref(response);
     if (!is_finished(job))
-        cluster_at(cluster, 300 + cluster_pick(cluster, 700), poll_state, job, 0);
+        cluster_schedule(cluster, 300 + cluster_pick(cluster, 700), poll_state, job, 0);
 }
 
 static void poll_state(struct cluster *cluster, void *arg, int64_t n)
@@ -226,8 +226,8 @@
         if (job->accepted_us < 0) {
             job->accepted_us = cluster->now_us;
             cluster->n_accepted++;
-            cluster_tell(cluster, job->id, "job %llx accepted", (unsigned long long)job->id);
-            cluster_at(cluster, 200, poll_state, job, 0);
+            cluster_trace(cluster, job->id, "job %llx accepted", (unsigned long long)job->id);
+            cluster_schedule(cluster, 200, poll_state, job, 0);
         }
         return;
     }
@@ -237,10 +237,10 @@
             cluster_violation(cluster, job->id, "CONFIG: a job for a queue that exists gets the response %d: %.100s",
                               status, body);
     }
-    cluster_tell(cluster, job->id, "job %llx: submission %lld got response %d", (unsigned long long)job->id,
-                 (long long)job->tries, status);
+    cluster_trace(cluster, job->id, "job %llx: submission %lld got response %d", (unsigned long long)job->id,
+                  (long long)job->tries, status);
     if (job->tries < SUBMIT_TRIES_MAX)
-        cluster_at(cluster, 100 + cluster_pick(cluster, 300) * job->tries, submit, job, 0);
+        cluster_schedule(cluster, 100 + cluster_pick(cluster, 300) * job->tries, submit, job, 0);
     else if (job->refusals == job->tries)
         cluster->n_refused++;
 }
@@ -271,14 +271,14 @@
     else if (status == 410 && job->accepted_us >= 0 && job->seen_state_us < 0)
         cluster_oracle_on_job_not_found(cluster, job, cluster->hosts[tag]);
     else if (status != 410 && job->cancel_tries < 40)
-        cluster_at(cluster, 300, retry_cancel, job, 0);
+        cluster_schedule(cluster, 300, retry_cancel, job, 0);
 }
 
 void callers_cancel(struct cluster *cluster, struct tracked_job *job)
 {
     if (!job->cancel_us) {
         job->cancel_us = cluster->now_us;
-        cluster_tell(cluster, job->id, "job %llx: cancellation requested", (unsigned long long)job->id);
+        cluster_trace(cluster, job->id, "job %llx: cancellation requested", (unsigned long long)job->id);
     }
     job->cancel_tries++;
     send_request(cluster, job, "DELETE", "", 1000, on_cancel_response);
@@ -296,9 +296,9 @@
 {
     submit(cluster, job, 0);
     if (cluster_pick(cluster, 12) == 0)
-        cluster_at(cluster, 200 + cluster_pick(cluster, 3000), cancel_later, job, 0);
+        cluster_schedule(cluster, 200 + cluster_pick(cluster, 3000), cancel_later, job, 0);
     if (job->long_running)
-        cluster_at(cluster, 6000 + cluster_pick(cluster, 6000), cancel_later, job, 0);
+        cluster_schedule(cluster, 6000 + cluster_pick(cluster, 6000), cancel_later, job, 0);
 }
 
 /* --- load ---------------------------------------------------------------------- */
@@ -308,21 +308,21 @@
     (void)arg, (void)n;
     if (cluster->now_us >= cluster->load_until_us)
         return;
-    callers_submit(cluster, callers_new_job(cluster, (enum job_schema)cluster_pick(cluster, SCHEMA_COUNT)));
-    cluster_at(cluster, (cluster->load_every_us / 2 + cluster_pick(cluster, cluster->load_every_us)) / 1000, next_job,
-               NULL, 0);
+    callers_submit(cluster, callers_new_job(cluster, (enum job_shape)cluster_pick(cluster, SHAPE_COUNT)));
+    cluster_schedule(cluster, (cluster->load_every_us / 2 + cluster_pick(cluster, cluster->load_every_us)) / 1000,
+                     next_job, NULL, 0);
 }
 
 void callers_load(struct cluster *cluster, int64_t per_s, int64_t for_ms)
 {
     cluster->load_until_us = cluster->now_us + for_ms * 1000;
     cluster->load_every_us = 1000000 / per_s;
-    cluster_at(cluster, 1, next_job, NULL, 0);
+    cluster_schedule(cluster, 1, next_job, NULL, 0);
 }
 
-void callers_burst(struct cluster *cluster, int64_t jobs, enum job_schema shape)
+void callers_burst(struct cluster *cluster, int64_t jobs, enum job_shape shape)
 {
-    cluster_tell(cluster, 0, "a burst of %lld jobs", (long long)jobs);
+    cluster_trace(cluster, 0, "a burst of %lld jobs", (long long)jobs);
     for (int64_t i = 0; i < jobs; i++)
         callers_submit(cluster, callers_new_job(cluster, shape));
 }
@@ -347,9 +347,9 @@
     }
 }
 
-void cluster_close(struct cluster *cluster)
+void cluster_finish(struct cluster *cluster)
 {
-    cluster_tell(cluster, 0, "all faults end");
+    cluster_trace(cluster, 0, "all faults end");
     cluster->load_until_us = cluster->now_us;
     cluster->loss_pct = cluster->slow_link_ms = 0;
     cluster_heal(cluster);
@@ -362,9 +362,9 @@
         if (!host->standin)
             continue;
         struct standin *standin = host->standin;
-        standin->hang_us = standin->fail_us = standin->sick_us = standin->late_us = 0;
+        standin->hang_until_us = standin->fail_until_us = standin->sick_until_us = standin->late_until_us = 0;
         standin->slow_pct = 100;
-        standin->gone = 0;
+        standin->removed = 0;
         if (!standin->up)
             standin_boot(standin);
     }
@@ -393,6 +393,6 @@
         if (is_finished(cluster->jobs[i]) && cluster->now_us - cluster->jobs[i]->seen_state_us < 90000000)
             send_request(cluster, cluster->jobs[i], "GET", "", 2000, on_state_response);
     cluster_run(cluster, 2500);
-    operator_last(cluster);
+    operator_check_final(cluster);
     cluster_oracle_check_end(cluster);
 }
--- a/sim/cluster_calls.c
+++ b/sim/cluster_calls.c
@@ -66,7 +66,7 @@
     }
     if (link_reset_occurs(cluster, hop, RESET_BEFORE_RESPONSE))
         reply_at(cluster, request->call, 0, "", read_us + 1);
-    call->reset_in_response = link_reset_occurs(cluster, hop, RESET_IN_ANSWER);
+    call->reset_in_response = link_reset_occurs(cluster, hop, RESET_IN_RESPONSE);
     cluster_push(cluster, request, at_us);
 }
 
@@ -106,11 +106,11 @@
         return;
     }
     int64_t read_us = cluster_arrival(cluster, from, from), at_us = read_us;
-    request->late = cluster->now_us < standin->late_us && cluster_pick(cluster, 2) == 0;
+    request->late = cluster->now_us < standin->late_until_us && cluster_pick(cluster, 2) == 0;
     if (request->late) /* a delay of 2 to 12 s, short ones more often */
         at_us += 2000000 + cluster_pick(cluster, 1 + cluster_pick(cluster, 10000000));
-    else if (cluster->now_us < standin->hang_us)
-        at_us = standin->hang_us + cluster_pick(cluster, 200000);
+    else if (cluster->now_us < standin->hang_until_us)
+        at_us = standin->hang_until_us + cluster_pick(cluster, 200000);
     send_request(cluster, request, HOP_EXECUTOR, read_us, at_us);
 }
 
--- a/sim/cluster_executor.c
+++ b/sim/cluster_executor.c
@@ -55,7 +55,7 @@
 void standin_boot(struct standin *standin)
 {
     struct cluster *cluster = standin->host->cluster;
-    if (standin->up || standin->gone)
+    if (standin->up || standin->removed)
         return;
     standin->generation++;
     standin->up = 1;
@@ -66,12 +66,12 @@
         standin->heartbeat_seq = standin->return_after_ms = 0;
     standin->slow_pct = 100;
     standin->drain_ack_us = -1;
-    standin->hang_us = standin->fail_us = standin->sick_us = standin->late_us = 0;
+    standin->hang_until_us = standin->fail_until_us = standin->sick_until_us = standin->late_until_us = 0;
     standin->next_heartbeat_us = cluster->now_us + cluster_pick(cluster, 300000);
     snprintf(standin->incarnation, sizeof standin->incarnation, "x%lld-%lld", (long long)standin->index,
              (long long)standin->generation);
     if (standin->generation > 1)
-        cluster_tell(cluster, 0, "executor %s starts", standin->incarnation);
+        cluster_trace(cluster, 0, "executor %s starts", standin->incarnation);
     struct cluster_event *timer = must_alloc(sizeof *timer);
     timer->kind = CLUSTER_EVENT_STANDIN;
     timer->to = standin->host;
@@ -100,17 +100,17 @@
     standin->faulty_until_us = cluster->now_us;
     free_state(standin);
     if (back_ms >= 0)
-        cluster_at(cluster, back_ms, boot_again, standin, standin->generation);
+        cluster_schedule(cluster, back_ms, boot_again, standin, standin->generation);
     else
-        standin->gone = 1;
+        standin->removed = 1;
 }
 
 void standin_crash(struct standin *standin, int64_t back_ms)
 {
     if (!standin->up)
         return;
-    cluster_tell(standin->host->cluster, 0, "executor %s crashes", standin->incarnation);
-    standin->host->cluster->trouble_us = standin->host->cluster->now_us;
+    cluster_trace(standin->host->cluster, 0, "executor %s crashes", standin->incarnation);
+    standin->host->cluster->last_fault_us = standin->host->cluster->now_us;
     standin_shut_down(standin, back_ms);
 }
 
@@ -118,7 +118,7 @@
 {
     if (!standin->up || standin->draining)
         return;
-    cluster_tell(standin->host->cluster, 0, "executor %s drains", standin->incarnation);
+    cluster_trace(standin->host->cluster, 0, "executor %s drains", standin->incarnation);
     standin->draining = 1;
     standin->return_after_ms = back_ms;
     standin->leaves_us = standin->host->cluster->now_us + 10000000; /* even without an acknowledgement */
@@ -222,7 +222,7 @@
     int64_t lease_until_ms = json_int(body, "until");
     const struct standin_run *run = standin_run(standin, json_int(body, "job"), json_int(body, "task"));
     const char *why;
-    if (standin->host->cluster->now_us < standin->sick_us) {
+    if (standin->host->cluster->now_us < standin->sick_until_us) {
         reply_status(standin, call, 503, "sick");
         return;
     }
@@ -316,14 +316,15 @@
         standin_leave(standin);
         return;
     }
-    if (cluster->now_us < standin->hang_us || cluster->now_us < standin->fail_us ||
-        cluster->now_us < standin->sick_us || cluster->now_us < standin->late_us || standin->slow_pct != 100)
+    if (cluster->now_us < standin->hang_until_us || cluster->now_us < standin->fail_until_us ||
+        cluster->now_us < standin->sick_until_us || cluster->now_us < standin->late_until_us ||
+        standin->slow_pct != 100)
         standin->faulty_until_us = cluster->now_us;
     if (standin_clock_ms(standin) >= standin->lease_until_ms)
         standin_expire_lease(standin);
-    if (cluster->now_us >= standin->hang_us)
+    if (cluster->now_us >= standin->hang_until_us)
         standin_advance(standin, passed_us * 100 / standin->slow_pct);
-    if (cluster->now_us >= standin->hang_us && cluster->now_us >= standin->next_heartbeat_us)
+    if (cluster->now_us >= standin->hang_until_us && cluster->now_us >= standin->next_heartbeat_us)
         standin_heartbeat(standin);
     for (int64_t i = standin->n_polls - 1; i >= 0; i--)
         if (standin->n_ended || cluster->now_us >= standin->polls[i].deadline_us) {
--- a/sim/cluster_link.c
+++ b/sim/cluster_link.c
@@ -74,7 +74,7 @@
         return 1;
     if (hop == HOP_COUNT)
         return 0;
-    if (link_reset_occurs(cluster, hop, is_response ? RESET_IN_ANSWER : RESET_BEFORE_READ)) {
+    if (link_reset_occurs(cluster, hop, is_response ? RESET_IN_RESPONSE : RESET_BEFORE_READ)) {
         link_reset(from, to);
         return 1;
     }
@@ -82,7 +82,7 @@
     return 0;
 }
 
-void host_reset(struct host *host)
+void host_reset_connections(struct host *host)
 {
     struct cluster *cluster = host->cluster;
     for (int64_t i = 0; i < cluster->n; i++)
@@ -91,7 +91,7 @@
             link_reset(cluster->hosts[i], host);
         }
     cluster_reset_calls(cluster, host);
-    host_trouble(host);
+    host_note_fault(host);
 }
 
 /* --- stalls -------------------------------------------------------------------------- */
@@ -99,44 +99,44 @@
 void link_stall(struct host *from, struct host *to, int64_t for_ms)
 {
     from->cluster->links.stalled_us[from->index][to->index] = from->cluster->now_us + for_ms * 1000;
-    host_trouble(from);
-    host_trouble(to);
+    host_note_fault(from);
+    host_note_fault(to);
 }
 
 /* --- cuts ---------------------------------------------------------------------------- */
 
-void host_cut_as(struct host *from, struct host *to, enum link_cut how)
+void host_cut_one_way(struct host *from, struct host *to, enum link_cut how)
 {
     if (how == LINK_REFUSED)
         link_reset(from, to);
     from->cluster->cut[from->index][to->index] = (uint8_t)how;
-    host_trouble(from);
-    host_trouble(to);
+    host_note_fault(from);
+    host_note_fault(to);
 }
 
 void host_cut(struct host *a, struct host *b, int one_way)
 {
-    host_cut_as(a, b, LINK_SILENT);
+    host_cut_one_way(a, b, LINK_SILENT);
     if (!one_way)
-        host_cut_as(b, a, LINK_SILENT);
+        host_cut_one_way(b, a, LINK_SILENT);
 }
 
 void host_cut_off(struct host *host)
 {
     struct cluster *cluster = host->cluster;
-    cluster_tell(cluster, 0, "%s is cut off from all others", host->name);
+    cluster_trace(cluster, 0, "%s is cut off from all others", host->name);
     for (int64_t i = 0; i < cluster->n; i++)
         if (cluster->hosts[i] != host)
             cluster->cut[host->index][i] = cluster->cut[i][host->index] = LINK_SILENT;
-    host_trouble(host);
+    host_note_fault(host);
 }
 
 void cluster_heal(struct cluster *cluster)
 {
-    cluster_tell(cluster, 0, "all links work again");
+    cluster_trace(cluster, 0, "all links work again");
     for (int64_t i = 0; i < cluster->n; i++)
         if (cluster_is_cut(cluster, cluster->hosts[i]))
-            host_trouble(cluster->hosts[i]);
+            host_note_fault(cluster->hosts[i]);
     for (int64_t i = 0; i < cluster->n; i++)
         for (int64_t k = 0; k < cluster->n; k++)
             if (cluster->cut[i][k] == LINK_REFUSED)
--- a/sim/cluster_link.h
+++ b/sim/cluster_link.h
@@ -15,7 +15,7 @@
 enum reset_hop { HOP_OPERATOR, HOP_RELAY, HOP_VOTERS, HOP_AGENT, HOP_EXECUTOR, HOP_COUNT };
 /* When the connection of a hop is reset: before the request is read, after that but before the response is sent, or in
  * the middle of the response. */
-enum reset_point { RESET_BEFORE_READ, RESET_BEFORE_RESPONSE, RESET_IN_ANSWER, RESET_POINTS };
+enum reset_point { RESET_BEFORE_READ, RESET_BEFORE_RESPONSE, RESET_IN_RESPONSE, RESET_POINTS };
 
 /* Arrays are [from][to]. last_us: when the newest frame on the connection arrives, so that frames stay in order;
  * reconnect_us: frames are lost until then, because the connection was reset; stalled_us: no frame that is sent arrives
@@ -49,8 +49,8 @@
 
 void host_cut(struct host *a, struct host *b, int one_way);
 void host_cut_off(struct host *host);
-void host_cut_as(struct host *from, struct host *to, enum link_cut how); /* in one direction */
-void host_reset(struct host *host);                                      /* all its connections and all calls to it */
+void host_cut_one_way(struct host *from, struct host *to, enum link_cut how); /* in one direction */
+void host_reset_connections(struct host *host); /* all its connections and all calls to it */
 void cluster_heal(struct cluster *cluster);
 int cluster_is_cut(const struct cluster *cluster, const struct host *host);
 #endif
--- a/sim/cluster_net.c
+++ b/sim/cluster_net.c
@@ -36,7 +36,7 @@
     return event;
 }
 
-void cluster_at(struct cluster *cluster, int64_t in_ms, cluster_action *action, void *arg, int64_t n)
+void cluster_schedule(struct cluster *cluster, int64_t in_ms, cluster_action *action, void *arg, int64_t n)
 {
     struct cluster_event *event = cluster_event_new(CLUSTER_EVENT_ACTION, NULL);
     event->action = action;
@@ -75,8 +75,8 @@
         return;
     }
     event->frame = blob_hold(frame);
-    int64_t late_us = cluster->late_ms ? cluster_pick(cluster, cluster->late_ms * 1000) : 0;
-    int64_t at_us = cluster_arrival(cluster, from, to) + link_transfer_us(from, to, frame->bytes.len) + late_us;
+    int64_t late_until_us = cluster->max_delay_ms ? cluster_pick(cluster, cluster->max_delay_ms * 1000) : 0;
+    int64_t at_us = cluster_arrival(cluster, from, to) + link_transfer_us(from, to, frame->bytes.len) + late_until_us;
     int64_t *last_us = &cluster->links.last_us[from->index][to->index];
     if (!lossy) {
         event->from = from;
@@ -233,8 +233,8 @@
     const struct event_kind *kind = event_kind(event);
     if (kind)
         host->cluster->n_events[event]++;
-    if (kind && (host->cluster->trace > 1 || kind->level > LEVEL_DEBUG))
-        cluster_tell(host->cluster, 0, "%-8s %s: %s", host->name, kind->text, text);
+    if (kind && (host->cluster->trace_level > 1 || kind->level > LEVEL_DEBUG))
+        cluster_trace(host->cluster, 0, "%-8s %s: %s", host->name, kind->text, text);
 }
 
 struct cluster_disk *host_disk(struct world *world, int64_t *now_us);
--- a/sim/cluster_operator.c
+++ b/sim/cluster_operator.c
@@ -91,9 +91,9 @@
     if (change->acked_us)
         return;
     change->acked_us = cluster->now_us;
-    cluster_tell(cluster, 0, "configuration %lld on %lld is acknowledged", (long long)change->version,
-                 (long long)change->base);
-    cluster->judged++;
+    cluster_trace(cluster, 0, "configuration %lld on %lld is acknowledged", (long long)change->version,
+                  (long long)change->base);
+    cluster->n_checks++;
     if (!change->valid)
         cluster_violation(cluster, 0, "CONFIG: invalid configuration %lld is acknowledged", (long long)change->version);
     for (int64_t i = 0; i < cluster->n_changes; i++) {
@@ -117,7 +117,7 @@
 static void on_refused(struct cluster *cluster, struct op_change *change, const struct config_call *call, int status)
 {
     change->refusals++;
-    cluster_tell(cluster, 0, "configuration %lld is refused with %d", (long long)change->version, status);
+    cluster_trace(cluster, 0, "configuration %lld is refused with %d", (long long)change->version, status);
     for (int64_t i = 0; i < cluster->n_changes; i++)
         if (cluster->changes[i].acked_us && cluster->changes[i].acked_us < call->began_us &&
             same_change(&cluster->changes[i], change))
@@ -144,10 +144,10 @@
     struct op_change *change = &cluster->changes[(int64_t)(intptr_t)arg];
     struct config_call *call = &cluster->config_calls[tag];
     cluster_oracle_check_response(cluster, 0, status, body, NULL);
-    if (cluster->answers_lost_pct && cluster_pick(cluster, 100) < cluster->answers_lost_pct)
+    if (cluster->lost_responses_pct && cluster_pick(cluster, 100) < cluster->lost_responses_pct)
         status = 0;
     call->ended_us = status ? cluster->now_us : 0;
-    change->finished = status == 200 || is_refusal(status) || change->sends >= SENDS_MAX;
+    change->finished = status == 200 || is_refusal(status) || change->n_sends >= SENDS_MAX;
     if (status == 200) {
         call->outcome = CONFIG_TAKEN;
         on_acknowledged(cluster, change);
@@ -155,10 +155,10 @@
         call->outcome = CONFIG_REFUSED;
         on_refused(cluster, change, call, status);
         if (change->version == 1 && change->valid)
-            cluster_at(cluster, 500, send_change, arg, 0);
+            cluster_schedule(cluster, 500, send_change, arg, 0);
     } else if (!change->finished) {
-        int64_t pause_ms = 150 * change->sends < RETRY_PAUSE_MAX_MS ? 150 * change->sends : RETRY_PAUSE_MAX_MS;
-        cluster_at(cluster, pause_ms + cluster_pick(cluster, 200), send_change, arg, 0);
+        int64_t pause_ms = 150 * change->n_sends < RETRY_PAUSE_MAX_MS ? 150 * change->n_sends : RETRY_PAUSE_MAX_MS;
+        cluster_schedule(cluster, pause_ms + cluster_pick(cluster, 200), send_change, arg, 0);
     }
 }
 
@@ -166,9 +166,9 @@
 {
     struct op_change *change = &cluster->changes[(int64_t)(intptr_t)arg];
     char *header = must_printf("Base: %lld\n", (long long)change->base);
-    struct host *to = cluster->operators_use ? cluster->operators_use : cluster_any_controller(cluster);
+    struct host *to = cluster->operators_target ? cluster->operators_target : cluster_any_controller(cluster);
     (void)n;
-    change->sends++;
+    change->n_sends++;
     cluster_request(cluster, &(struct cluster_http_request){.to = to,
                                                             .entry = ENTRY_OPERATORS,
                                                             .method = change->patch ? "PATCH" : "PUT",
@@ -188,8 +188,8 @@
     if (change.valid && change.version % 2 && change.base)
         change.patch = config_patch(cluster, change.base, change.body);
     change.base_in_force = change.base <= cluster->acked_version || change.base <= cluster->read_version;
-    cluster_tell(cluster, 0, "configuration %lld on %lld is sent%s", (long long)change.version, (long long)change.base,
-                 change.valid ? "" : ", invalid");
+    cluster_trace(cluster, 0, "configuration %lld on %lld is sent%s", (long long)change.version, (long long)change.base,
+                  change.valid ? "" : ", invalid");
     *array_add(cluster->changes, cluster->n_changes) = change;
     send_change(cluster, (void *)(intptr_t)(cluster->n_changes - 1), 0);
 }
@@ -204,13 +204,13 @@
                                        .body = config_body(version, extra_queue, cluster->n_changes + 1, invalid)});
 }
 
-int64_t operator_order(struct cluster *cluster, int64_t version, int64_t base)
+int64_t operator_send(struct cluster *cluster, int64_t version, int64_t base)
 {
     new_change(cluster, version, base, 0, 0);
     return cluster->n_changes - 1;
 }
 
-void operator_first(struct cluster *cluster)
+void operator_first_config(struct cluster *cluster)
 {
     new_change(cluster, 1, 0, 0, 0);
     for (int i = 0; i < 100 && !cluster->acked_version; i++)
@@ -236,7 +236,7 @@
         new_change(cluster, next + 1, base, 0, 0);
 }
 
-int64_t operator_open(const struct cluster *cluster)
+int64_t operator_n_pending(const struct cluster *cluster)
 {
     int64_t n = 0;
     for (int64_t i = 0; i < cluster->n_changes; i++)
@@ -244,21 +244,21 @@
     return n;
 }
 
-void operator_again(struct cluster *cluster, int64_t n)
+void operator_resend(struct cluster *cluster, int64_t n)
 {
     if (!cluster->changes[n].acked_us || !cluster->changes[n].finished)
         return;
-    cluster->changes[n].finished = cluster->changes[n].sends = cluster->changes[n].refusals = 0;
+    cluster->changes[n].finished = cluster->changes[n].n_sends = cluster->changes[n].refusals = 0;
     send_change(cluster, (void *)(intptr_t)n, 0);
 }
 
-void operator_crowd(struct cluster *cluster, int64_t count)
+void operator_send_many(struct cluster *cluster, int64_t count)
 {
     int64_t base = cluster->acked_version;
     while (count-- > 0) {
         int64_t next = next_version(cluster), kind = cluster_pick(cluster, 6);
         if (kind == 0) {
-            operator_again(cluster, cluster_pick(cluster, cluster->n_changes));
+            operator_resend(cluster, cluster_pick(cluster, cluster->n_changes));
             continue;
         }
         new_change(cluster, next, base, kind == 1 ? next : 0, 0);
@@ -282,17 +282,17 @@
  * refused, nor if any was refused after its base had been in force, since a former version never comes back. */
 static int may_be_in_force(const struct cluster *cluster, int64_t version, const char *body)
 {
-    int64_t sends = 0, refusals = 0;
+    int64_t n_sends = 0, refusals = 0;
     for (int64_t i = 0; i < cluster->n_changes; i++) {
         const struct op_change *change = &cluster->changes[i];
         if (change->version != version || strcmp(change->body, body))
             continue;
         if (!change->valid || (change->refusals && change->base_in_force))
             return 0;
-        sends += change->sends;
+        n_sends += change->n_sends;
         refusals += change->refusals;
     }
-    return sends > refusals;
+    return n_sends > refusals;
 }
 
 /* Checks a reading against the versions that were acknowledged or read before its request was sent. */
@@ -310,7 +310,7 @@
     call->outcome = CONFIG_TAKEN;
     call->version = version;
     call->body = must_dup(body);
-    cluster->judged++;
+    cluster->n_checks++;
     if (version_read)
         *version_read = version;
     if (version > cluster->read_version)
@@ -377,7 +377,7 @@
     }
 }
 
-void operator_last(struct cluster *cluster)
+void operator_check_final(struct cluster *cluster)
 {
     int64_t version_read = 0;
     if (!cluster->acked_version)
--- a/sim/cluster_operator.h
+++ b/sim/cluster_operator.h
@@ -12,7 +12,7 @@
  * until it is acknowledged. body: the whole configuration that results; patch: what is sent instead, NULL: body itself.
  * extra_queue: number in the name of the queue that it adds, 0: none. */
 struct op_change {
-    int64_t version, base, valid, sends, refusals, acked_us, extra_queue, base_in_force, finished;
+    int64_t version, base, valid, n_sends, refusals, acked_us, extra_queue, base_in_force, finished;
     char *body, *patch;
 };
 enum config_outcome { CONFIG_UNKNOWN, CONFIG_TAKEN, CONFIG_REFUSED };
@@ -24,20 +24,21 @@
     char *body;
 };
 
-void operator_first(struct cluster *cluster); /* sends version 1 and runs until it is acknowledged, at most 20 s */
+void operator_first_config(
+    struct cluster *cluster); /* sends version 1 and runs until it is acknowledged, at most 20 s */
 /* Sends a change of the newest acknowledged version. race: a second change of the same version is sent at once;
  * invalid: which part of the configuration is invalid, 0: none. */
 void operator_change(struct cluster *cluster, int race, int invalid);
-int64_t operator_order(struct cluster *cluster, int64_t version, int64_t base); /* returns its index in changes */
+int64_t operator_send(struct cluster *cluster, int64_t version, int64_t base); /* returns its index in changes */
 /* Sends this many changes at once, chosen at random: based on the newest acknowledged version or on one another, with
  * the same version number and different bodies, the same change by two operators, or an acknowledged change again. */
-void operator_crowd(struct cluster *cluster, int64_t count);
-void operator_again(struct cluster *cluster, int64_t n); /* sends the nth change again if it was acknowledged */
-int64_t operator_open(const struct cluster *cluster);    /* changes without a definite result, which are retried */
-void operator_read(struct cluster *cluster);             /* from any controller */
+void operator_send_many(struct cluster *cluster, int64_t count);
+void operator_resend(struct cluster *cluster, int64_t n);  /* sends the nth change again if it was acknowledged */
+int64_t operator_n_pending(const struct cluster *cluster); /* changes without a definite result, which are retried */
+void operator_read(struct cluster *cluster);               /* from any controller */
 void operator_read_from(struct cluster *cluster, struct host *from);
 /* Reads the configuration until a controller responds, and checks that its extra queue is there and others are not. */
-void operator_last(struct cluster *cluster);
+void operator_check_final(struct cluster *cluster);
 const char *operator_body(const struct cluster *cluster, int64_t n); /* the whole configuration of the nth change */
 void operator_free(struct cluster *cluster);
 #endif
--- a/sim/cluster_oracle.c
+++ b/sim/cluster_oracle.c
@@ -27,10 +27,11 @@
     va_start(args, format);
     vsnprintf(text, sizeof text, format, args);
     va_end(args);
-    *array_add(cluster->breaches, cluster->n_breaches) = must_printf("%.3f %s", (double)cluster->now_us / 1e6, text);
-    if (cluster->n_breaches == 1 || !cluster->violation_job)
+    *array_add(cluster->violations, cluster->n_violations) =
+        must_printf("%.3f %s", (double)cluster->now_us / 1e6, text);
+    if (cluster->n_violations == 1 || !cluster->violation_job)
         cluster->violation_job = job;
-    cluster_tell(cluster, job, "BREACH %s", text);
+    cluster_trace(cluster, job, "BREACH %s", text);
 }
 
 /* --- a task's history ------------------------------------------------------------ */
@@ -73,7 +74,7 @@
     const struct step_spec *step = &job->spec->steps[task_step(task)];
     struct tracked_task *tracked = tracked_task(job, task);
     int64_t from = step->gang ? 0 : task_index(task), to = step->gang ? step->task_count : from + 1;
-    cluster->judged++;
+    cluster->n_checks++;
     if (step->duplicates || step->long_running)
         return;
     for (int64_t i = 0; i < tracked->n_starts; i++) {
@@ -229,8 +230,8 @@
     struct tracked_task *tracked = tracked_task(run->job, run->task);
     cluster->n_starts++;
     run->job->starts++;
-    cluster_tell(cluster, run->job->id, "%s starts %llx attempt %lld %s%s", standin->incarnation, (ull)run->task,
-                 (long long)run->attempt, checkpoint, late ? " (carried out late)" : "");
+    cluster_trace(cluster, run->job->id, "%s starts %llx attempt %lld %s%s", standin->incarnation, (ull)run->task,
+                  (long long)run->attempt, checkpoint, late ? " (carried out late)" : "");
     *array_add(tracked->starts, tracked->n_starts) =
         (struct seen_start){.at_us = cluster->now_us, .attempt = run->attempt, .executor = standin->index};
     check_running_once(standin, run);
@@ -247,15 +248,15 @@
     struct cluster *cluster = standin->host->cluster;
     struct tracked_task *tracked = tracked_task(run->job, run->task);
     cluster->n_ends[how]++;
-    cluster_tell(cluster, run->job->id, "%s ends %llx attempt %lld as %s", standin->incarnation, (ull)run->task,
-                 (long long)run->attempt, standin_end_name(how));
+    cluster_trace(cluster, run->job->id, "%s ends %llx attempt %lld as %s", standin->incarnation, (ull)run->task,
+                  (long long)run->attempt, standin_end_name(how));
     *array_add(tracked->ends, tracked->n_ends) = (struct seen_end){.at_us = cluster->now_us,
                                                                    .attempt = run->attempt,
                                                                    .executor = standin->index,
                                                                    .generation = standin->generation,
                                                                    .seq = seq,
                                                                    .how = how};
-    if (how == RUN_GANG_TIMEOUT && cluster->calm && run->job->cancel_us == 0)
+    if (how == RUN_GANG_TIMEOUT && cluster->fault_free && run->job->cancel_us == 0)
         cluster_violation(cluster, run->job->id, "GANG: %s ends a task because its gang is not complete",
                           standin->incarnation);
 }
@@ -352,17 +353,17 @@
     for (int64_t i = 1; i < COUNT_OF(states); i++)
         if (!strcmp(state, states[i]))
             seen_state = i;
-    cluster->judged++;
+    cluster->n_checks++;
     if (job->seen_state >= 3 && seen_state != job->seen_state)
         cluster_violation(cluster, job->id, "LOST: job %llx was shown as %s and is now %s by %s", (ull)job->id,
                           states[job->seen_state], state, controller->name);
     if (seen_state == job->seen_state)
         return;
-    cluster_tell(cluster, job->id, "job %llx is shown as %s by %s", (ull)job->id, state, controller->name);
+    cluster_trace(cluster, job->id, "job %llx is shown as %s by %s", (ull)job->id, state, controller->name);
     job->seen_state = seen_state;
     job->seen_state_us = cluster->now_us;
     if (seen_state == 3) {
-        cluster->n_shown_done++;
+        cluster->n_jobs_seen_done++;
         if (!all_done(job))
             cluster_violation(cluster, job->id, "MIXED: job %llx is shown as done before all its tasks are done",
                               (ull)job->id);
@@ -390,7 +391,7 @@
     for (int64_t k = 0; (standin = cluster_standin(cluster, k)); k++)
         for (int64_t i = 0; standin->up && i < standin->n_runs; i++)
             if (standin->runs[i].job == job && cluster_is_reachable(cluster, standin->host) &&
-                cluster->now_us - cluster->trouble_us > (CANCEL_MS + STOP_TIMEOUT_MS + CONTACT_MS) * 1000LL &&
+                cluster->now_us - cluster->last_fault_us > (CANCEL_MS + STOP_TIMEOUT_MS + CONTACT_MS) * 1000LL &&
                 cluster->now_us - standin->faulty_until_us > CONTACT_MS * 1000 + HOLD_MAX_MS * 1000)
                 cluster_violation(cluster, job->id,
                                   "UNASKED: task %llx of job %llx still runs on %s long after its cancellation",
@@ -402,8 +403,8 @@
     if (job->cancel_ack_us >= 0)
         return;
     job->cancel_ack_us = cluster->now_us;
-    cluster_tell(cluster, job->id, "the cancellation of job %llx is acknowledged", (ull)job->id);
-    cluster_at(cluster, CANCEL_MS + STOP_TIMEOUT_MS, check_cancelled_stopped, job, 0);
+    cluster_trace(cluster, job->id, "the cancellation of job %llx is acknowledged", (ull)job->id);
+    cluster_schedule(cluster, CANCEL_MS + STOP_TIMEOUT_MS, check_cancelled_stopped, job, 0);
 }
 
 void cluster_oracle_check_end(struct cluster *cluster)
--- a/sim/cluster_run.c
+++ b/sim/cluster_run.c
@@ -11,9 +11,9 @@
     cluster->orders_by_heartbeat = options->orders_by_heartbeat;
     cluster->log = options->log;
     cluster->state = hash_mix(seed, 0xc1057e);
-    cluster->calm = 1;
-    cluster->last_controller_fault_us = cluster->trouble_us = -1000LL * CONTACT_MS;
-    cluster->trace = getenv("SAGEHITCH_TRACE") ? (int)text_to_int64(getenv("SAGEHITCH_TRACE")) : 0;
+    cluster->fault_free = 1;
+    cluster->last_controller_fault_us = cluster->last_fault_us = -1000LL * CONTACT_MS;
+    cluster->trace_level = getenv("SAGEHITCH_TRACE") ? (int)text_to_int64(getenv("SAGEHITCH_TRACE")) : 0;
 }
 
 static void add_hosts(struct cluster *cluster, int disks, int diskless, int agents)
@@ -35,7 +35,7 @@
     }
 }
 
-void cluster_start_as(struct cluster *cluster, uint64_t seed, const struct cluster_options *options)
+void cluster_start_with_options(struct cluster *cluster, uint64_t seed, const struct cluster_options *options)
 {
     begin(cluster, seed, options);
     add_hosts(cluster, options->disks, options->diskless, options->agents);
@@ -43,22 +43,24 @@
 
 void cluster_start(struct cluster *cluster, uint64_t seed, int disks, int diskless, int agents)
 {
-    cluster_start_as(cluster, seed, &(struct cluster_options){.disks = disks, .diskless = diskless, .agents = agents});
+    cluster_start_with_options(cluster, seed,
+                               &(struct cluster_options){.disks = disks, .diskless = diskless, .agents = agents});
 }
 
-void cluster_start_with(struct cluster *cluster, uint64_t seed, int disks, int diskless, int agents,
-                        const struct cluster_log *log)
+void cluster_start_with_log(struct cluster *cluster, uint64_t seed, int disks, int diskless, int agents,
+                            const struct cluster_log *log)
 {
-    cluster_start_as(cluster, seed,
-                     &(struct cluster_options){.disks = disks, .diskless = diskless, .agents = agents, .log = *log});
+    cluster_start_with_options(
+        cluster, seed, &(struct cluster_options){.disks = disks, .diskless = diskless, .agents = agents, .log = *log});
 }
 
-void cluster_start_bearing(struct cluster *cluster, uint64_t seed, int machines_lost, int disks, int diskless,
-                           int agents)
+void cluster_start_tolerating(struct cluster *cluster, uint64_t seed, int machines_lost, int disks, int diskless,
+                              int agents)
 {
-    cluster_start_as(cluster, seed,
-                     &(struct cluster_options){
-                         .disks = disks, .diskless = diskless, .agents = agents, .machines_lost = machines_lost});
+    cluster_start_with_options(
+        cluster, seed,
+        &(struct cluster_options){
+            .disks = disks, .diskless = diskless, .agents = agents, .machines_lost = machines_lost});
 }
 
 void cluster_run(struct cluster *cluster, int64_t ms)
@@ -74,7 +76,7 @@
 
 static void free_event(struct timed_event *event) { cluster_event_free((struct cluster_event *)event); }
 
-void cluster_end(struct cluster *cluster)
+void cluster_free(struct cluster *cluster)
 {
     for (int64_t i = 0; i < cluster->n; i++) /* a core may still respond to calls while it is freed */
         host_end(cluster->hosts[i]);
@@ -93,10 +95,10 @@
         tracked_job_free(cluster->jobs[i]);
     free(cluster->jobs);
     operator_free(cluster);
-    for (int64_t i = 0; i < cluster->n_story; i++)
-        free(cluster->story[i].text);
-    free(cluster->story);
-    for (int64_t i = 0; i < cluster->n_breaches; i++)
-        free(cluster->breaches[i]);
-    free(cluster->breaches);
+    for (int64_t i = 0; i < cluster->n_trace; i++)
+        free(cluster->trace[i].text);
+    free(cluster->trace);
+    for (int64_t i = 0; i < cluster->n_violations; i++)
+        free(cluster->violations[i]);
+    free(cluster->violations);
 }
--- a/sim/cluster_runs.c
+++ b/sim/cluster_runs.c
@@ -120,7 +120,7 @@
     run->checkpoint_ms = checkpoint_ms(order->checkpoint);
     run->done_us = run->checkpoint_ms * 1000;
     run->restore_us = *order->checkpoint ? RESTORE_MS * 1000 : 0;
-    if (cluster->now_us < standin->fail_us)
+    if (cluster->now_us < standin->fail_until_us)
         run->fails_at_us = run->done_us;
     if (step->gang)
         tracked_gang(job, run->repetition, run->step, order->attempt);
@@ -167,8 +167,8 @@
 void standin_expire_lease(struct standin *standin)
 {
     if (standin->n_runs)
-        cluster_tell(standin->host->cluster, 0, "the lease of %s expires with %lld runs", standin->incarnation,
-                     (long long)standin->n_runs);
+        cluster_trace(standin->host->cluster, 0, "the lease of %s expires with %lld runs", standin->incarnation,
+                      (long long)standin->n_runs);
     cluster_oracle_on_lease_expired(standin);
     while (standin->n_runs)
         standin_finish(standin, &standin->runs[0], RUN_LEASE_EXPIRED);
--- a/sim/cluster_still.c
+++ b/sim/cluster_still.c
@@ -63,13 +63,13 @@
         struct tracked_job *job = cluster->jobs[i];
         const struct step_spec *step = NULL;
         int pending = job->accepted_us >= 0 && job->seen_state < 3 && !job->cancel_us && !job->unplaceable;
-        if (pending && cluster->now_us - cluster->trouble_us > FAULT_SETTLE_MS * 1000LL && !is_running(cluster, job))
+        if (pending && cluster->now_us - cluster->last_fault_us > FAULT_SETTLE_MS * 1000LL && !is_running(cluster, job))
             step = ready_step(cluster, job);
         if (!step || !has_ample_capacity(cluster, job, step)) {
             job->no_progress_since_us = 0;
             continue;
         }
-        cluster->judged++;
+        cluster->n_checks++;
         if (!job->no_progress_since_us)
             job->no_progress_since_us = cluster->now_us;
         if (cluster->now_us - job->no_progress_since_us > NO_PROGRESS_MS * 1000LL && !job->no_progress_reported) {
--- a/tests/sim/catch_up_test.cc
+++ b/tests/sim/catch_up_test.cc
@@ -27,18 +27,18 @@
     std::vector<int64_t> copied_at = std::vector<int64_t>(CLUSTER_HOSTS);
     explicit Site(uint64_t seed, const struct cluster_log &log = OFTEN, int agents = 8)
     {
-        cluster_start_with(&c, seed, 3, 0, agents, &log);
+        cluster_start_with_log(&c, seed, 3, 0, agents, &log);
         cluster_run(&c, 1000);
-        operator_first(&c);
+        operator_first_config(&c);
         cluster_run(&c, 2000);
         callers_load(&c, 2, 1000000);
     }
     ~Site()
     {
-        EXPECT_EQ(c.n_breaches, 0) << story();
-        cluster_end(&c);
+        EXPECT_EQ(c.n_violations, 0) << trace();
+        cluster_free(&c);
     }
-    std::string story() { return story_of(&c); }
+    std::string trace() { return trace_of(&c); }
     host *core(int64_t n) { return cluster_controller(&c, n); }
     static struct log *log_of(host *h) { return h->up && h->controller ? &h->controller->log : nullptr; }
     host *leader()
@@ -95,7 +95,7 @@
     }
     void down(host *h, enum DiskKind disk)
     {
-        c.calm = 0;
+        c.fault_free = 0;
         host_kill(h, 1);
         if (disk == DISK_EMPTY)
             host_wipe(h);
@@ -110,7 +110,7 @@
     void close()
     {
         c.load_until_us = c.now_us;
-        cluster_close(&c);
+        cluster_finish(&c);
     }
 };
 
@@ -130,7 +130,7 @@
             s.changes(away_changes);
             host_boot(h, 0);
             int64_t took_ms = s.caught_up(h, most_ms);
-            EXPECT_GE(took_ms, 0) << h->name << " never caught up\n" << s.story();
+            EXPECT_GE(took_ms, 0) << h->name << " never caught up\n" << s.trace();
             operator_read(&s.c);
             cluster_run(&s.c, 1500);
         }
@@ -166,8 +166,8 @@
             host_boot(h, 0);
             host *lead = s.leader();
             int64_t term = s.log_of(lead)->term;
-            EXPECT_GE(s.caught_up(h, 30000), 0) << "never caught up\n" << s.story();
-            EXPECT_EQ(s.log_of(s.leader())->term, term) << "an election because of the slow link\n" << s.story();
+            EXPECT_GE(s.caught_up(h, 30000), 0) << "never caught up\n" << s.trace();
+            EXPECT_EQ(s.log_of(s.leader())->term, term) << "an election because of the slow link\n" << s.trace();
             operator_read(&s.c);
             cluster_run(&s.c, 2000);
             h->link_kbit_s = 0;
@@ -232,12 +232,12 @@
         for (int64_t ms = 0; ms < 30000; ms += 20) {
             cluster_run(&s.c, 20);
             ASSERT_EQ(s.log_of(lead), log);
-            ASSERT_EQ(log->role, LOG_LEADER) << s.story();
+            ASSERT_EQ(log->role, LOG_LEADER) << s.trace();
             asked += far->role == LOG_PRE_CANDIDATE;
             behind_ms = far->applied < index ? ms : behind_ms;
             others_ms = log->commit < index ? ms : others_ms;
         }
-        EXPECT_EQ(log->term, term) << "an election because of a slow link\n" << s.story();
+        EXPECT_EQ(log->term, term) << "an election because of a slow link\n" << s.trace();
         EXPECT_GT(asked, 0) << "its heartbeats did not wait";
         EXPECT_LT(others_ms, 1000) << "the others waited for it";
         EXPECT_LT(behind_ms, 20000) << s.told(lead) << s.told(slow);
--- a/tests/sim/cluster_boot_test.cc
+++ b/tests/sim/cluster_boot_test.cc
@@ -30,6 +30,6 @@
             EXPECT_EQ(h->base.calls->wall_ms(&h->base), wall_ms);
             EXPECT_NE(boot(), former) << h->name << ": two starts have one name";
         }
-        cluster_end(&c);
+        cluster_free(&c);
     }
 }
--- a/tests/sim/cluster_bootstrap_test.cc
+++ b/tests/sim/cluster_bootstrap_test.cc
@@ -33,7 +33,7 @@
         for (int64_t i = 0; i < c.n; i++)
             host_boot(c.hosts[i], 1);
     }
-    ~FirstStart() { cluster_end(&c); }
+    ~FirstStart() { cluster_free(&c); }
     // seeds by address, as they take their turns
     host *seed(int64_t rank)
     {
@@ -61,7 +61,7 @@
         }
         return cluster_leader(&c) ? most_ms : -1;
     }
-    std::string story() { return story_of(&c); }
+    std::string trace() { return trace_of(&c); }
 
   private:
     uint64_t first_ = 0;
@@ -71,15 +71,15 @@
         if (list && !first_)
             first_ = list;
         if (list) {
-            ASSERT_EQ(first_, list) << "another list is " << what << " at " << h->name << "\n" << story();
+            ASSERT_EQ(first_, list) << "another list is " << what << " at " << h->name << "\n" << trace();
         }
     }
     // whoever founded a log founded the same, and the seeds agreed on nothing else
     void one_log()
     {
         for (int64_t i = 0; i < c.n; i++) {
-            same(host_founders(c.hosts[i]), "founded", c.hosts[i]);
-            same(host_agreed(c.hosts[i]), "agreed on", c.hosts[i]);
+            same(host_bootstrap_hash(c.hosts[i]), "founded", c.hosts[i]);
+            same(host_chosen_hash(c.hosts[i]), "agreed on", c.hosts[i]);
         }
     }
 };
@@ -104,10 +104,10 @@
         s.run(500);
         host_boot(h, what == KILLED_TRUE);
     }
-    ASSERT_GE(s.ready(READY_MS), 0) << trouble_names[what] << " at " << at_ms << " ms\n" << s.story();
+    ASSERT_GE(s.ready(READY_MS), 0) << trouble_names[what] << " at " << at_ms << " ms\n" << s.trace();
     cluster_heal(&s.c);
     s.run(10000); // who comes late must not found another
-    EXPECT_TRUE(cluster_leader(&s.c)) << s.story();
+    EXPECT_TRUE(cluster_leader(&s.c)) << s.trace();
 }
 
 void each_step(int rank, enum Trouble what, int disks, int diskless = 0)
@@ -129,7 +129,7 @@
             for (int n_seeds : {1, 2, 3}) {
                 FirstStart s(seed, disks, n_seeds);
                 int64_t ms = s.ready(READY_MS);
-                ASSERT_GE(ms, 0) << disks << " disks, " << n_seeds << " seeds\n" << s.story();
+                ASSERT_GE(ms, 0) << disks << " disks, " << n_seeds << " seeds\n" << s.trace();
                 worst_ms = std::max(worst_ms, ms);
                 sum_ms += ms;
                 n++;
@@ -157,10 +157,10 @@
         host *h = s.seed(0);
         host_kill(h, 0);
         host_wipe(h);
-        ASSERT_GE(s.ready(READY_MS), 0) << s.story();
+        ASSERT_GE(s.ready(READY_MS), 0) << s.trace();
         host_boot(h, 1);
         s.run(10000);
-        EXPECT_TRUE(cluster_leader(&s.c)) << s.story();
+        EXPECT_TRUE(cluster_leader(&s.c)) << s.trace();
     }
 }
 
@@ -176,7 +176,7 @@
             s.run(500);
             for (int64_t i = 0; i < s.c.n; i++)
                 host_boot(s.c.hosts[i], 0);
-            ASSERT_GE(s.ready(READY_MS), 0) << s.story();
+            ASSERT_GE(s.ready(READY_MS), 0) << s.trace();
         }
 }
 
@@ -203,7 +203,7 @@
         cut(1);
         s.run(6000);
         cluster_heal(&s.c);
-        ASSERT_GE(s.ready(READY_MS), 0) << s.story();
+        ASSERT_GE(s.ready(READY_MS), 0) << s.trace();
         s.run(8000);
     }
 }
@@ -212,7 +212,7 @@
 static void compete(FirstStart &s)
 {
     int64_t pause_ms = cluster_pick(&s.c, 2) ? 900 : 200;
-    s.c.late_ms = cluster_pick(&s.c, 3) ? 10 + cluster_pick(&s.c, 1500) : 0;
+    s.c.max_delay_ms = cluster_pick(&s.c, 3) ? 10 + cluster_pick(&s.c, 1500) : 0;
     s.c.reset_pct = cluster_pick(&s.c, 2) ? cluster_pick(&s.c, 60) : 0;
     s.run(cluster_pick(&s.c, 600));
     for (int i = 0; i < 24; i++) {
@@ -236,7 +236,7 @@
         }
         s.run(20 + cluster_pick(&s.c, pause_ms));
     }
-    s.c.late_ms = s.c.reset_pct = 0;
+    s.c.max_delay_ms = s.c.reset_pct = 0;
     cluster_heal(&s.c);
 }
 
@@ -246,7 +246,7 @@
         SCOPED_TRACE("seed " + std::to_string(seed));
         FirstStart s(seed, 7);
         compete(s);
-        ASSERT_GE(s.ready(READY_MS), 0) << s.story();
+        ASSERT_GE(s.ready(READY_MS), 0) << s.trace();
         s.run(4000);
         if (HasFatalFailure())
             return;
@@ -266,16 +266,16 @@
     }
     bool agreed(host *h)
     {
-        for (int i = 0; i < 3000 && !host_agreed(h); i++)
+        for (int i = 0; i < 3000 && !host_chosen_hash(h); i++)
             run(20);
-        return host_agreed(h) != 0;
+        return host_chosen_hash(h) != 0;
     }
 };
 
 static void then_ready(Unheard &s)
 {
     cluster_heal(&s.c);
-    ASSERT_GE(s.ready(READY_MS), 0) << s.story();
+    ASSERT_GE(s.ready(READY_MS), 0) << s.trace();
     s.run(4000);
 }
 
@@ -285,10 +285,10 @@
     for (uint64_t seed : seeds(LAST_SEED)) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         Unheard s(seed);
-        ASSERT_TRUE(s.agreed(s.seed(0))) << s.story();
+        ASSERT_TRUE(s.agreed(s.seed(0))) << s.trace();
         host_kill(s.seed(0), 0);
         host_kill(s.c.hosts[cluster_pick(&s.c, 3)], 0);
-        ASSERT_TRUE(s.agreed(s.seed(1))) << s.story();
+        ASSERT_TRUE(s.agreed(s.seed(1))) << s.trace();
         then_ready(s);
     }
 }
@@ -299,14 +299,14 @@
     for (uint64_t seed : seeds(LAST_SEED)) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         Unheard s(seed);
-        ASSERT_TRUE(s.agreed(s.seed(0))) << s.story();
+        ASSERT_TRUE(s.agreed(s.seed(0))) << s.trace();
         for (int64_t rank = 0; rank < 3; rank++)
             host_kill(s.seed(rank), 1);
         host_kill(s.c.hosts[cluster_pick(&s.c, 3)], 0);
         s.run(500);
         host_boot(s.seed(1), (int)cluster_pick(&s.c, 2));
         host_boot(s.seed(2), (int)cluster_pick(&s.c, 2));
-        ASSERT_TRUE(s.agreed(s.seed(1))) << s.story();
+        ASSERT_TRUE(s.agreed(s.seed(1))) << s.trace();
         then_ready(s);
     }
 }
@@ -323,7 +323,7 @@
         s.run(400);
         host_freeze(s.seed(0), 4000);
         host_boot(late, 1);
-        ASSERT_TRUE(s.agreed(s.seed(1))) << s.story();
+        ASSERT_TRUE(s.agreed(s.seed(1))) << s.trace();
         s.run(5000);
         then_ready(s);
     }
--- a/tests/sim/cluster_config_test.cc
+++ b/tests/sim/cluster_config_test.cc
@@ -5,22 +5,22 @@
 namespace
 {
 
-// As over(), and then the whole history of the configuration.
+// As for_each_seed(), and then the whole history of the configuration.
 template <class Body> void operators(Body body, int fixed = 3)
 {
-    over(
+    for_each_seed(
         [&](Cluster &s) {
             callers_load(&s.c, 3, 20000);
             body(s);
-            operators_end(s);
+            operators_finish(s);
         },
         fixed);
 }
 
 void cut_off_20_s(Cluster &s, host *h, int way)
 {
-    s.c.calm = 0;
-    operate(s, 2000, 3);
+    s.c.fault_free = 0;
+    operators_run(s, 2000, 3);
     for (int64_t i = 0; i < s.c.n; i++) {
         if (s.c.hosts[i] == h)
             continue;
@@ -29,9 +29,9 @@
         if (way != 2)
             host_cut(s.c.hosts[i], h, 1);
     }
-    operate(s, 20000, 3);
+    operators_run(s, 20000, 3);
     cluster_heal(&s.c);
-    operate(s, 4000, 3);
+    operators_run(s, 4000, 3);
 }
 
 } // namespace
@@ -61,11 +61,11 @@
 TEST(Cluster, OperatorsWhoseAnswersAreLost)
 {
     operators([](Cluster &s) {
-        s.c.answers_lost_pct = 90;
-        operate(s, 20000, 8);
+        s.c.lost_responses_pct = 90;
+        operators_run(s, 20000, 8);
         int64_t again = 0;
         for (int64_t i = 0; i < s.c.n_changes; i++)
-            again += s.c.changes[i].sends > 1;
+            again += s.c.changes[i].n_sends > 1;
         EXPECT_GT(again, 10);
     });
 }
@@ -73,13 +73,13 @@
 TEST(Cluster, OperatorsWhoseAnswersAreLostWhileLeadersDie)
 {
     operators([](Cluster &s) {
-        s.c.answers_lost_pct = 60;
-        s.c.calm = 0;
+        s.c.lost_responses_pct = 60;
+        s.c.fault_free = 0;
         for (int i = 0; i < 4; i++) {
-            operate(s, 2000, 8);
+            operators_run(s, 2000, 8);
             host *h = s.leader();
             host_kill(h, i % 2);
-            operate(s, 2500, 8);
+            operators_run(s, 2500, 8);
             host_boot(h, 0);
         }
     });
@@ -89,9 +89,9 @@
 {
     operators(
         [](Cluster &s) {
-            s.c.answers_lost_pct = 20;
+            s.c.lost_responses_pct = 20;
             for (int i = 0; i < 400; i++) {
-                operator_crowd(&s.c, 1 + cluster_pick(&s.c, 2));
+                operator_send_many(&s.c, 1 + cluster_pick(&s.c, 2));
                 if (i % 10 == 0)
                     operator_read(&s.c);
                 s.run(60);
--- a/tests/sim/cluster_cuts_test.cc
+++ b/tests/sim/cluster_cuts_test.cc
@@ -25,12 +25,12 @@
             Cluster s(seed, {voters, 1, 8, voters / 2, std::get<1>(GetParam()) == BY_BEAT, {}});
             s.seed_ = seed;
             callers_load(&s.c, 3, CUT_MS + 6000);
-            operate(s, 2000, 8);
-            s.c.calm = 0;
-            s.c.answers_lost_pct = 60;
+            operators_run(s, 2000, 8);
+            s.c.fault_free = 0;
+            s.c.lost_responses_pct = 60;
             body(s);
-            operate(s, 4000, 8);
-            operators_end(s);
+            operators_run(s, 4000, 8);
+            operators_finish(s);
             s.close();
         }
     }
@@ -56,7 +56,7 @@
 int64_t newest_served_ms(Cluster &s, const char *kind, host *h)
 {
     int64_t first = s.c.n_config_calls, newest = s.c.acked_version, began_us = s.c.now_us, took_ms = INT64_MAX;
-    s.c.answers_lost_pct = 0;
+    s.c.lost_responses_pct = 0;
     while (took_ms == INT64_MAX && s.c.now_us - began_us < 10 * 1000000) {
         operator_read_from(&s.c, h);
         s.run(10);
@@ -74,15 +74,15 @@
 void cut(host *h, host *other, int way)
 {
     if (way != 1)
-        host_cut_as(h, other, LINK_REFUSED);
+        host_cut_one_way(h, other, LINK_REFUSED);
     if (way != 2)
-        host_cut_as(other, h, LINK_REFUSED);
+        host_cut_one_way(other, h, LINK_REFUSED);
 }
 
 void cut_from_seeds(Cluster &s, host *h)
 {
     int refused = (int)cluster_pick(&s.c, 2);
-    cluster_tell(&s.c, 0, "%s reaches no seed, %s", h->name, refused ? "refused" : "silent");
+    cluster_trace(&s.c, 0, "%s reaches no seed, %s", h->name, refused ? "refused" : "silent");
     for (int i = 0; i < 3; i++) {
         if (s.core(i) == h)
             continue;
@@ -103,9 +103,9 @@
 
 void reset_again(struct cluster *c, void *arg, int64_t until_ms)
 {
-    host_reset((host *)arg);
+    host_reset_connections((host *)arg);
     if (c->now_us < until_ms * 1000)
-        cluster_at(c, 30 + cluster_pick(c, RESET_PAUSE_MS - 30), reset_again, arg, until_ms);
+        cluster_schedule(c, 30 + cluster_pick(c, RESET_PAUSE_MS - 30), reset_again, arg, until_ms);
 }
 
 std::string name_of(const ::testing::TestParamInfo<std::tuple<Role, Commands>> &info)
@@ -130,13 +130,13 @@
     play(3, [&](Cluster &s) {
         host *h = pick(s, 3);
         int way = (int)cluster_pick(&s.c, 3);
-        cluster_tell(&s.c, 0, "connections of %s are refused, way %d", h->name, way);
+        cluster_trace(&s.c, 0, "connections of %s are refused, way %d", h->name, way);
         for (int64_t i = 0; i < s.c.n; i++)
             if (s.c.hosts[i] != h)
                 cut(h, s.c.hosts[i], way);
-        operate(s, CUT_MS, 8);
+        operators_run(s, CUT_MS, 8);
         cluster_heal(&s.c);
-        EXPECT_LE(newest_served_ms(s, "refusals", h), SERVED_MS) << s.story();
+        EXPECT_LE(newest_served_ms(s, "refusals", h), SERVED_MS) << s.trace();
     });
 }
 
@@ -146,7 +146,7 @@
     play(3, [&](Cluster &s) {
         host *h = pick(s, 3);
         int way = (int)cluster_pick(&s.c, 3);
-        cluster_tell(&s.c, 0, "connections of %s stand still, way %d", h->name, way);
+        cluster_trace(&s.c, 0, "connections of %s stand still, way %d", h->name, way);
         s.c.loss_pct = cluster_pick(&s.c, 2) * 100;
         for (int64_t i = 0; i < s.c.n; i++) {
             if (s.c.hosts[i] == h)
@@ -156,9 +156,9 @@
             if (way != 2)
                 link_stall(s.c.hosts[i], h, CUT_MS);
         }
-        operate(s, CUT_MS, 8);
+        operators_run(s, CUT_MS, 8);
         s.c.loss_pct = 0;
-        EXPECT_LE(newest_served_ms(s, "a stall", h), SERVED_MS) << s.story();
+        EXPECT_LE(newest_served_ms(s, "a stall", h), SERVED_MS) << s.trace();
     });
 }
 
@@ -169,9 +169,9 @@
         play(voters, [&](Cluster &s) {
             host *h = pick(s, voters);
             cut_from_seeds(s, h);
-            operate(s, CUT_MS, 8);
+            operators_run(s, CUT_MS, 8);
             cluster_heal(&s.c);
-            EXPECT_LE(newest_served_ms(s, "a cut from the seeds", h), SERVED_MS) << s.story();
+            EXPECT_LE(newest_served_ms(s, "a cut from the seeds", h), SERVED_MS) << s.trace();
         });
 }
 
@@ -182,11 +182,11 @@
         host *h = pick(s, 5);
         while (s.leader()->index < 3)
             kill_and_boot(s, s.leader());
-        operate(s, 2000, 8);
+        operators_run(s, 2000, 8);
         cut_from_seeds(s, h);
         host_restart(h);
-        EXPECT_LE(newest_served_ms(s, "a start out of the seeds' reach", h), FOUND_MS) << s.story();
-        operate(s, CUT_MS / 2, 8);
+        EXPECT_LE(newest_served_ms(s, "a start out of the seeds' reach", h), FOUND_MS) << s.trace();
+        operators_run(s, CUT_MS / 2, 8);
         cluster_heal(&s.c);
     });
 }
@@ -196,8 +196,8 @@
     play(3, [&](Cluster &s) {
         host *h = pick(s, 3);
         reset_again(&s.c, h, s.c.now_us / 1000 + CUT_MS - RESET_PAUSE_MS);
-        operate(s, CUT_MS, 8);
-        host_reset(h);
-        EXPECT_LE(newest_served_ms(s, "resets", h), SERVED_MS) << s.story();
+        operators_run(s, CUT_MS, 8);
+        host_reset_connections(h);
+        EXPECT_LE(newest_served_ms(s, "resets", h), SERVED_MS) << s.trace();
     });
 }
--- a/tests/sim/cluster_judge.h
+++ b/tests/sim/cluster_judge.h
@@ -29,11 +29,11 @@
         }
         cluster_run(&c, 5000);
     }
-    void TearDown() override { cluster_end(&c); }
+    void TearDown() override { cluster_free(&c); }
 
     static int no_response(struct cluster *, const char *, const char *, const char *, char **) { return 0; }
 
-    Job *accepted_job(enum job_schema shape)
+    Job *accepted_job(enum job_shape shape)
     {
         Job *job = callers_new_job(&c, shape);
         job->fail_pct = 0;
@@ -94,15 +94,15 @@
     }
     bool has_violation(const char *rule)
     {
-        for (int64_t i = 0; i < c.n_breaches; i++)
-            if (strstr(c.breaches[i], rule))
+        for (int64_t i = 0; i < c.n_violations; i++)
+            if (strstr(c.violations[i], rule))
                 return true;
         return false;
     }
-    void expect_no_violations() { EXPECT_EQ(c.n_breaches, 0) << (c.n_breaches ? c.breaches[0] : ""); }
+    void expect_no_violations() { EXPECT_EQ(c.n_violations, 0) << (c.n_violations ? c.violations[0] : ""); }
     void expect_violation(const char *rule)
     {
         ASSERT_TRUE(has_violation(rule)) << "no violation of rule " << rule;
-        EXPECT_EQ(c.n_breaches, 1) << c.breaches[c.n_breaches - 1];
+        EXPECT_EQ(c.n_violations, 1) << c.violations[c.n_violations - 1];
     }
 };
--- a/tests/sim/cluster_judge_api_test.cc
+++ b/tests/sim/cluster_judge_api_test.cc
@@ -5,16 +5,16 @@
 
 TEST_F(ClusterOracleApi, DoneBeforeItsTasks)
 {
-    cluster_oracle_on_job_state(&c, accepted_job(SCHEMA_ONE), "done", executors[0]->host);
+    cluster_oracle_on_job_state(&c, accepted_job(SHAPE_SINGLE_STEP), "done", executors[0]->host);
     expect_violation("MIXED");
 }
 
 TEST_F(ClusterOracleApi, FailedAndCancelledWithoutCause)
 {
-    cluster_oracle_on_job_state(&c, accepted_job(SCHEMA_ONE), "failed", executors[0]->host);
+    cluster_oracle_on_job_state(&c, accepted_job(SHAPE_SINGLE_STEP), "failed", executors[0]->host);
     expect_violation("LOST");
-    cluster_oracle_on_job_state(&c, accepted_job(SCHEMA_ONE), "cancelled", executors[0]->host);
-    EXPECT_EQ(c.n_breaches, 2);
+    cluster_oracle_on_job_state(&c, accepted_job(SHAPE_SINGLE_STEP), "cancelled", executors[0]->host);
+    EXPECT_EQ(c.n_violations, 2);
 }
 
 TEST_F(ClusterOracleApi, UnplaceableJobMayFail)
@@ -25,7 +25,7 @@
 
 TEST_F(ClusterOracleApi, AcceptedJobNotFound)
 {
-    Job *job = accepted_job(SCHEMA_ONE);
+    Job *job = accepted_job(SHAPE_SINGLE_STEP);
     cluster_oracle_on_job_not_found(&c, job, executors[0]->host);
     expect_no_violations(); /* it need not be visible everywhere yet */
     run(4000);
@@ -66,10 +66,10 @@
 {
     c.fake = fake_config_api;
     fake_status = 200;
-    operator_first(&c);
+    operator_first_config(&c);
     operator_change(&c, 0, 0);
     cluster_run(&c, 100);
-    operator_last(&c);
+    operator_check_final(&c);
     expect_no_violations();
 }
 
@@ -77,7 +77,7 @@
 {
     c.fake = fake_config_api;
     fake_status = 200;
-    operator_first(&c);
+    operator_first_config(&c);
     operator_change(&c, 1, 0);
     cluster_run(&c, 100);
     expect_violation("CONFIG");
@@ -87,7 +87,7 @@
 {
     c.fake = fake_config_api;
     fake_status = 200;
-    operator_first(&c);
+    operator_first_config(&c);
     operator_change(&c, 0, 2);
     cluster_run(&c, 100);
     expect_violation("CONFIG");
@@ -97,7 +97,7 @@
 {
     c.fake = fake_config_api;
     fake_status = 200;
-    operator_first(&c);
+    operator_first_config(&c);
     std::string old = fake_body;
     operator_change(&c, 0, 0);
     cluster_run(&c, 100);
@@ -112,7 +112,7 @@
 {
     c.fake = fake_config_api;
     fake_status = 200;
-    operator_first(&c);
+    operator_first_config(&c);
     fake_body += " ";
     operator_read(&c);
     cluster_run(&c, 100);
@@ -123,7 +123,7 @@
 {
     c.fake = fake_config_api;
     fake_status = 200;
-    operator_first(&c);
+    operator_first_config(&c);
     fake_status = 409;
     operator_change(&c, 0, 0);
     cluster_run(&c, 100);
@@ -139,15 +139,15 @@
 {
     c.fake = fake_config_api;
     fake_status = 200;
-    operator_first(&c);
+    operator_first_config(&c);
     operator_change(&c, 0, 0);
     cluster_run(&c, 100);
-    operator_again(&c, 0); // a newer change was sent since then
-    operator_again(&c, 1);
+    operator_resend(&c, 0); // a newer change was sent since then
+    operator_resend(&c, 1);
     cluster_run(&c, 100);
     expect_no_violations();
     fake_status = 412;
-    operator_again(&c, 1);
+    operator_resend(&c, 1);
     cluster_run(&c, 100);
     expect_violation("acknowledged, is sent again and refused");
 }
@@ -158,18 +158,18 @@
 {
     c.fake = fake_config_api;
     fake_status = 200;
-    operator_first(&c);
-    for (int i = 0; i < 60 && !c.n_breaches; i++) {
+    operator_first_config(&c);
+    for (int i = 0; i < 60 && !c.n_violations; i++) {
         int64_t first = c.n_changes;
-        operator_crowd(&c, 2);
+        operator_send_many(&c, 2);
         cluster_run(&c, 100);
         bool both_sent = c.n_changes - first == 2,
              same_body = both_sent && !strcmp(operator_body(&c, first), operator_body(&c, first + 1));
         if (same_body) {
-            EXPECT_EQ(c.n_breaches, 0) << c.breaches[0];
+            EXPECT_EQ(c.n_violations, 0) << c.violations[0];
         }
         if (both_sent && !same_body && c.changes[first].base == c.changes[first + 1].base) {
-            EXPECT_GT(c.n_breaches, 0);
+            EXPECT_GT(c.n_violations, 0);
         }
     }
     EXPECT_TRUE(has_violation("both acknowledged"));
@@ -179,7 +179,7 @@
 {
     c.fake = fake_config_api;
     fake_status = 200;
-    operator_first(&c);
+    operator_first_config(&c);
     std::string old = fake_body;
     fake_status = 504;
     operator_change(&c, 0, 0);
@@ -198,13 +198,13 @@
 {
     c.fake = fake_config_api;
     fake_status = 200;
-    operator_first(&c);
+    operator_first_config(&c);
     fake_status = 504;
     operator_change(&c, 0, 0);
     cluster_run(&c, 100);
     fake_status = 412;
     cluster_run(&c, 1000);
-    ASSERT_EQ(operator_open(&c), 0);
+    ASSERT_EQ(operator_n_pending(&c), 0);
     expect_no_violations();
     fake_body = operator_body(&c, 1);
     operator_read(&c);
@@ -216,11 +216,11 @@
 {
     c.fake = fake_config_api;
     fake_status = 200;
-    operator_first(&c);
+    operator_first_config(&c);
     operator_change(&c, 0, 0);
     cluster_run(&c, 100);
     fake_status = 404;
-    operator_last(&c);
+    operator_check_final(&c);
     expect_violation("CONFIG");
 }
 
@@ -228,16 +228,16 @@
 {
     c.fake = fake_config_api;
     fake_status = 200;
-    operator_first(&c);
+    operator_first_config(&c);
     c.fake = no_response;
-    operator_last(&c);
+    operator_check_final(&c);
     expect_violation("CONFIG");
 }
 
 TEST_F(ClusterOracleApi, NoProgress)
 {
-    accepted_job(SCHEMA_ONE);
-    cluster_close(&c);
+    accepted_job(SHAPE_SINGLE_STEP);
+    cluster_finish(&c);
     EXPECT_TRUE(has_violation("LIVENESS"));
     EXPECT_TRUE(has_violation("makes no progress"));
 }
@@ -246,8 +246,8 @@
 {
     for (standin *executor : executors)
         executor->cpu_milli = 100;
-    accepted_job(SCHEMA_ONE);
-    cluster_close(&c);
+    accepted_job(SHAPE_SINGLE_STEP);
+    cluster_finish(&c);
     expect_violation("LIVENESS");
 }
 
@@ -264,7 +264,7 @@
 {
     c.fake = fake_any_request;
     any_request_body = "{\"state\":\"pending\"}";
-    callers_cancel(&c, accepted_job(SCHEMA_ONE));
+    callers_cancel(&c, accepted_job(SHAPE_SINGLE_STEP));
     cluster_run(&c, 100);
     expect_violation("ANSWER");
 }
--- a/tests/sim/cluster_judge_test.cc
+++ b/tests/sim/cluster_judge_test.cc
@@ -5,7 +5,7 @@
 
 TEST_F(ClusterOracle, CorrectRunHasNoViolations)
 {
-    Job *job = accepted_job(SCHEMA_ONE);
+    Job *job = accepted_job(SHAPE_SINGLE_STEP);
     for (int64_t i = 0; i < job->tasks_per_repetition; i++)
         run_to_end(executors[0], job, i, 1);
     cluster_oracle_on_job_state(&c, job, "done", executors[0]->host);
@@ -16,7 +16,7 @@
 
 TEST_F(ClusterOracle, TaskRunsTwiceAtOnce)
 {
-    Job *job = accepted_job(SCHEMA_SAVES);
+    Job *job = accepted_job(SHAPE_CHECKPOINTS);
     start_task(executors[0], job, 0, 1);
     run(100);
     start_task(executors[1], job, 0, 2);
@@ -33,7 +33,7 @@
 
 TEST_F(ClusterOracle, StartAfterCrashIsAllowed)
 {
-    Job *job = accepted_job(SCHEMA_SAVES);
+    Job *job = accepted_job(SHAPE_CHECKPOINTS);
     start_task(executors[0], job, 0, 1);
     run(100);
     standin_crash(executors[0], -1);
@@ -43,7 +43,7 @@
 
 TEST_F(ClusterOracle, StartAfterAcknowledgedDone)
 {
-    Job *job = accepted_job(SCHEMA_ONE);
+    Job *job = accepted_job(SHAPE_SINGLE_STEP);
     run_to_end(executors[0], job, 0, 1);
     start_task(executors[1], job, 0, 2);
     expect_violation("TWICE");
@@ -51,7 +51,7 @@
 
 TEST_F(ClusterOracle, StartBeforeDoneIsAcknowledged)
 {
-    Job *job = accepted_job(SCHEMA_ONE);
+    Job *job = accepted_job(SHAPE_SINGLE_STEP);
     start_task(executors[0], job, 0, 1);
     run(2000);
     start_task(executors[1], job, 0, 2);
@@ -62,7 +62,7 @@
 
 TEST_F(ClusterOracle, ExpiredLeaseExcusesUnacknowledgedDone)
 {
-    Job *job = accepted_job(SCHEMA_ONE);
+    Job *job = accepted_job(SHAPE_SINGLE_STEP);
     start_task(executors[0], job, 0, 1);
     cluster_run(&c, 8000);
     EXPECT_EQ(c.n_ends[RUN_DONE], 1);
@@ -73,7 +73,7 @@
 
 TEST_F(ClusterOracle, GangDoneOnceCountsForAll)
 {
-    Job *job = accepted_job(SCHEMA_GANG);
+    Job *job = accepted_job(SHAPE_GANG);
     for (int64_t i = 0; i < job->tasks_per_repetition; i++)
         start_task(executors[(size_t)i % 3], job, i, 1);
     run(6000);
@@ -86,7 +86,7 @@
 
 TEST_F(ClusterOracle, IncompleteGang)
 {
-    Job *job = accepted_job(SCHEMA_GANG);
+    Job *job = accepted_job(SHAPE_GANG);
     start_task(executors[0], job, 0, 1);
     run(4000);
     expect_violation("GANG");
@@ -94,7 +94,7 @@
 
 TEST_F(ClusterOracle, TooManyFailures)
 {
-    Job *job = accepted_job(SCHEMA_ONE);
+    Job *job = accepted_job(SHAPE_SINGLE_STEP);
     job->fail_pct = 100;
     for (int64_t i = 1; i <= ATTEMPTS_MAX; i++)
         run_to_end(executors[0], job, 0, i);
@@ -122,8 +122,8 @@
     Job *job = accepted_job(SHAPE_RAW), *more = accepted_job(SHAPE_RAW);
     for (int64_t k = 0; k < job->tasks_per_repetition; k++)
         start_task(executors[3], job, k, 1);
-    for (int64_t rounds = 0; rounds < 60 && !c.n_breaches; rounds++) {
-        for (int64_t k = 0; k < more->tasks_per_repetition && !c.n_breaches; k++)
+    for (int64_t rounds = 0; rounds < 60 && !c.n_violations; rounds++) {
+        for (int64_t k = 0; k < more->tasks_per_repetition && !c.n_violations; k++)
             start_task(executors[3], more, k, 1);
         more = accepted_job(SHAPE_RAW);
     }
@@ -133,14 +133,14 @@
 TEST_F(ClusterOracle, CheckedExecutorRefuses)
 {
     for (int i = 0; i < 6; i++)
-        start_task(executors[0], accepted_job(SCHEMA_LARGE), 0, 1);
+        start_task(executors[0], accepted_job(SHAPE_LARGE), 0, 1);
     EXPECT_GT(c.n_capacity_refused, 0);
     expect_no_violations();
 }
 
 TEST_F(ClusterOracle, WrongService)
 {
-    start_task(executors[3], accepted_job(SCHEMA_ONE), 0, 1);
+    start_task(executors[3], accepted_job(SHAPE_SINGLE_STEP), 0, 1);
     expect_violation("ROUTE");
 }
 
@@ -155,7 +155,7 @@
     Job *job = accepted_job(SHAPE_PER_EXECUTOR_LIMIT);
     while (job->tasks_per_repetition < 3)
         job = accepted_job(SHAPE_PER_EXECUTOR_LIMIT);
-    for (int64_t i = 0; i < 3 && !c.n_breaches; i++)
+    for (int64_t i = 0; i < 3 && !c.n_violations; i++)
         start_task(executors[0], job, i, 1);
     expect_violation("ROUTE");
 }
@@ -170,19 +170,19 @@
 
 TEST_F(ClusterOracle, OtherText)
 {
-    start_task(executors[0], accepted_job(SCHEMA_ONE), 0, 1, "other text");
+    start_task(executors[0], accepted_job(SHAPE_SINGLE_STEP), 0, 1, "other text");
     expect_violation("UNASKED");
 }
 
 TEST_F(ClusterOracle, ForeignCheckpoint)
 {
-    start_task(executors[0], accepted_job(SCHEMA_SAVES), 0, 1, nullptr, "1.0@500");
+    start_task(executors[0], accepted_job(SHAPE_CHECKPOINTS), 0, 1, nullptr, "1.0@500");
     expect_violation("UNASKED");
 }
 
 TEST_F(ClusterOracle, OwnCheckpointIsAllowed)
 {
-    Job *job = accepted_job(SCHEMA_SAVES);
+    Job *job = accepted_job(SHAPE_CHECKPOINTS);
     start_task(executors[0], job, 0, 1);
     run(2500);
     stop_task(executors[0], job, 0, 1);
@@ -195,7 +195,7 @@
 
 TEST_F(ClusterOracle, GangWithDifferentCheckpoints)
 {
-    Job *job = accepted_job(SCHEMA_GANG);
+    Job *job = accepted_job(SHAPE_GANG);
     job->tracked_tasks[0].checkpoint_ms = 500;
     char *checkpoint = must_printf("%llx.0@500", (unsigned long long)job->id);
     start_task(executors[0], job, 0, 1, nullptr, checkpoint);
@@ -207,7 +207,7 @@
 
 TEST_F(ClusterOracle, StartLongAfterCancel)
 {
-    Job *job = accepted_job(SCHEMA_SAVES);
+    Job *job = accepted_job(SHAPE_CHECKPOINTS);
     cluster_oracle_on_cancel_acknowledged(&c, job);
     run(4000);
     start_task(executors[0], job, 0, 1);
@@ -216,7 +216,7 @@
 
 TEST_F(ClusterOracle, LateOrderAfterCancelIsExcused)
 {
-    Job *job = accepted_job(SCHEMA_SAVES);
+    Job *job = accepted_job(SHAPE_CHECKPOINTS);
     cluster_oracle_on_cancel_acknowledged(&c, job);
     run(4000);
     start_task(executors[0], job, 0, 1, nullptr, "", 1);
@@ -225,7 +225,7 @@
 
 TEST_F(ClusterOracle, RunsOnAfterCancel)
 {
-    Job *job = accepted_job(SCHEMA_SAVES);
+    Job *job = accepted_job(SHAPE_CHECKPOINTS);
     start_task(executors[0], job, 0, 1);
     cluster_oracle_on_cancel_acknowledged(&c, job);
     executors[0]->runs[0].required_us = 60000000;
@@ -235,7 +235,7 @@
 
 TEST_F(ClusterOracle, StartOfRefusedJob)
 {
-    Job *job = accepted_job(SCHEMA_ONE);
+    Job *job = accepted_job(SHAPE_SINGLE_STEP);
     job->accepted_us = -1;
     job->refusals = 1;
     start_task(executors[0], job, 0, 1);
@@ -248,9 +248,9 @@
     executors[0]->leaves_us = c.now_us + 60000000;
     executors[0]->drain_ack_us = c.now_us;
     run(1500);
-    start_task(executors[0], accepted_job(SCHEMA_SAVES), 0, 1);
+    start_task(executors[0], accepted_job(SHAPE_CHECKPOINTS), 0, 1);
     expect_no_violations();
     run(1000);
-    start_task(executors[0], accepted_job(SCHEMA_SAVES), 0, 1);
+    start_task(executors[0], accepted_job(SHAPE_CHECKPOINTS), 0, 1);
     expect_violation("DRAIN");
 }
--- a/tests/sim/cluster_leaver_loss_test.cc
+++ b/tests/sim/cluster_leaver_loss_test.cc
@@ -59,24 +59,24 @@
     {
         for (; ms > 0; ms--) {
             cluster_run(&s.c, 1);
-            if (leaver->up || leaver->gone)
+            if (leaver->up || leaver->removed)
                 continue;
-            leaver->gone = 1;
+            leaver->removed = 1;
             s.away.push_back(leaver);
         }
     }
     void run_to_its_end()
     {
-        for (int64_t ms = 0; ms < GRACE_MS + 500 && !leaver->gone; ms++)
+        for (int64_t ms = 0; ms < GRACE_MS + 500 && !leaver->removed; ms++)
             run(1);
-        EXPECT_TRUE(leaver->gone) << s.story();
+        EXPECT_TRUE(leaver->removed) << s.trace();
     }
     void ask(bool the_leader)
     {
         leaver = the_leader && s.leader() ? s.leader() : s.pick_voter();
         leaver_id = leaver->controller->id;
         asked_us = s.c.now_us;
-        s.c.calm = 0;
+        s.c.fault_free = 0;
         host_leave(leaver);
     }
     // A voter that the leader counts is not there.
@@ -94,13 +94,13 @@
     void expect_it_waited()
     {
         bool time_is_up = s.c.now_us - asked_us >= (GRACE_MS - 1000) * 1000LL;
-        EXPECT_TRUE(time_is_up || !voter_is_missing()) << "it did not wait\n" << s.story();
+        EXPECT_TRUE(time_is_up || !voter_is_missing()) << "it did not wait\n" << s.trace();
     }
     // Nobody can take over a vote: the leader says so.
     void expect_repair_waits()
     {
         cluster_run(&s.c, SERVES_MS);
-        EXPECT_GE(s.c.n_events[EV_REPAIR_WAITS], 1) << s.story();
+        EXPECT_GE(s.c.n_events[EV_REPAIR_WAITS], 1) << s.trace();
     }
 
   public:
@@ -108,10 +108,10 @@
     {
         operator_read(&s.c);
         s.run_until_thawed();
-        cluster_close(&s.c);
+        cluster_finish(&s.c);
         s.expect_one_log();
         s.expect_agreement();
-        EXPECT_GT(s.c.n_shown_done, 0) << s.story();
+        EXPECT_GT(s.c.n_jobs_seen_done, 0) << s.trace();
     }
 };
 
@@ -152,12 +152,12 @@
         expect_it_waited();
         // a wiped disk may be replaced at its place before the leaver would have to wait
         if (plan.loss != WIPED) {
-            EXPECT_EQ(s.c.n_events[EV_LEAVE_WAITS], 1) << s.story();
+            EXPECT_EQ(s.c.n_events[EV_LEAVE_WAITS], 1) << s.trace();
         }
     }
     void leaver_returns()
     {
-        leaver->gone = 0;
+        leaver->removed = 0;
         s.restore(leaver, KILLED);
     }
 
@@ -178,7 +178,7 @@
             expect_it_waited_and_said_so();
         operator_change(&s.c, 1, 0);
         if (borne) {
-            EXPECT_GE(s.serves_within(SERVES_MS), 0) << "a majority was left\n" << s.story();
+            EXPECT_GE(s.serves_within(SERVES_MS), 0) << "a majority was left\n" << s.trace();
         } else {
             cluster_run(&s.c, 3000);
         }
@@ -186,9 +186,9 @@
         s.restore(victim, plan.loss);
         if (!borne && (plan.loss == WIPED || plan.loss == REPLACED))
             leaver_returns(); // the only other disk that is left
-        EXPECT_GE(s.serves_within(SERVES_MS), 0) << "a majority is back\n" << s.story();
+        EXPECT_GE(s.serves_within(SERVES_MS), 0) << "a majority is back\n" << s.trace();
         if (plan.successor) {
-            EXPECT_TRUE(s.run_until_whole()) << s.story();
+            EXPECT_TRUE(s.run_until_whole()) << s.trace();
         }
         if (!plan.successor && plan.loss != WIPED && plan.loss != REPLACED)
             expect_repair_waits();
@@ -212,20 +212,20 @@
         operator_change(&s.c, 0, 0);
         cluster_run(&s.c, 500);
         s.lose_first();
-        ASSERT_TRUE(s.run_to(at)) << s.story();
+        ASSERT_TRUE(s.run_to(at)) << s.trace();
         ask(leader_leaves);
         operator_change(&s.c, 1, 0);
         run_to_its_end();
         expect_it_waited();
         // the repair takes less time than a leaver has
-        EXPECT_TRUE(s.electable({})) << s.story();
-        EXPECT_GE(s.serves_within(SERVES_MS), 0) << "a majority was left\n" << s.story();
+        EXPECT_TRUE(s.electable({})) << s.trace();
+        EXPECT_GE(s.serves_within(SERVES_MS), 0) << "a majority was left\n" << s.trace();
         if (!has_spare(s.kind)) {
             expect_repair_waits();
             return;
         }
         s.restore(s.lost, s.kind);
-        EXPECT_TRUE(s.run_until_whole()) << "the first that was lost takes over the leaver's vote\n" << s.story();
+        EXPECT_TRUE(s.run_until_whole()) << "the first that was lost takes over the leaver's vote\n" << s.trace();
     }
 };
 
--- a/tests/sim/cluster_leaving_test.cc
+++ b/tests/sim/cluster_leaving_test.cc
@@ -32,7 +32,7 @@
 
     Leaving(uint64_t seed, int voters)
     {
-        cluster_start_bearing(&c, seed, voters / 2, voters, 1, 0);
+        cluster_start_tolerating(&c, seed, voters / 2, voters, 1, 0);
         cluster_run(&c, 10000);
         leader = cluster_leader(&c);
         for (int64_t i = 0; i < voters; i++) {
@@ -44,8 +44,8 @@
         }
         trail.assign(others.end() - voters / 2, others.end());
     }
-    ~Leaving() { cluster_end(&c); }
-    std::string story() { return story_of(&c); }
+    ~Leaving() { cluster_free(&c); }
+    std::string trace() { return trace_of(&c); }
     struct log *log() { return &leader->controller->log; }
     int64_t match_of(host *h) { return log_peer(log(), h->controller->id)->match; }
     void write()
@@ -105,9 +105,9 @@
             Leaving s(seed, voters);
             s.links(2000);
             s.run(1000 + cluster_pick(&s.c, 200));
-            EXPECT_GE(s.ends_within(ANSWERED_MS), 0) << s.story();
-            EXPECT_EQ(s.log()->role, LOG_LEADER) << s.story();
-            EXPECT_TRUE(s.held_without_it()) << s.story();
+            EXPECT_GE(s.ends_within(ANSWERED_MS), 0) << s.trace();
+            EXPECT_EQ(s.log()->role, LOG_LEADER) << s.trace();
+            EXPECT_TRUE(s.held_without_it()) << s.trace();
         }
 }
 
@@ -120,7 +120,7 @@
         s.write_bytes = 4 << 10;
         s.run(500);
         host_cut_off(s.trail[0]);
-        cluster_at(
+        cluster_schedule(
             &s.c, 2300 + cluster_pick(&s.c, 200),
             [](struct cluster *c, void *arg, int64_t) {
                 auto *site = static_cast<Leaving *>(arg);
@@ -129,9 +129,9 @@
                 cluster_heal(c);
             },
             &s, 0);
-        EXPECT_GE(s.ends_within(ANSWERED_MS), 0) << s.story();
-        EXPECT_EQ(s.log()->role, LOG_LEADER) << s.story();
-        EXPECT_TRUE(s.held_without_it()) << s.story();
+        EXPECT_GE(s.ends_within(ANSWERED_MS), 0) << s.trace();
+        EXPECT_EQ(s.log()->role, LOG_LEADER) << s.trace();
+        EXPECT_TRUE(s.held_without_it()) << s.trace();
     }
 }
 
@@ -150,9 +150,9 @@
             s.leader->controller->leaver.granted_ms = world_ms(&s.leader->base);
             s.step();
         }
-        ASSERT_TRUE(s.leaves->up) << s.story();
-        EXPECT_GE(s.ends_within(ANSWERED_MS), 0) << s.story();
-        EXPECT_TRUE(s.held_without_it()) << s.story();
+        ASSERT_TRUE(s.leaves->up) << s.trace();
+        EXPECT_GE(s.ends_within(ANSWERED_MS), 0) << s.trace();
+        EXPECT_TRUE(s.held_without_it()) << s.trace();
     }
 }
 
@@ -173,8 +173,8 @@
             }
             EXPECT_GT(trailed, 700) << "it did not trail";
             int64_t took_ms = s.ends_within(ANSWERED_MS);
-            EXPECT_GE(took_ms, 0) << s.story();
-            EXPECT_LE(took_ms, 2700) << s.story();
-            EXPECT_EQ(s.c.n_events[EV_LEAVE_WAITS], 0) << s.story();
+            EXPECT_GE(took_ms, 0) << s.trace();
+            EXPECT_LE(took_ms, 2700) << s.trace();
+            EXPECT_EQ(s.c.n_events[EV_LEAVE_WAITS], 0) << s.trace();
         }
 }
--- a/tests/sim/cluster_losses.cc
+++ b/tests/sim/cluster_losses.cc
@@ -38,18 +38,18 @@
 
 Losses::Losses(uint64_t seed, int n, Loss first, int agents) : kind(first), voters(n)
 {
-    cluster_start_bearing(&c, seed, voters / 2, voters + has_spare(first), 1, agents);
+    cluster_start_tolerating(&c, seed, voters / 2, voters + has_spare(first), 1, agents);
     cluster_run(&c, 1000);
     if (agents)
-        operator_first(&c);
+        operator_first_config(&c);
     cluster_run(&c, 9000); // learners hold the log by now
-    EXPECT_EQ(n_voters(), voters) << story();
+    EXPECT_EQ(n_voters(), voters) << trace();
 }
 
 Losses::~Losses()
 {
-    EXPECT_EQ(c.n_breaches, 0) << story();
-    cluster_end(&c);
+    EXPECT_EQ(c.n_violations, 0) << trace();
+    cluster_free(&c);
 }
 
 bool Losses::is_away(const host *h) const { return std::find(away.begin(), away.end(), h) != away.end(); }
@@ -126,7 +126,7 @@
     lost_id = lost->controller->id;
     fresh_addr = (int64_t)lost->base.self;
     lost_us = c.now_us;
-    c.calm = 0;
+    c.fault_free = 0;
     if (kind == WIPED)
         host_disk_copy(lost);
     lose(lost, kind, 20000);
@@ -144,22 +144,22 @@
             c.cut[of.h->index][i] |= of.loss != RECEIVES_CUT;
             c.cut[i][of.h->index] |= of.loss != SENDS_CUT;
         }
-    cluster_core_trouble(&c);
+    cluster_note_controller_fault(&c);
 }
 
 void Losses::cut(host *h, Loss loss)
 {
-    cluster_tell(&c, 0, "%s is %s", h->name, name_of(loss));
+    cluster_trace(&c, 0, "%s is %s", h->name, name_of(loss));
     cuts.push_back({h, loss});
-    h->trouble_us = c.now_us;
+    h->last_fault_us = c.now_us;
     apply_cuts();
 }
 
 void Losses::heal(host *h)
 {
-    cluster_tell(&c, 0, "%s is no longer cut off", h->name);
+    cluster_trace(&c, 0, "%s is no longer cut off", h->name);
     cuts.erase(std::remove_if(cuts.begin(), cuts.end(), [h](const Cut &of) { return of.h == h; }), cuts.end());
-    h->trouble_us = c.now_us;
+    h->last_fault_us = c.now_us;
     apply_cuts();
 }
 
@@ -171,8 +171,8 @@
             if (c.hosts[i]->with_disk && c.hosts[k]->with_disk && on_side(c.hosts[i]) != on_side(c.hosts[k]))
                 c.cut[i][k] = 1;
     for (host *h : side)
-        cluster_tell(&c, 0, "%s is on the other side of a partition", h->name);
-    cluster_core_trouble(&c);
+        cluster_trace(&c, 0, "%s is on the other side of a partition", h->name);
+    cluster_note_controller_fault(&c);
 }
 
 void Losses::heal_all()
@@ -231,7 +231,7 @@
         return true;
     }
     if (kind == REPLACED) {
-        lost->gone = 0;
+        lost->removed = 0;
         host_boot(lost, 0);
         return true;
     }
@@ -264,7 +264,7 @@
     for (int64_t ms = 0; ms < 15000; ms++) {
         if (step() >= wanted)
             return true;
-        EXPECT_LE(n_voters(), voters) << "a repair makes a majority larger\n" << story();
+        EXPECT_LE(n_voters(), voters) << "a repair makes a majority larger\n" << trace();
         cluster_run(&c, 1);
     }
     return false;
--- a/tests/sim/cluster_losses.h
+++ b/tests/sim/cluster_losses.h
@@ -40,7 +40,7 @@
 
     Losses(uint64_t seed, int n, Loss first, int agents = 8);
     ~Losses();
-    std::string story() { return story_of(&c); }
+    std::string trace() { return trace_of(&c); }
 
     // Who leads now by the highest term, among those that are not away; nullptr: nobody.
     host *leader();
--- a/tests/sim/cluster_losses_quorum.cc
+++ b/tests/sim/cluster_losses_quorum.cc
@@ -41,7 +41,7 @@
     return there >= n / 2 + 1;
 }
 
-void expect_same_committed(const struct log *one, const struct log *other, const std::string &story)
+void expect_same_committed(const struct log *one, const struct log *other, const std::string &trace)
 {
     int64_t from = std::max(one->first_index, other->first_index), upto = std::min(one->commit, other->commit);
     for (int64_t index = from; index <= upto; index++) {
@@ -49,7 +49,7 @@
         const struct log_entry &b = other->entries[index - other->first_index];
         bool same = a.term == b.term && a.kind == b.kind && a.body.len == b.body.len &&
                     (!a.body.len || !memcmp(a.body.at, b.body.at, (size_t)a.body.len));
-        ASSERT_TRUE(same) << "entry " << index << " is committed twice, differently\n" << story;
+        ASSERT_TRUE(same) << "entry " << index << " is committed twice, differently\n" << trace;
     }
 }
 
@@ -130,8 +130,8 @@
 {
     uint64_t one = 0;
     for (int64_t i = 0; i < c.n; i++) {
-        uint64_t founders = host_founders(c.hosts[i]);
-        EXPECT_TRUE(!one || !founders || founders == one) << story();
+        uint64_t founders = host_bootstrap_hash(c.hosts[i]);
+        EXPECT_TRUE(!one || !founders || founders == one) << trace();
         one = one ? one : founders;
     }
 }
@@ -141,8 +141,8 @@
     for (int64_t i = 0; i < c.n; i++)
         for (int64_t k = i + 1; k < c.n; k++)
             if (has_log(c.hosts[i]) && has_log(c.hosts[k]))
-                expect_same_committed(&c.hosts[i]->controller->log, &c.hosts[k]->controller->log, story());
-    EXPECT_EQ(config_register::check(config_register::calls_of(&c)), "") << story();
+                expect_same_committed(&c.hosts[i]->controller->log, &c.hosts[k]->controller->log, trace());
+    EXPECT_EQ(config_register::check(config_register::calls_of(&c)), "") << trace();
 }
 
 } // namespace losses
--- a/tests/sim/cluster_losses_test.cc
+++ b/tests/sim/cluster_losses_test.cc
@@ -40,22 +40,22 @@
     callers_load(&s.c, 5, 40000);
     cluster_run(&s.c, 1000);
     s.lose_first();
-    ASSERT_TRUE(s.run_to(at)) << s.story();
+    ASSERT_TRUE(s.run_to(at)) << s.trace();
     std::vector<host *> away;
     for (int i = 0; i < more; i++) {
         away.push_back(s.pick_voter());
         host_kill(away.back(), (int)cluster_pick(&s.c, 2));
     }
     if (goes_on)
-        EXPECT_GE(s.serves_within(8000), 0) << s.story();
+        EXPECT_GE(s.serves_within(8000), 0) << s.trace();
     else
         cluster_run(&s.c, 3000 + cluster_pick(&s.c, 5000));
     for (host *h : away)
         host_boot(h, 0);
-    EXPECT_GE(s.serves_within(8000), 0) << s.story();
-    EXPECT_TRUE(s.run_to(REMOVED)) << s.story();
+    EXPECT_GE(s.serves_within(8000), 0) << s.trace();
+    EXPECT_TRUE(s.run_to(REMOVED)) << s.trace();
     s.expect_one_log();
-    cluster_close(&s.c);
+    cluster_finish(&s.c);
     s.expect_one_log();
 }
 
@@ -98,14 +98,14 @@
             host *leader = s.leader(), *lost = s.followers()[0], *other = s.followers()[1];
             callers_load(&s.c, 5, 30000);
             cluster_run(&s.c, 1000);
-            s.c.calm = 0;
+            s.c.fault_free = 0;
             s.lost_id = lost->controller->id;
             s.fresh_addr = (int64_t)lost->base.self;
             host_kill(lost, 0);
             host_disk_copy(lost);
             host_wipe(lost);
             host_boot(lost, 0);
-            ASSERT_TRUE(s.run_to(at)) << s.story();
+            ASSERT_TRUE(s.run_to(at)) << s.trace();
             host_kill(other, 0);
             cluster_run(&s.c, 4000);
             host_kill(leader, 0);
@@ -115,8 +115,8 @@
             host_boot(other, 0);
             cluster_run(&s.c, 4000);
             host_boot(leader, 0);
-            EXPECT_GE(s.serves_within(8000), 0) << s.story();
-            cluster_close(&s.c);
+            EXPECT_GE(s.serves_within(8000), 0) << s.trace();
+            cluster_finish(&s.c);
             s.expect_one_log();
         }
 }
@@ -133,11 +133,11 @@
                 SCOPED_TRACE(std::string(name_of(kind)) + ", seed " + std::to_string(seed));
                 Losses s(seed, voters, kind, 0);
                 s.lose_first();
-                ASSERT_TRUE(s.run_to(COMMITTED)) << s.story();
+                ASSERT_TRUE(s.run_to(COMMITTED)) << s.trace();
                 committed.add((s.c.now_us - s.lost_us) / 1000);
                 for (int ms = 0; ms < 1000 && !s.bears((size_t)voters / 2); ms++)
                     cluster_run(&s.c, 1);
-                EXPECT_TRUE(s.bears((size_t)voters / 2)) << s.story();
+                EXPECT_TRUE(s.bears((size_t)voters / 2)) << s.trace();
                 borne.add((s.c.now_us - s.lost_us) / 1000);
             }
             printf("%d voters, %s: change committed after %lld ms, %lld ms at worst; as many may be lost again after "
@@ -156,13 +156,13 @@
         Losses s(seed, 3, REPLACED, 0);
         host *leader = s.leader();
         std::vector<host *> lost = s.followers();
-        int64_t before = s.c.n_events[EV_MAJORITY_LOST], lines = s.c.n_story;
+        int64_t before = s.c.n_events[EV_MAJORITY_LOST], lines = s.c.n_trace;
         for (host *h : lost)
             host_kill(h, 0);
         cluster_run(&s.c, 10000);
-        EXPECT_EQ(s.c.n_events[EV_MAJORITY_LOST], before + 1) << s.story();
-        for (int64_t i = lines; i < s.c.n_story; i++) {
-            const char *unheard = strstr(s.c.story[i].text, "unheard=");
+        EXPECT_EQ(s.c.n_events[EV_MAJORITY_LOST], before + 1) << s.trace();
+        for (int64_t i = lines; i < s.c.n_trace; i++) {
+            const char *unheard = strstr(s.c.trace[i].text, "unheard=");
             for (host *h : lost)
                 EXPECT_TRUE(!unheard || strstr(unheard, addr_text(h->base.self))) << unheard;
             EXPECT_TRUE(!unheard || !strstr(unheard, addr_text(leader->base.self))) << unheard;
@@ -170,7 +170,7 @@
         for (host *h : lost)
             host_boot(h, 0);
         cluster_run(&s.c, 10000);
-        EXPECT_EQ(s.c.n_events[EV_MAJORITY_LOST], before + 1) << s.story();
+        EXPECT_EQ(s.c.n_events[EV_MAJORITY_LOST], before + 1) << s.trace();
     }
 }
 
@@ -183,15 +183,15 @@
         host *lost = s.followers()[0], *next = s.followers()[1];
         host_kill(lost, 0);
         cluster_run(&s.c, 2500);
-        EXPECT_EQ(s.c.n_events[EV_REPAIR_WAITS], 0) << s.story();
+        EXPECT_EQ(s.c.n_events[EV_REPAIR_WAITS], 0) << s.trace();
         cluster_run(&s.c, 17500);
-        EXPECT_EQ(s.c.n_events[EV_REPAIR_WAITS], 1) << s.story();
-        EXPECT_NE(s.story().find(std::string("gone=") + addr_text(lost->base.self)), std::string::npos) << s.story();
+        EXPECT_EQ(s.c.n_events[EV_REPAIR_WAITS], 1) << s.trace();
+        EXPECT_NE(s.trace().find(std::string("gone=") + addr_text(lost->base.self)), std::string::npos) << s.trace();
         host_boot(lost, 0);
         cluster_run(&s.c, 5000);
         host_kill(next, 0);
         cluster_run(&s.c, 20000);
-        EXPECT_EQ(s.c.n_events[EV_REPAIR_WAITS], 2) << s.story();
+        EXPECT_EQ(s.c.n_events[EV_REPAIR_WAITS], 2) << s.trace();
     }
 }
 
@@ -204,8 +204,8 @@
             Losses s(seed, 3, kind, 0);
             s.lose_first();
             cluster_run(&s.c, 15000);
-            EXPECT_EQ(s.step(), REMOVED) << s.story();
-            EXPECT_EQ(s.c.n_events[EV_REPAIR_WAITS], 0) << s.story();
+            EXPECT_EQ(s.step(), REMOVED) << s.trace();
+            EXPECT_EQ(s.c.n_events[EV_REPAIR_WAITS], 0) << s.trace();
         }
 }
 
@@ -217,9 +217,9 @@
         Losses s(seed, 3, REPLACED, 0);
         s.log()->members_index = log_last(s.log()) + 1000; // as if one were under way
         cluster_run(&s.c, 2500);
-        EXPECT_EQ(s.c.n_events[EV_REPAIR_WAITS], 0) << s.story();
+        EXPECT_EQ(s.c.n_events[EV_REPAIR_WAITS], 0) << s.trace();
         cluster_run(&s.c, 10000);
-        EXPECT_EQ(s.c.n_events[EV_REPAIR_WAITS], 1) << s.story();
-        EXPECT_NE(s.story().find("uncommitted="), std::string::npos) << s.story();
+        EXPECT_EQ(s.c.n_events[EV_REPAIR_WAITS], 1) << s.trace();
+        EXPECT_NE(s.trace().find("uncommitted="), std::string::npos) << s.trace();
     }
 }
--- a/tests/sim/cluster_members_test.cc
+++ b/tests/sim/cluster_members_test.cc
@@ -28,7 +28,7 @@
             cluster_run(&c, 100);
         cluster_run(&c, 8000); // learners hold the log by now
     }
-    ~Members() { cluster_end(&c); }
+    ~Members() { cluster_free(&c); }
     struct log *log() { return &cluster_leader(&c)->controller->log; }
     // one that does not lead, and votes or learns
     host *member(bool votes)
@@ -52,11 +52,11 @@
     int64_t changes() const
     {
         int64_t n = 0;
-        for (int64_t i = 0; i < c.n_story; i++)
-            n += strstr(c.story[i].text, "log membership changes") != nullptr;
+        for (int64_t i = 0; i < c.n_trace; i++)
+            n += strstr(c.trace[i].text, "log membership changes") != nullptr;
         return n;
     }
-    std::string story() { return story_of(&c); }
+    std::string trace() { return trace_of(&c); }
 };
 
 } // namespace
@@ -68,17 +68,17 @@
     for (uint64_t seed : seeds(60)) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         Members s(seed, 5);
-        s.c.late_ms = 50 + cluster_pick(&s.c, 300);
+        s.c.max_delay_ms = 50 + cluster_pick(&s.c, 300);
         cluster_run(&s.c, 3000 + cluster_pick(&s.c, 100));
         host *leader = cluster_leader(&s.c);
-        ASSERT_TRUE(leader) << s.story();
+        ASSERT_TRUE(leader) << s.trace();
         int64_t before = s.changes(), sleep_ms = 3000 + cluster_pick(&s.c, 20000);
         for (int64_t i = 0; i < 5; i++)
             host_freeze(cluster_controller(&s.c, i), sleep_ms);
         cluster_run(&s.c, sleep_ms);
-        s.c.late_ms = 0;
+        s.c.max_delay_ms = 0;
         cluster_run(&s.c, 8000);
-        EXPECT_EQ(s.changes(), before) << s.story();
+        EXPECT_EQ(s.changes(), before) << s.trace();
     }
 }
 
@@ -103,9 +103,9 @@
                 up += cluster_controller(&s.c, i)->up;
             least = std::min(least, up);
         }
-        EXPECT_EQ(least, 2) << s.story();
-        EXPECT_NE(s.story().find("another is missing"), std::string::npos) << s.story();
-        EXPECT_TRUE(cluster_leader(&s.c)) << s.story();
+        EXPECT_EQ(least, 2) << s.trace();
+        EXPECT_NE(s.trace().find("another is missing"), std::string::npos) << s.trace();
+        EXPECT_TRUE(cluster_leader(&s.c)) << s.trace();
     }
 }
 
@@ -118,8 +118,8 @@
         host *leaves = cluster_controller(&s.c, cluster_pick(&s.c, 3));
         host_leave(leaves);
         cluster_run(&s.c, 2700);
-        EXPECT_EQ(s.story().find("another is missing"), std::string::npos) << s.story();
-        EXPECT_FALSE(leaves->up) << s.story();
+        EXPECT_EQ(s.trace().find("another is missing"), std::string::npos) << s.trace();
+        EXPECT_FALSE(leaves->up) << s.trace();
     }
 }
 
@@ -140,7 +140,7 @@
                 up += cluster_controller(&s.c, i)->up;
             least = std::min(least, up);
         }
-        EXPECT_EQ(least, 2) << s.story();
+        EXPECT_EQ(least, 2) << s.trace();
     }
 }
 
@@ -162,8 +162,8 @@
                 cluster_run(&s.c, 100);
             }
             EXPECT_GT(behind_ms, 16000) << "its link was too fast to see it";
-            EXPECT_LT(behind_ms, 20000) << s.story();
-            EXPECT_EQ(s.changes(), before) << s.story();
+            EXPECT_LT(behind_ms, 20000) << s.trace();
+            EXPECT_EQ(s.changes(), before) << s.trace();
         }
 }
 
@@ -178,10 +178,10 @@
         slow->link_kbit_s = 2000;
         s.propose(4 << 20);
         cluster_run(&s.c, 3000 + cluster_pick(&s.c, 8000));
-        EXPECT_EQ(s.changes(), before) << s.story();
+        EXPECT_EQ(s.changes(), before) << s.trace();
         host_kill(slow, 0);
         cluster_run(&s.c, 4500);
-        EXPECT_GT(s.changes(), before) << s.story();
+        EXPECT_GT(s.changes(), before) << s.trace();
     }
 }
 
@@ -198,7 +198,7 @@
             s.propose(200);
             cluster_run(&s.c, 100);
         }
-        EXPECT_GT(s.changes(), before) << s.story();
+        EXPECT_GT(s.changes(), before) << s.trace();
     }
 }
 
@@ -213,7 +213,7 @@
             SCOPED_TRACE(std::string(kinds[kind]) + ", seed " + std::to_string(seed));
             Members s(seed, kind ? 3 : 4);
             host *lost = cluster_controller(&s.c, cluster_pick(&s.c, 3));
-            int64_t from_us = s.c.now_us, lines = s.c.n_story, at_us = 0;
+            int64_t from_us = s.c.now_us, lines = s.c.n_trace, at_us = 0;
             if (kind == 2) {
                 cluster_replace(lost);
             } else {
@@ -225,10 +225,10 @@
                 }
             }
             cluster_run(&s.c, 10000);
-            for (int64_t i = lines; i < s.c.n_story && !at_us; i++)
-                if (strstr(s.c.story[i].text, " fresh="))
-                    at_us = s.c.story[i].at_us;
-            ASSERT_GT(at_us, 0) << s.story();
+            for (int64_t i = lines; i < s.c.n_trace && !at_us; i++)
+                if (strstr(s.c.trace[i].text, " fresh="))
+                    at_us = s.c.trace[i].at_us;
+            ASSERT_GT(at_us, 0) << s.trace();
             sum_ms += (at_us - from_us) / 1000;
             worst_ms = std::max(worst_ms, (at_us - from_us) / 1000);
             n++;
--- a/tests/sim/cluster_resets_test.cc
+++ b/tests/sim/cluster_resets_test.cc
@@ -29,9 +29,9 @@
 void carried_out_late(Cluster &s)
 {
     for (int i = 0; i < 8; i++) {
-        s.executor(i)->late_us = s.c.now_us + 2000000;
+        s.executor(i)->late_until_us = s.c.now_us + 2000000;
         if (cluster_pick(&s.c, 3) == 0)
-            s.executor(i)->sick_us = s.c.now_us + 1500000;
+            s.executor(i)->sick_until_us = s.c.now_us + 1500000;
     }
 }
 
@@ -55,21 +55,21 @@
         s.run(INHERIT_MS);
         callers_load(&s.c, 8, 12000);
         s.run(1000);
-        s.c.calm = 0;
+        s.c.fault_free = 0;
         s.c.links.reset_pct[hop()][point()] = 20;
         s.c.links.stale_ms = cluster_pick(&s.c, 2) * 1500;
         for (int i = 0; i < 6; i++) {
             host *h = s.leader();
             carried_out_late(s);
-            operate(s, 1500, 4);
+            operators_run(s, 1500, 4);
             if (i == 2)
                 host_kill(h, 1);
-            operate(s, 500, 4);
+            operators_run(s, 500, 4);
             host_boot(h, 0);
         }
-        EXPECT_GT(s.c.links.n_resets[hop()][point()], 5) << s.story();
+        EXPECT_GT(s.c.links.n_resets[hop()][point()], 5) << s.trace();
         s.c.links.reset_pct[hop()][point()] = 0;
-        operators_end(s);
+        operators_finish(s);
         s.close();
     }
 }
@@ -78,25 +78,25 @@
 // requests from the start, and they are open when those answers come.
 TEST(ClusterResets, AnswersToAFormerProcessReachNobody)
 {
-    over([](Cluster &s) {
+    for_each_seed([](Cluster &s) {
         callers_load(&s.c, 6, 8000);
-        s.c.calm = 0;
+        s.c.fault_free = 0;
         for (int i = 0; i < 8; i++) {
             host *leader = s.leader(), *node = outer_node(s);
-            operate(s, 500, 4);
+            operators_run(s, 500, 4);
             for (int k = 0; k < 3; k++)
                 if (s.core(k) != leader)
                     link_stall(leader, s.core(k), 150);
-            s.c.operators_use = node;
-            operator_crowd(&s.c, 6);
+            s.c.operators_target = node;
+            operator_send_many(&s.c, 6);
             s.run(145);
             host_restart(node);
             for (int k = 0; k < 12; k++)
                 operator_read_from(&s.c, node);
             s.run(355);
-            s.c.operators_use = nullptr;
+            s.c.operators_target = nullptr;
         }
-        operators_end(s);
+        operators_finish(s);
     });
 }
 
@@ -104,27 +104,27 @@
 // node sends the order again, and that one is taken. Then the refusal arrives.
 TEST(ClusterResets, RefusalOfAnEarlierSendingIsNotTold)
 {
-    over([](Cluster &s) {
-        s.c.calm = 0;
+    for_each_seed([](Cluster &s) {
+        s.c.fault_free = 0;
         callers_load(&s.c, 4, 6000);
         s.run(1000);
         host *leader = s.leader(), *node = outer_node(s);
         int64_t base = s.c.acked_version;
-        s.c.operators_use = node;
+        s.c.operators_target = node;
         link_stall(leader, node, 700);
-        int64_t second = operator_order(&s.c, base + 2, base + 1);
+        int64_t second = operator_send(&s.c, base + 2, base + 1);
         s.run(100);
-        s.c.operators_use = leader;
-        operator_order(&s.c, base + 1, base);
+        s.c.operators_target = leader;
+        operator_send(&s.c, base + 1, base);
         s.run(550);
         operator_read_from(&s.c, leader);
         s.run(50);
-        EXPECT_EQ(s.c.read_version, base + 2) << "not taken by the leader it was sent to again\n" << s.story();
-        EXPECT_EQ(s.c.changes[second].sends, 1) << s.story();
-        s.c.operators_use = nullptr;
+        EXPECT_EQ(s.c.read_version, base + 2) << "not taken by the leader it was sent to again\n" << s.trace();
+        EXPECT_EQ(s.c.changes[second].sends, 1) << s.trace();
+        s.c.operators_target = nullptr;
         s.run(2000);
-        EXPECT_EQ(s.c.changes[second].refusals, 0) << s.story();
-        operators_end(s);
+        EXPECT_EQ(s.c.changes[second].refusals, 0) << s.trace();
+        operators_finish(s);
     });
 }
 
@@ -132,26 +132,26 @@
 // again. It is acknowledged all the same, by the leader's history.
 TEST(ClusterResets, OrderTakenBeforeAnotherIsAcknowledgedToItsSecondSending)
 {
-    over([](Cluster &s) {
-        s.c.calm = 0;
+    for_each_seed([](Cluster &s) {
+        s.c.fault_free = 0;
         callers_load(&s.c, 4, 6000);
         s.run(1000);
         host *leader = s.leader(), *node = outer_node(s);
         int64_t base = s.c.acked_version;
-        s.c.operators_use = node;
-        s.c.links.reset_pct[HOP_RELAY][RESET_IN_ANSWER] = 100;
-        int64_t first = operator_order(&s.c, base + 1, base);
+        s.c.operators_target = node;
+        s.c.links.reset_pct[HOP_RELAY][RESET_IN_RESPONSE] = 100;
+        int64_t first = operator_send(&s.c, base + 1, base);
         s.run(150);
-        s.c.operators_use = leader;
-        operator_order(&s.c, base + 2, base + 1);
+        s.c.operators_target = leader;
+        operator_send(&s.c, base + 2, base + 1);
         s.run(150);
-        EXPECT_EQ(s.c.acked_version, base + 2) << s.story();
-        EXPECT_EQ(s.c.changes[first].acked_us, 0) << s.story();
-        s.c.links.reset_pct[HOP_RELAY][RESET_IN_ANSWER] = 0;
+        EXPECT_EQ(s.c.acked_version, base + 2) << s.trace();
+        EXPECT_EQ(s.c.changes[first].acked_us, 0) << s.trace();
+        s.c.links.reset_pct[HOP_RELAY][RESET_IN_RESPONSE] = 0;
         s.run(600);
-        EXPECT_GT(s.c.changes[first].acked_us, 0) << s.story();
-        EXPECT_EQ(s.c.changes[first].sends, 1) << s.story();
-        s.c.operators_use = nullptr;
-        operators_end(s);
+        EXPECT_GT(s.c.changes[first].acked_us, 0) << s.trace();
+        EXPECT_EQ(s.c.changes[first].sends, 1) << s.trace();
+        s.c.operators_target = nullptr;
+        operators_finish(s);
     });
 }
--- a/tests/sim/cluster_run.h
+++ b/tests/sim/cluster_run.h
@@ -20,25 +20,25 @@
     }
     Cluster(uint64_t seed, const cluster_options &options)
     {
-        cluster_start_as(&c, seed, &options);
+        cluster_start_with_options(&c, seed, &options);
         cluster_run(&c, 1000);
-        operator_first(&c);
+        operator_first_config(&c);
         cluster_run(&c, 2000);
     }
     ~Cluster()
     {
-        EXPECT_EQ(c.n_breaches, 0) << "seed " << seed_ << story();
-        EXPECT_GT(c.judged, 100);
+        EXPECT_EQ(c.n_violations, 0) << "seed " << seed_ << trace();
+        EXPECT_GT(c.n_checks, 100);
         if (getenv("SAGEHITCH_FIGURES"))
             printf("accepted %lld refused %lld done %lld starts %lld; ends done %lld failed %lld stopped %lld "
                    "lapsed %lld broken %lld alone %lld; room refused %lld late orders %lld lost core-s %lld\n",
-                   (long long)c.n_accepted, (long long)c.n_refused, (long long)c.n_shown_done, (long long)c.n_starts,
-                   (long long)c.n_ends[1], (long long)c.n_ends[2], (long long)c.n_ends[3], (long long)c.n_ends[4],
-                   (long long)c.n_ends[5], (long long)c.n_ends[6], (long long)c.n_capacity_refused,
-                   (long long)c.n_late_orders, (long long)c.lost_core_ms / 1000);
-        cluster_end(&c);
+                   (long long)c.n_accepted, (long long)c.n_refused, (long long)c.n_jobs_seen_done,
+                   (long long)c.n_starts, (long long)c.n_ends[1], (long long)c.n_ends[2], (long long)c.n_ends[3],
+                   (long long)c.n_ends[4], (long long)c.n_ends[5], (long long)c.n_ends[6],
+                   (long long)c.n_capacity_refused, (long long)c.n_late_orders, (long long)c.lost_core_ms / 1000);
+        cluster_free(&c);
     }
-    std::string story() { return story_of(&c); }
+    std::string trace() { return trace_of(&c); }
     void run(int64_t ms) { cluster_run(&c, ms); }
     host *core(int64_t n) { return cluster_controller(&c, n); }
     host *leader()
@@ -50,14 +50,14 @@
     standin *executor(int64_t n) { return cluster_standin(&c, n); }
     void close()
     {
-        cluster_close(&c);
-        EXPECT_GT(c.n_accepted, 0) << story();
-        EXPECT_GT(c.n_shown_done, 0) << story();
+        cluster_finish(&c);
+        EXPECT_GT(c.n_accepted, 0) << trace();
+        EXPECT_GT(c.n_jobs_seen_done, 0) << trace();
     }
     uint64_t seed_ = 0;
 };
 
-template <class Body> void over(Body body, int fixed = 3)
+template <class Body> void for_each_seed(Body body, int fixed = 3)
 {
     for (uint64_t seed : seeds(fixed)) {
         SCOPED_TRACE("seed " + std::to_string(seed));
--- a/tests/sim/cluster_second_loss_test.cc
+++ b/tests/sim/cluster_second_loss_test.cc
@@ -93,12 +93,12 @@
         if (!led || (!hears_nobody && !left_alone))
             return;
         cluster_run(&s.c, STEPS_DOWN_MS);
-        EXPECT_GT(s.c.n_events[EV_MAJORITY_LOST], majority_lost_before) << s.story();
+        EXPECT_GT(s.c.n_events[EV_MAJORITY_LOST], majority_lost_before) << s.trace();
     }
     void live_without()
     {
         if (borne) {
-            EXPECT_GE(s.serves_within(SERVES_MS), 0) << "a majority was left\n" << s.story();
+            EXPECT_GE(s.serves_within(SERVES_MS), 0) << "a majority was left\n" << s.trace();
         } else {
             cluster_run(&s.c, 3000 + cluster_pick(&s.c, 5000));
         }
@@ -109,8 +109,8 @@
     {
         for (host *h : victims)
             s.restore(h, plan.second);
-        EXPECT_GE(s.serves_within(SERVES_MS), 0) << "a majority is back\n" << s.story();
-        EXPECT_TRUE(s.run_until_whole()) << s.story();
+        EXPECT_GE(s.serves_within(SERVES_MS), 0) << "a majority is back\n" << s.trace();
+        EXPECT_TRUE(s.run_until_whole()) << s.trace();
     }
 
   public:
@@ -121,7 +121,7 @@
         operator_change(&s.c, 0, 0);
         cluster_run(&s.c, 500);
         s.lose_first();
-        ASSERT_TRUE(s.run_to(plan.at)) << s.story();
+        ASSERT_TRUE(s.run_to(plan.at)) << s.trace();
         operator_change(&s.c, 1, 0);
         lose_second();
         live_without();
@@ -136,11 +136,11 @@
         plan.victim = cluster_pick(&s.c, 2) ? LEADER : ANY_VOTER;
         plan.n_victims = plan.voters / 2;
         pick_victims();
-        EXPECT_TRUE(s.electable(victims)) << s.story();
+        EXPECT_TRUE(s.electable(victims)) << s.trace();
         for (host *h : victims)
             s.lose(h, loss, SERVES_MS + 1000);
         s.reread_seeds();
-        EXPECT_GE(s.serves_within(SERVES_MS), 0) << "after the third loss\n" << s.story();
+        EXPECT_GE(s.serves_within(SERVES_MS), 0) << "after the third loss\n" << s.trace();
         for (host *h : victims)
             s.restore(h, loss);
     }
@@ -166,17 +166,17 @@
         operator_change(&s.c, 1, 0);
         s.expect_agreement();
         s.heal_all();
-        EXPECT_GE(s.serves_within(SERVES_MS), 0) << "a majority is back\n" << s.story();
-        EXPECT_TRUE(s.run_until_whole()) << s.story();
+        EXPECT_GE(s.serves_within(SERVES_MS), 0) << "a majority is back\n" << s.trace();
+        EXPECT_TRUE(s.run_until_whole()) << s.trace();
     }
     void close()
     {
         operator_read(&s.c);
         s.run_until_thawed();
-        cluster_close(&s.c);
+        cluster_finish(&s.c);
         s.expect_one_log();
         s.expect_agreement();
-        EXPECT_GT(s.c.n_shown_done, 0) << s.story();
+        EXPECT_GT(s.c.n_jobs_seen_done, 0) << s.trace();
     }
 };
 
--- a/tests/sim/cluster_story.h
+++ b/tests/sim/cluster_story.h
@@ -7,9 +7,9 @@
 #include "sim/cluster.h"
 }
 
-inline std::string story_of(struct cluster *cluster)
+inline std::string trace_of(struct cluster *cluster)
 {
-    char *text = cluster_story(cluster);
+    char *text = cluster_trace_text(cluster);
     std::string all = text;
     free(text);
     return all;
--- a/tests/sim/cluster_test.cc
+++ b/tests/sim/cluster_test.cc
@@ -4,24 +4,24 @@
 
 TEST(Cluster, Calm)
 {
-    over([](Cluster &s) {
+    for_each_seed([](Cluster &s) {
         callers_load(&s.c, 5, 15000);
         for (int i = 0; i < 5; i++) {
             s.run(3000);
             operator_change(&s.c, i == 2, i == 3 ? 1 + (int)cluster_pick(&s.c, 3) : 0);
             operator_read(&s.c);
         }
-        EXPECT_EQ(s.c.n_refused, 0) << s.story();
+        EXPECT_EQ(s.c.n_refused, 0) << s.trace();
     });
 }
 
 TEST(Cluster, LeaderKilled)
 {
-    over([](Cluster &s) {
+    for_each_seed([](Cluster &s) {
         callers_load(&s.c, 5, 20000);
         for (int i = 0; i < 3; i++) {
             s.run(3000);
-            s.c.calm = 0;
+            s.c.fault_free = 0;
             host *h = s.leader();
             operator_change(&s.c, 1, 0);
             host_kill(h, i == 1);
@@ -33,10 +33,10 @@
 
 TEST(Cluster, RollingRestart)
 {
-    over([](Cluster &s) {
+    for_each_seed([](Cluster &s) {
         callers_load(&s.c, 5, 30000);
         s.run(3000);
-        s.c.calm = 0;
+        s.c.fault_free = 0;
         for (int64_t i = 0; i < s.c.n; i++) {
             host_leave(s.c.hosts[i]);
             s.run(2500);
@@ -46,10 +46,10 @@
 
 TEST(Cluster, AllPowerLost)
 {
-    over([](Cluster &s) {
+    for_each_seed([](Cluster &s) {
         callers_load(&s.c, 5, 20000);
         s.run(5000);
-        s.c.calm = 0;
+        s.c.fault_free = 0;
         operator_change(&s.c, 0, 0);
         s.run(300 + cluster_pick(&s.c, 300));
         for (int64_t i = 0; i < s.c.n; i++) {
@@ -66,10 +66,10 @@
 
 TEST(Cluster, DiskWipedAfterAck)
 {
-    over([](Cluster &s) {
+    for_each_seed([](Cluster &s) {
         callers_load(&s.c, 5, 15000);
         s.run(4000);
-        s.c.calm = 0;
+        s.c.fault_free = 0;
         int64_t before = s.c.acked_version;
         operator_change(&s.c, 0, 0);
         while (s.c.acked_version == before && s.c.now_us < 60000000)
@@ -89,10 +89,10 @@
 
 TEST(Cluster, VoterReplaced)
 {
-    over([](Cluster &s) {
+    for_each_seed([](Cluster &s) {
         callers_load(&s.c, 5, 25000);
         s.run(4000);
-        s.c.calm = 0;
+        s.c.fault_free = 0;
         cluster_replace(cluster_pick(&s.c, 2) ? s.leader() : s.core(1));
         s.run(12000);
         cluster_replace(s.leader());
@@ -102,10 +102,10 @@
 
 TEST(Cluster, CoreCut)
 {
-    over([](Cluster &s) {
+    for_each_seed([](Cluster &s) {
         callers_load(&s.c, 5, 20000);
         s.run(3000);
-        s.c.calm = 0;
+        s.c.fault_free = 0;
         for (int i = 0; i < 2; i++) {
             host *h = i ? s.core(cluster_pick(&s.c, 3)) : s.leader();
             if (i)
@@ -124,10 +124,10 @@
 
 TEST(Cluster, AgentCutOff)
 {
-    over([](Cluster &s) {
+    for_each_seed([](Cluster &s) {
         callers_load(&s.c, 5, 20000);
         s.run(3000);
-        s.c.calm = 0;
+        s.c.fault_free = 0;
         for (int i = 0; i < 3; i++) {
             host_cut_off(s.executor(cluster_pick(&s.c, 8))->host);
             host_cut_off(s.executor(cluster_pick(&s.c, 8))->host);
@@ -140,10 +140,10 @@
 
 TEST(Cluster, AgentsKilledAndFrozen)
 {
-    over([](Cluster &s) {
+    for_each_seed([](Cluster &s) {
         callers_load(&s.c, 5, 20000);
         s.run(3000);
-        s.c.calm = 0;
+        s.c.fault_free = 0;
         for (int i = 0; i < 6; i++) {
             host *h = s.executor(cluster_pick(&s.c, 8))->host;
             if (cluster_pick(&s.c, 2))
@@ -160,10 +160,10 @@
 
 TEST(Cluster, ExecutorsCrash)
 {
-    over([](Cluster &s) {
+    for_each_seed([](Cluster &s) {
         callers_load(&s.c, 5, 20000);
         s.run(3000);
-        s.c.calm = 0;
+        s.c.fault_free = 0;
         for (int i = 0; i < 6; i++) {
             standin_crash(s.executor(cluster_pick(&s.c, 8)), cluster_pick(&s.c, 5000));
             s.run(2500);
@@ -173,17 +173,17 @@
 
 TEST(Cluster, ExecutorsGrey)
 {
-    over([](Cluster &s) {
+    for_each_seed([](Cluster &s) {
         callers_load(&s.c, 5, 20000);
         s.run(3000);
-        s.c.calm = 0;
+        s.c.fault_free = 0;
         for (int i = 0; i < 5; i++) {
             standin *x = s.executor(cluster_pick(&s.c, 8));
             int64_t until_us = s.c.now_us + 1000 * (1000 + cluster_pick(&s.c, 5000));
             switch (cluster_pick(&s.c, 4)) {
-            case 0: x->hang_us = until_us; break;
-            case 1: x->fail_us = until_us; break;
-            case 2: x->sick_us = until_us; break;
+            case 0: x->hang_until_us = until_us; break;
+            case 1: x->fail_until_us = until_us; break;
+            case 2: x->sick_until_us = until_us; break;
             case 3: x->slow_pct = 300; break;
             }
             s.run(3000);
@@ -193,13 +193,13 @@
 
 TEST(Cluster, LateOrders)
 {
-    over([](Cluster &s) {
+    for_each_seed([](Cluster &s) {
         callers_load(&s.c, 5, 20000);
         s.run(3000);
-        s.c.calm = 0;
+        s.c.fault_free = 0;
         for (int i = 0; i < 8; i++) {
             standin *x = s.executor(cluster_pick(&s.c, 8));
-            x->late_us = s.c.now_us + 5000000;
+            x->late_until_us = s.c.now_us + 5000000;
             if (i == 4)
                 host_kill(s.leader(), 0);
             s.run(2000);
@@ -210,7 +210,7 @@
 
 TEST(Cluster, Drain)
 {
-    over([](Cluster &s) {
+    for_each_seed([](Cluster &s) {
         callers_load(&s.c, 5, 20000);
         s.run(3000);
         for (int i = 0; i < 4; i++) {
@@ -223,10 +223,10 @@
 
 TEST(Cluster, ClocksJump)
 {
-    over([](Cluster &s) {
+    for_each_seed([](Cluster &s) {
         callers_load(&s.c, 4, 20000);
         s.run(3000);
-        s.c.calm = 0;
+        s.c.fault_free = 0;
         for (int i = 0; i < 4; i++) {
             host *h = s.c.hosts[cluster_pick(&s.c, s.c.n)];
             host_skew(h, cluster_pick(&s.c, 2) ? 2400 : -2400);
@@ -238,14 +238,14 @@
 
 TEST(Cluster, BurstAndPreemption)
 {
-    over([](Cluster &s) {
+    for_each_seed([](Cluster &s) {
         callers_load(&s.c, 6, 15000);
         for (int i = 0; i < 3; i++) {
-            callers_burst(&s.c, 6, SCHEMA_LARGE);
-            callers_burst(&s.c, 6, SCHEMA_SAVES);
+            callers_burst(&s.c, 6, SHAPE_LARGE);
+            callers_burst(&s.c, 6, SHAPE_CHECKPOINTS);
             s.run(1500);
-            callers_burst(&s.c, 10, SCHEMA_ONE);
-            callers_burst(&s.c, 3, SCHEMA_GANG);
+            callers_burst(&s.c, 10, SHAPE_SINGLE_STEP);
+            callers_burst(&s.c, 3, SHAPE_GANG);
             s.run(3500);
         }
         s.run(10000);
@@ -265,10 +265,10 @@
     case 5: host_leave(any); break;
     case 6: standin_crash(x, cluster_pick(&s.c, 6000)); break;
     case 7: standin_drain(x, 2000); break;
-    case 8: x->late_us = s.c.now_us + 4000000; break;
-    case 9: x->hang_us = s.c.now_us + cluster_pick(&s.c, 6000000); break;
-    case 10: x->fail_us = s.c.now_us + 2000000; break;
-    case 11: callers_burst(&s.c, 10, (enum job_schema)cluster_pick(&s.c, SCHEMA_COUNT)); break;
+    case 8: x->late_until_us = s.c.now_us + 4000000; break;
+    case 9: x->hang_until_us = s.c.now_us + cluster_pick(&s.c, 6000000); break;
+    case 10: x->fail_until_us = s.c.now_us + 2000000; break;
+    case 11: callers_burst(&s.c, 10, (enum job_shape)cluster_pick(&s.c, SHAPE_COUNT)); break;
     case 12: operator_change(&s.c, (int)cluster_pick(&s.c, 2), (int)cluster_pick(&s.c, 4)); break;
     case 13: host_skew(any, cluster_pick(&s.c, 4800) - 2400); break;
     case 14: s.c.slow_link_ms = cluster_pick(&s.c, 80); break;
@@ -278,10 +278,10 @@
 
 TEST(Cluster, Mix)
 {
-    over([](Cluster &s) {
+    for_each_seed([](Cluster &s) {
         callers_load(&s.c, 4, 40000);
         s.run(3000);
-        s.c.calm = 0;
+        s.c.fault_free = 0;
         for (int i = 0; i < 24; i++) {
             strike(s);
             s.run(300 + cluster_pick(&s.c, 2500));
