--- a/sim/cluster_codec.c
+++ b/sim/cluster_codec.c
@@ -117,7 +117,7 @@
         run_lists_free(&report.lists);
         return rc;
     }
-    *api_request_make_beat(request) =
+    *api_request_make_heartbeat(request) =
         (struct executor_heartbeat){.kind = strcmp(http->method, "DELETE") ? HEARTBEAT_ALIVE : HEARTBEAT_LEAVING,
                                     .seq = body.seq,
                                     .address = must_dup(""),
--- a/src/agent/agent_heartbeats.c
+++ b/src/agent/agent_heartbeats.c
@@ -136,8 +136,8 @@
     int error = codec->read(&request, http_request, &validation_error);
     if (!error && request.kind != REQUEST_HEARTBEAT)
         error = ERROR_NOT_FOUND;
-    if (!error && accept_heartbeat(agent, api_request_beat(&request), now) && agent->setup.orders_by_heartbeat) {
-        agent_heartbeat_received(agent, slot, &api_request_beat(&request)->account, now);
+    if (!error && accept_heartbeat(agent, api_request_heartbeat(&request), now) && agent->setup.orders_by_heartbeat) {
+        agent_heartbeat_received(agent, slot, &api_request_heartbeat(&request)->account, now);
         schema_free(&api_request_schema, &request);
         return;
     }
--- a/src/controller/api_message.c
+++ b/src/controller/api_message.c
@@ -110,7 +110,7 @@
 
 void api_request_make_ready(struct api_request *request) { set_kind(request, REQUEST_READY); }
 
-struct executor_heartbeat *api_request_make_beat(struct api_request *request)
+struct executor_heartbeat *api_request_make_heartbeat(struct api_request *request)
 {
     set_kind(request, REQUEST_HEARTBEAT);
     return &request->body.heartbeat;
@@ -154,7 +154,7 @@
     return &request->body.config;
 }
 
-struct executor_heartbeat *api_request_beat(struct api_request *request)
+struct executor_heartbeat *api_request_heartbeat(struct api_request *request)
 {
     check_kind(request->kind, KIND_BIT(REQUEST_HEARTBEAT));
     return &request->body.heartbeat;
--- a/src/controller/api_message.h
+++ b/src/controller/api_message.h
@@ -52,7 +52,7 @@
 struct config_change *api_request_make_config_patch(struct api_request *request);
 void api_request_make_config_get(struct api_request *request);
 void api_request_make_ready(struct api_request *request);
-struct executor_heartbeat *api_request_make_beat(struct api_request *request);
+struct executor_heartbeat *api_request_make_heartbeat(struct api_request *request);
 void api_request_make_why(struct api_request *request, int64_t job_id);
 /* outlet: is copied; NULL: the rules of the head office. The returned change has the defaults of its schema. */
 struct rules_change *api_request_make_rules_put(struct api_request *request, const char *outlet);
@@ -63,7 +63,7 @@
 const struct job_spec *api_request_job(const struct api_request *request);
 int64_t api_request_job_id(const struct api_request *request);                     /* of all four kinds that have it */
 const struct config_change *api_request_config(const struct api_request *request); /* of both kinds */
-struct executor_heartbeat *api_request_beat(struct api_request *request);
+struct executor_heartbeat *api_request_heartbeat(struct api_request *request);
 const struct rules_change *api_request_rules(const struct api_request *request);
 const char *api_request_outlet(const struct api_request *request); /* REQUEST_RULES_GET; NULL: head office */
 
--- a/tests/bench/slopes_agent.c
+++ b/tests/bench/slopes_agent.c
@@ -69,7 +69,7 @@
 {
     static int64_t seq;
     (void)web, (void)validation_error;
-    struct executor_heartbeat *beat = api_request_make_beat(request);
+    struct executor_heartbeat *beat = api_request_make_heartbeat(request);
     *beat = (struct executor_heartbeat){.kind = HEARTBEAT_ALIVE, .seq = ++seq};
     beat->state = (struct executor_state){.incarnation = must_dup("10.1.0.20:8200/1764650000"),
                                           .service = must_dup("training"),
--- a/tests/platform/platform_test.h
+++ b/tests/platform/platform_test.h
@@ -44,7 +44,7 @@
     }
     ~ParsedRequest() { schema_free(&api_request_schema, &request); }
     ParsedRequest(const ParsedRequest &) = delete;
-    const executor_heartbeat &heartbeat() const { return *api_request_beat(const_cast<api_request *>(&request)); }
+    const executor_heartbeat &heartbeat() const { return *api_request_heartbeat(const_cast<api_request *>(&request)); }
     bool empty() const
     {
         const auto *bytes = reinterpret_cast<const unsigned char *>(&request);
--- a/tests/unit/agent_executor.h
+++ b/tests/unit/agent_executor.h
@@ -117,7 +117,7 @@
         api_request_make_count(request);
         return 0;
     }
-    executor_heartbeat *heartbeat = api_request_make_beat(request);
+    executor_heartbeat *heartbeat = api_request_make_heartbeat(request);
     in >> kind >> incarnation >> heartbeat->seq >> heartbeat->state.draining;
     heartbeat->kind = kind;
     heartbeat->state.incarnation = must_dup(incarnation.c_str());
--- a/tests/unit/api_message_test.cc
+++ b/tests/unit/api_message_test.cc
@@ -31,7 +31,7 @@
     {REQUEST_CONFIG_PATCH, [](api_request *r) { api_request_make_config_patch(r); }},
     {REQUEST_CONFIG_GET, api_request_make_config_get},
     {REQUEST_READY, api_request_make_ready},
-    {REQUEST_HEARTBEAT, [](api_request *r) { api_request_make_beat(r); }},
+    {REQUEST_HEARTBEAT, [](api_request *r) { api_request_make_heartbeat(r); }},
     {REQUEST_WHY, [](api_request *r) { api_request_make_why(r, 7); }},
     {REQUEST_RULES_PUT, [](api_request *r) { api_request_make_rules_put(r, "north"); }},
     {REQUEST_RULES_GET, [](api_request *r) { api_request_make_rules_get(r, "north"); }},
@@ -63,7 +63,7 @@
     expect_readable_only_for({REQUEST_STATE, REQUEST_CANCEL, REQUEST_WHY, REQUEST_RULES_JOB},
                              [](api_request *r) { EXPECT_EQ(api_request_job_id(r), 7); });
     expect_readable_only_for({REQUEST_CONFIG_PUT, REQUEST_CONFIG_PATCH}, [](api_request *r) { api_request_config(r); });
-    expect_readable_only_for({REQUEST_HEARTBEAT}, [](api_request *r) { api_request_beat(r); });
+    expect_readable_only_for({REQUEST_HEARTBEAT}, [](api_request *r) { api_request_heartbeat(r); });
     expect_readable_only_for({REQUEST_RULES_PUT},
                              [](api_request *r) { EXPECT_STREQ(api_request_rules(r)->outlet, "north"); });
     expect_readable_only_for({REQUEST_RULES_GET}, [](api_request *r) { EXPECT_STREQ(api_request_outlet(r), "north"); });
--- a/tests/unit/packed_bytes_test.cc
+++ b/tests/unit/packed_bytes_test.cc
@@ -194,7 +194,7 @@
 TEST(PackedBytes, RequestOfABeat)
 {
     Request r(false);
-    executor_heartbeat *beat = api_request_make_beat(&r.request);
+    executor_heartbeat *beat = api_request_make_heartbeat(&r.request);
     beat->kind = HEARTBEAT_LEAVING;
     beat->seq = 12;
     beat->address = must_dup("10.9.8.7:8080");
