--- a/src/node/node.h
+++ b/src/node/node.h
@@ -111,8 +111,8 @@
     struct buffered_op *buffer;
     int64_t n_buffer;
     struct breaker breaker;
-    struct ready *readies;
-    int64_t n_readies;
+    struct ready *ready_queues;
+    int64_t n_ready_queues;
     Pvoid_t times; /* JudyL: ms -> list of the tasks to look at then */
     struct task_ref *placed;
     int64_t n_placed;
@@ -128,16 +128,16 @@
 };
 
 /* A reservation for row no of a job on one executor. */
-struct staging_place {
-    int64_t no, executor_summary, answered, good;
+struct reservation {
+    int64_t no, executor_summary, replied, good;
     char *executor;
     int64_t executor_epoch, incarnation, executor_owner;
 };
 /* The placement of one row, or of all rows of a gang: reserved on executors, then committed. */
 struct staging {
     int64_t shard, shard_epoch, job, queue, until_ms, committing, n_places, failed, step, urgency;
-    int64_t ignores_view; /* reserves even where the executor summary shows no free capacity */
-    struct staging_place *places;
+    int64_t ignores_summary; /* reserves even where the executor summary shows no free capacity */
+    struct reservation *places;
 };
 
 /* applied_index: the last entry of the control log in config_tree. confirmed_ms: when the last request for updates that
--- a/src/shard/assign.c
+++ b/src/shard/assign.c
@@ -118,9 +118,10 @@
         return "has no recent report from its owner";
     if (config_tree_drain(&node->config_tree, summary->executor, now_ms, node_settings(node, job->queue)->lease_ms))
         return "is drained by the calendar";
-    if ((!current || !current->ignores_view) && (summary->free_cores < task->cores || summary->free_mb < task->mem_mb))
+    if ((!current || !current->ignores_summary) &&
+        (summary->free_cores < task->cores || summary->free_mb < task->mem_mb))
         return "has no free capacity now";
-    if (current && !current->ignores_view && current->urgency > summary->urgency_limit)
+    if (current && !current->ignores_summary && current->urgency > summary->urgency_limit)
         return "keeps its capacity for more urgent work";
     struct placed_counts counts = count_step(node, job, step, summary, current);
     if (step_spec->per_executor && counts.on_executor >= step_spec->per_executor)
@@ -189,7 +190,7 @@
 static void unassign(struct node *node, const struct job *job, struct staging *staging)
 {
     for (int64_t i = 0; i < staging->n_places; i++) {
-        struct staging_place *placement = &staging->places[i];
+        struct reservation *placement = &staging->places[i];
         struct executor_summary *summary =
             placement->executor ? executor_summary_find(node, placement->executor) : NULL;
         const struct task_spec *task = spec_task(&job->spec, placement->no, NULL);
@@ -205,7 +206,7 @@
 static int assign_on_rack(struct node *node, const struct job *job, struct staging *staging, const char *rack)
 {
     for (int64_t i = 0; i < staging->n_places; i++) {
-        struct staging_place *placement = &staging->places[i];
+        struct reservation *placement = &staging->places[i];
         struct executor_summary *summary = best_executor(node, job, placement->no, staging, rack);
         const struct task_spec *task = spec_task(&job->spec, placement->no, NULL);
         if (!summary) {
--- a/src/shard/place.c
+++ b/src/shard/place.c
@@ -34,7 +34,7 @@
 static int64_t build_request(struct node *node, const struct staging *staging, int64_t number, int64_t i,
                              struct reserve_request *message)
 {
-    const struct staging_place *first = &staging->places[i];
+    const struct reservation *first = &staging->places[i];
     struct job *job = staging_job(node, staging);
     *message = (struct reserve_request){.req = number,
                                         .shard = staging->shard,
@@ -47,7 +47,7 @@
         if (!strcmp(staging->places[k].executor, first->executor))
             return 0; /* contained in the request of that entry */
     for (int64_t k = i; k < staging->n_places; k++) {
-        const struct staging_place *placement = &staging->places[k];
+        const struct reservation *placement = &staging->places[k];
         if (strcmp(placement->executor, first->executor))
             continue;
         const struct task_spec *task = spec_task(&job->spec, placement->no, NULL);
@@ -107,7 +107,7 @@
     staging->committing = 1;
     struct op *op = worker_buffer(node, shard, OP_PLACED, job->id, 0, number);
     for (int64_t i = 0; i < staging->n_places; i++) {
-        const struct staging_place *placement = &staging->places[i];
+        const struct reservation *placement = &staging->places[i];
         *array_add(op->placements, op->n_placements) =
             (struct placement){.no = placement->no,
                                .attempt = job->rows[placement->no].attempt + 1,
@@ -125,10 +125,10 @@
         return;
     int64_t waiting = 0;
     for (int64_t i = 0; i < staging->n_places; i++) {
-        struct staging_place *placement = &staging->places[i];
+        struct reservation *placement = &staging->places[i];
         if (!strcmp(placement->executor, message->executor))
-            placement->answered = 1;
-        waiting += !placement->answered;
+            placement->replied = 1;
+        waiting += !placement->replied;
     }
     struct executor_summary *summary = executor_summary_find(node, message->executor);
     if (message->error) {
@@ -213,7 +213,7 @@
     if (rc && not_before_ms <= now_ms) {
         /* No executor has capacity for the queue's most urgent row. Try to reserve all the same, so that an executor's
          * owner keeps capacity for it, and do not search for the queue's other rows for a while. */
-        staging->ignores_view = 1;
+        staging->ignores_summary = 1;
         rc = assign_places(node, shard, job, staging);
         node->queues[job->queue].blocked_ms = world_ms(node->w) + QUEUE_BLOCK_MS;
     }
--- a/src/shard/ready.c
+++ b/src/shard/ready.c
@@ -69,10 +69,10 @@
 
 static struct ready *ready_queue(struct shard *shard, int64_t queue)
 {
-    for (int64_t i = 0; i < shard->n_readies; i++)
-        if (shard->readies[i].queue == queue)
-            return &shard->readies[i];
-    struct ready *ready = array_add(shard->readies, shard->n_readies);
+    for (int64_t i = 0; i < shard->n_ready_queues; i++)
+        if (shard->ready_queues[i].queue == queue)
+            return &shard->ready_queues[i];
+    struct ready *ready = array_add(shard->ready_queues, shard->n_ready_queues);
     ready->queue = queue;
     return ready;
 }
@@ -138,11 +138,11 @@
         slot = (PWord_t)JudyLNext(shard->times, &key, NULL);
     }
     JudyLFreeArray(&shard->times, NULL);
-    for (int64_t i = 0; i < shard->n_readies; i++)
-        free(shard->readies[i].items);
-    free(shard->readies);
-    shard->readies = NULL;
-    shard->n_readies = 0;
+    for (int64_t i = 0; i < shard->n_ready_queues; i++)
+        free(shard->ready_queues[i].items);
+    free(shard->ready_queues);
+    shard->ready_queues = NULL;
+    shard->n_ready_queues = 0;
 }
 
 void ready_rebuild(struct node *node, struct shard *shard)
@@ -272,16 +272,17 @@
         struct shard *candidate = &node->shards[i];
         if (candidate->state != SHARD_OPEN)
             continue;
-        for (int64_t k = 0; k < candidate->n_readies; k++) {
-            if (!candidate->readies[k].n || queue_saturated(node, candidate->readies[k].queue, world_ms(node->w)))
+        for (int64_t k = 0; k < candidate->n_ready_queues; k++) {
+            if (!candidate->ready_queues[k].n ||
+                queue_saturated(node, candidate->ready_queues[k].queue, world_ms(node->w)))
                 continue;
-            struct ready_item *head = valid_head(node, candidate, &candidate->readies[k], now_ms);
+            struct ready_item *head = valid_head(node, candidate, &candidate->ready_queues[k], now_ms);
             if (!head)
                 continue;
-            int64_t urgency = row_urgency(node, candidate->readies[k].queue, head->priority, head->due_ms, now_ms);
+            int64_t urgency = row_urgency(node, candidate->ready_queues[k].queue, head->priority, head->due_ms, now_ms);
             if (best && (urgency > best_urgency || (urgency == best_urgency && !is_before(head, &best->items[0]))))
                 continue;
-            best = &candidate->readies[k];
+            best = &candidate->ready_queues[k];
             best_urgency = urgency;
             *shard = candidate;
         }
