--- a/src/dispatch/leader_requests.c
+++ b/src/dispatch/leader_requests.c
@@ -143,7 +143,7 @@
 static void answer_rules(struct dispatch *dispatch, int64_t ticket, const struct api_request *request)
 {
     struct bytes text = {0};
-    struct api_response response = rules_answer(dispatch->record, request, &text);
+    struct api_response response = rules_response(dispatch->record, request, &text);
     dispatch->calls.answer(dispatch->calls.arg, ticket, &response);
     bytes_free(&text);
 }
--- a/src/dispatch/record_ops.c
+++ b/src/dispatch/record_ops.c
@@ -93,7 +93,7 @@
         spec->outlet ? rules_outlet(&record->rules, spec->outlet) : rules_outlet_of_queue(&record->rules, op->queue);
     if (outlet < 0)
         return spec->outlet ? ERROR_NOT_FOUND : ERROR_NONE;
-    *rules = rules_stamp(&record->rules, outlet);
+    *rules = job_rules_new(&record->rules, outlet);
     for (int64_t s = 0; s < spec->n_steps; s++)
         if (spec->steps[s].gang && (*rules)->values.running_most > 0 &&
             spec->steps[s].task_count > (*rules)->values.running_most) {
--- a/src/rules/rules.c
+++ b/src/rules/rules.c
@@ -276,7 +276,7 @@
     return mine != RULE_UNSET && effective(&rules->head, &outlet->own, rule) != mine;
 }
 
-struct job_rules *rules_stamp(const struct rules *rules, int64_t outlet)
+struct job_rules *job_rules_new(const struct rules *rules, int64_t outlet)
 {
     struct job_rules *stamp = must_alloc(sizeof *stamp);
     stamp->outlet = outlet;
--- a/src/rules/rules.h
+++ b/src/rules/rules.h
@@ -81,7 +81,7 @@
 /* Whether the rule in force differs from the outlet's own. */
 int rule_clamped(const struct rules *rules, const struct outlet *outlet, int rule);
 /* The rules that a job accepted now gets for its whole life, owned by the caller. outlet: index. */
-struct job_rules *rules_stamp(const struct rules *rules, int64_t outlet);
+struct job_rules *job_rules_new(const struct rules *rules, int64_t outlet);
 /* Time of day of the newest opening up to wall_ms, and of the next one; 0: no hours are set. */
 int64_t rules_opened_ms(const struct rule_values *values, int64_t wall_ms);
 int64_t rules_opens_ms(const struct rule_values *values, int64_t wall_ms);
--- a/src/rules/rules_view.c
+++ b/src/rules/rules_view.c
@@ -99,7 +99,7 @@
     return outlet_view(rules, &rules->outlets[no]);
 }
 
-struct api_response rules_answer(const struct record *record, const struct api_request *request, struct bytes *text)
+struct api_response rules_response(const struct record *record, const struct api_request *request, struct bytes *text)
 {
     int64_t version = 0;
     json_t *view = NULL;
--- a/src/rules/rules_view.h
+++ b/src/rules/rules_view.h
@@ -6,5 +6,5 @@
 
 /* The response to REQUEST_RULES_GET or REQUEST_RULES_JOB. Its text is appended to text, which must be empty and outlive
  * the response; the caller frees it with bytes_free(). */
-struct api_response rules_answer(const struct record *record, const struct api_request *request, struct bytes *text);
+struct api_response rules_response(const struct record *record, const struct api_request *request, struct bytes *text);
 #endif
--- a/tests/platform/rules_api_test.cc
+++ b/tests/platform/rules_api_test.cc
@@ -38,7 +38,7 @@
     {
         ParsedRequest parsed(get(path));
         bytes json = {};
-        api_response response = rules_answer(&r, &parsed.request, &json);
+        api_response response = rules_response(&r, &parsed.request, &json);
         int status = 0;
         char *body = nullptr;
         platform_api.write(&response, &status, &body);
