--- a/tests/sim/catch_up_test.cc
+++ b/tests/sim/catch_up_test.cc
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "cluster_story.h"
+#include "cluster_trace.h"
 #include "seeds.h"
 
 extern "C" {
--- a/tests/sim/cluster_bootstrap_test.cc
+++ b/tests/sim/cluster_bootstrap_test.cc
@@ -1,6 +1,6 @@
 // The first start of a fleet under troubles of the seeds that agree on its voters.
 // SAGEHITCH_SEEDS=N or FIRST-LAST for a longer sweep.
-#include "cluster_story.h"
+#include "cluster_trace.h"
 #include "fleet.h"
 
 extern "C" {
--- a/tests/sim/cluster_losses.h
+++ b/tests/sim/cluster_losses.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "cluster_story.h"
+#include "cluster_trace.h"
 
 extern "C" {
 #include "controller/controller_state.h"
--- a/tests/sim/cluster_members_test.cc
+++ b/tests/sim/cluster_members_test.cc
@@ -6,7 +6,7 @@
 #include <cstring>
 #include <string>
 
-#include "cluster_story.h"
+#include "cluster_trace.h"
 #include "seeds.h"
 
 extern "C" {
--- a/tests/sim/cluster_judge_api_test.cc
+++ b/tests/sim/cluster_oracle_api_test.cc
@@ -1,5 +1,5 @@
 // The oracle of the cluster simulator reports each violation in the responses that callers and operators get.
-#include "cluster_judge.h"
+#include "cluster_oracle.h"
 
 using ClusterOracleApi = ClusterOracle;
 
--- a/tests/sim/cluster_judge_test.cc
+++ b/tests/sim/cluster_oracle_test.cc
@@ -1,7 +1,7 @@
 // The oracle of the cluster simulator reports each violation that a test produces, and none in correct runs: a check
 // that cannot fail is a defect. These tests cover what executors observe; cluster_oracle_api_test.cc covers what
 // callers and operators observe.
-#include "cluster_judge.h"
+#include "cluster_oracle.h"
 
 TEST_F(ClusterOracle, CorrectRunHasNoViolations)
 {
--- a/tests/sim/cluster_run.h
+++ b/tests/sim/cluster_run.h
@@ -1,6 +1,6 @@
 // A simulated cluster for scenarios that run over a list of seeds. Violations that the oracle finds fail the test.
 #pragma once
-#include "cluster_story.h"
+#include "cluster_trace.h"
 #include "fleet.h"
 
 extern "C" {
