--- a/src/dispatch/plan_round.h
+++ b/src/dispatch/plan_round.h
@@ -1,4 +1,4 @@
-/* State and internal functions of a planning round, shared by plan*.c and rules/turns.c. */
+/* State and internal functions of a planning round, shared by plan*.c and rules/outlet_limits.c. */
 #ifndef SAGEHITCH_DISPATCH_PLAN_ROUND_H
 #define SAGEHITCH_DISPATCH_PLAN_ROUND_H
 #include "dispatch/plan.h"
@@ -77,7 +77,7 @@
     return &entry->job->spec.steps[entry->step];
 }
 
-/* rules/turns.c: order of an outlet's jobs, its opening hours and its limit of running tasks. */
+/* rules/outlet_limits.c: order of an outlet's jobs, its opening hours and its limit of running tasks. */
 /* Starts a round. */
 void outlet_limits_begin(struct plan_round *round);
 /* Whether the job may start or continue. Only for jobs of an outlet; must be called once for each live one, in order of
--- a/tests/sim/season.h
+++ b/tests/sim/season.h
@@ -11,7 +11,7 @@
 #include "dispatch/leader.h"
 #include "rules/rules_view.h"
 }
-#include "season_judge.h"
+#include "season_oracle.h"
 
 namespace season
 {
--- a/tests/sim/season_planted_test.cc
+++ b/tests/sim/season_oracle_test.cc
@@ -1,5 +1,5 @@
 // A judge that notices nothing proves nothing: breaches planted into a good history.
-#include "season_office.h"
+#include "season_driver.h"
 
 using namespace season;
 
--- a/tests/sim/season_test.cc
+++ b/tests/sim/season_test.cc
@@ -1,6 +1,6 @@
 // A busy season: forty outlets, head office that changes its mind, outlets that adjust, leaders
 // that change, nodes that restart, executors that go down; and a judge of its own.
-#include "season_office.h"
+#include "season_driver.h"
 
 using namespace season;
 
