--- a/tests/sim/cluster_resets_test.cc
+++ b/tests/sim/cluster_resets_test.cc
@@ -120,7 +120,7 @@
         operator_read_from(&s.c, leader);
         s.run(50);
         EXPECT_EQ(s.c.read_version, base + 2) << "not taken by the leader it was sent to again\n" << s.trace();
-        EXPECT_EQ(s.c.changes[second].sends, 1) << s.trace();
+        EXPECT_EQ(s.c.changes[second].n_sends, 1) << s.trace();
         s.c.operators_target = nullptr;
         s.run(2000);
         EXPECT_EQ(s.c.changes[second].refusals, 0) << s.trace();
@@ -150,7 +150,7 @@
         s.c.links.reset_pct[HOP_RELAY][RESET_IN_RESPONSE] = 0;
         s.run(600);
         EXPECT_GT(s.c.changes[first].acked_us, 0) << s.trace();
-        EXPECT_EQ(s.c.changes[first].sends, 1) << s.trace();
+        EXPECT_EQ(s.c.changes[first].n_sends, 1) << s.trace();
         s.c.operators_target = nullptr;
         operators_finish(s);
     });
