--- a/tests/model/bootstrap_monitors.cc
+++ b/tests/model/bootstrap_monitors.cc
@@ -103,7 +103,7 @@
     check_acceptor(node);
     if (c.chosen_members.n && list_hash(c.chosen_members) != chosen_list_)
         report_violation("node %d holds a list for chosen that no majority accepted", node.number);
-    if (!list || !node.votes())
+    if (!list || !node.runs_log())
         return;
     check_announced_list(node, c.bootstrap_members);
     bool named = false;
--- a/tests/model/choices.cc
+++ b/tests/model/choices.cc
@@ -76,7 +76,7 @@
     }
     if (!node.up)
         return;
-    bool leads = node.votes() && node.log.role == LOG_LEADER, due = clock(node) >= node.log.election_due_ms;
+    bool leads = node.runs_log() && node.log.role == LOG_LEADER, due = clock(node) >= node.log.election_due_ms;
     if (may_choose('F'))
         to.push_back({'F', node.number, 0, 0});
     if (node.frozen)
@@ -96,7 +96,7 @@
             to.push_back({'A', node.number, how + 4, 0});
         }
     }
-    if (may_choose('N') && node.votes() && node.log.applied > node.log.snapshot_index)
+    if (may_choose('N') && node.runs_log() && node.log.applied > node.log.snapshot_index)
         to.push_back({'N', node.number, 0, 0});
     if (may_choose('H') && (leads || node.sync_deferred))
         to.push_back({'H', node.number, 0, 0});
--- a/tests/model/controller_node.cc
+++ b/tests/model/controller_node.cc
@@ -24,7 +24,7 @@
 
 /* --- start, stop and copy ------------------------------------------------------------------ */
 
-/* As controller_new() and open_log(). */
+/* Mirrors controller_new() and open_log(). */
 int Node::load_controller(bool first_start)
 {
     const std::string own_zone =
@@ -58,7 +58,7 @@
 
 void Node::unload()
 {
-    if (votes())
+    if (runs_log())
         log_end(&log);
     if (up && controller_setup) {
         bootstrap_end(&controller);
@@ -120,10 +120,10 @@
 
 /* --- frames and timers --------------------------------------------------------------------- */
 
-/* Updates the directory, as follow_log() does. */
+/* Mirrors how apply_log_role() updates the directory. */
 void Node::learn_leader()
 {
-    if (!votes())
+    if (!runs_log())
         return;
     if (log.role == LOG_LEADER && log_has_lease(&log))
         directory_learn_leader(&controller.directory, log.term, (int64_t)world.self);
@@ -134,24 +134,24 @@
         directory_learn_leader(&controller.directory, log.term, log.leader_addr);
 }
 
-/* As controller_take(). */
-int Node::take(const struct frame *frame)
+/* Mirrors controller_on_frame(). */
+int Node::on_frame(const struct frame *frame)
 {
     if (!controller_setup)
         return log_on_frame(&log, frame);
     if (frame_is_for_log(frame->kind)) {
-        int rc = votes() ? log_on_frame(&log, frame) : ERROR_NONE;
+        int rc = runs_log() ? log_on_frame(&log, frame) : ERROR_NONE;
         learn_leader();
         return rc;
     }
     if (frame->kind == FRAME_JOIN) {
         struct join join = {};
-        if (votes() && log.role == LOG_LEADER && !schema_unpack(&join_schema, &join, frame->body, frame->len))
+        if (runs_log() && log.role == LOG_LEADER && !schema_unpack(&join_schema, &join, frame->body, frame->len))
             members_on_join(&controller, &join);
         schema_free(&join_schema, &join);
     } else if (frame->kind == FRAME_LEAVING) {
         struct leaving said = {};
-        if (votes() && !schema_unpack(&leaving_schema, &said, frame->body, frame->len))
+        if (runs_log() && !schema_unpack(&leaving_schema, &said, frame->body, frame->len))
             leaving_on_message(&controller, (int64_t)frame->from, &said);
         schema_free(&leaving_schema, &said);
     } else {
@@ -160,7 +160,7 @@
     return ERROR_NONE;
 }
 
-/* As controller_on_timer(). */
+/* Mirrors controller_on_timer(). */
 void Node::on_timer()
 {
     if (!controller_setup) {
@@ -171,19 +171,19 @@
     if (now - last_timer_ms > PAUSE_MS)
         awake_since_ms = now;
     last_timer_ms = now;
-    if (votes()) {
+    if (runs_log()) {
         log_on_timer(&log);
         leave_on_timer();
         learn_leader();
     }
     bootstrap_on_timer(&controller);
-    if (votes()) {
+    if (runs_log()) {
         members_on_timer(&controller);
         leaving_on_timer(&controller);
     }
 }
 
-/* As defer_election() of controller.c. */
+/* Mirrors defer_election() of controller.c. */
 void Node::defer_election()
 {
     int64_t now = world_ms(&world);
@@ -192,8 +192,8 @@
         log.election_due_ms = now + ELECTION_MS;
 }
 
-/* As leave_on_timer() of controller.c, except that a leader never hands over because the grace period ends: GRACE_MS is
- * longer than every run. */
+/* Mirrors leave_on_timer() of controller.c, except that a leader never hands over because the grace period ends:
+ * GRACE_MS is longer than every run. */
 void Node::leave_on_timer()
 {
     int64_t now = world_ms(&world);
--- a/tests/model/model_cluster.cc
+++ b/tests/model/model_cluster.cc
@@ -169,7 +169,7 @@
     if (!node.up)
         return;
     auto *bytes = reinterpret_cast<const uint8_t *>(m.bytes->data());
-    if (frame_parse(&frame, bytes, (int64_t)m.bytes->size(), CLUSTER) || node.take(&frame))
+    if (frame_parse(&frame, bytes, (int64_t)m.bytes->size(), CLUSTER) || node.on_frame(&frame))
         report_violation("node %d cannot read a frame of node %d", m.to, m.from);
     else if (frame.kind == FRAME_APPENDED || frame.kind == FRAME_SNAPSHOT_CHUNK_ACK)
         node.last_reply_ms[m.from] = clock(node);
@@ -180,7 +180,7 @@
  * due; and checks the invariants. */
 void Cluster::end_turn(Node &node)
 {
-    if (node.votes() && !node.sync_deferred)
+    if (node.runs_log() && !node.sync_deferred)
         log_flush(&node.log);
     if (node.crashing)
         crash(node, (Crash)(node.crash_at_sync & 3));
@@ -233,7 +233,7 @@
     if (study_->controller_setup.frame_choices != MEMBERSHIP_FRAMES || directory_leader(&node.controller.directory))
         return;
     for (auto &other : nodes_)
-        if (other->votes() && !other->frozen && !((partition_ >> node.number ^ partition_ >> other->number) & 1) &&
+        if (other->runs_log() && !other->frozen && !((partition_ >> node.number ^ partition_ >> other->number) & 1) &&
             log_has_lease(&other->log))
             directory_learn_leader(&node.controller.directory, other->log.term, (int64_t)other->world.self);
 }
--- a/tests/model/model_cluster.h
+++ b/tests/model/model_cluster.h
@@ -114,8 +114,8 @@
     int load_controller(bool first_start);
     void unload();
     bool has_disk() const { return !controller_setup || !(controller_setup->diskless >> number & 1); }
-    bool votes() const { return up && has_disk(); } /* whether its log is in use */
-    int take(const struct frame *frame);
+    bool runs_log() const { return up && has_disk(); } /* whether its log is in use */
+    int on_frame(const struct frame *frame);
     void on_timer();
     const Durable &after_power_loss();
     uint64_t hash(int64_t clock) const;
--- a/tests/model/monitors.cc
+++ b/tests/model/monitors.cc
@@ -203,7 +203,7 @@
     const struct log *log = &node.log;
     if (node.controller_setup)
         check_controller(node);
-    if (!node.votes())
+    if (!node.runs_log())
         return;
     if (log->broken)
         return report_violation("node %d is broken", node.number);
@@ -226,10 +226,10 @@
     if (strchr(study_->choice_limits, 'X'))
         return;
     for (auto &node : nodes_) {
-        if (!node->votes() || !log_has_lease(&node->log))
+        if (!node->runs_log() || !log_has_lease(&node->log))
             continue;
         for (auto &other : nodes_)
-            if (other->votes() && other->log.role == LOG_LEADER && other->log.term > node->log.term)
+            if (other->runs_log() && other->log.role == LOG_LEADER && other->log.term > node->log.term)
                 report_violation("node %d holds a lease while node %d leads", node->number, other->number);
         if (log_term_at(&node->log, node->log.commit) == node->log.term && node->log.applied < acked_)
             report_violation("node %d holds a lease without the acknowledged entry %lld", node->number,
--- a/tests/model/world.cc
+++ b/tests/model/world.cc
@@ -207,7 +207,7 @@
     memcpy(last_reply_ms, other.last_reply_ms, sizeof last_reply_ms);
     if (up && controller_setup)
         copy_controller(other);
-    if (votes()) {
+    if (runs_log()) {
         log_duplicate(&log, &other.log, &world);
         log.machine.arg = this;
     }
@@ -317,7 +317,7 @@
     h = hash_mix(h, disk.hash());
     if (up && controller_setup)
         h = hash_mix(h, controller_hash(clock));
-    if (!votes())
+    if (!runs_log())
         return h;
     const uint64_t numbers[] = {(uint64_t)log.role,
                                 (uint64_t)log.term,
--- a/tests/unit/log_bytes_test.cc
+++ b/tests/unit/log_bytes_test.cc
@@ -101,17 +101,17 @@
         while (!pair.leader.sent.empty())
             delayed.push_back(pair.leader.pop_sent());
         if (i % 4 == 0 && !delayed.empty()) {
-            pair.member.take(delayed.front());
+            pair.member.on_frame(delayed.front());
             delayed.pop_front();
         }
         while (!pair.member.sent.empty())
-            pair.leader.take(pair.member.pop_sent());
+            pair.leader.on_frame(pair.member.pop_sent());
         peak_memory = std::max(peak_memory, entry_bytes(pair.leader.log));
     }
     EXPECT_LE(peak_memory, LAGGING_KEEP_BYTES + SNAPSHOT_BYTES + OP_BYTES);
     EXPECT_GT(peak_memory, KEEP_BYTES + SNAPSHOT_BYTES + OP_BYTES) << "nothing was kept for it";
     for (auto &frame : delayed)
-        pair.member.take(frame);
+        pair.member.on_frame(frame);
     pair.run(8000);
     EXPECT_EQ(pair.member.state, pair.leader.state);
     EXPECT_EQ(pair.member.log.commit, pair.leader.log.commit);
--- a/tests/unit/log_pair.h
+++ b/tests/unit/log_pair.h
@@ -109,7 +109,7 @@
         EXPECT_EQ(log_load(&log), 0);
     }
     ~Node() { log_end(&log); }
-    int take(const std::string &frame)
+    int on_frame(const std::string &frame)
     {
         struct frame f;
         EXPECT_EQ(frame_parse(&f, (const uint8_t *)frame.data(), (int64_t)frame.size(), 9), 0);
@@ -155,9 +155,9 @@
             log_flush(&leader.log);
             while (!leader.sent.empty() || !member.sent.empty()) {
                 while (!leader.sent.empty())
-                    member.take(leader.pop_sent());
+                    member.on_frame(leader.pop_sent());
                 while (!member.sent.empty())
-                    leader.take(member.pop_sent());
+                    leader.on_frame(member.pop_sent());
             }
         }
     }
@@ -172,10 +172,10 @@
                 while (!leader.sent.empty()) {
                     if (leader.sent.front()[3] == FRAME_SNAPSHOT_CHUNK)
                         all.push_back(leader.sent.front());
-                    member.take(leader.pop_sent());
+                    member.on_frame(leader.pop_sent());
                 }
                 while (!member.sent.empty())
-                    leader.take(member.pop_sent());
+                    leader.on_frame(member.pop_sent());
             }
         }
         return all;
--- a/tests/unit/log_removed_test.cc
+++ b/tests/unit/log_removed_test.cc
@@ -69,7 +69,7 @@
                         continue;
                     for (Node *to : all) /* only the addressed node handles it */
                         if (to != from && !disconnected[to->log.id])
-                            to->take(text);
+                            to->on_frame(text);
                 }
         }
     }
@@ -158,14 +158,14 @@
     request.group = GROUP_JOBS, request.term = term + 5, request.from = THIRD, request.to = LEADER;
     request.last_index = log_last(&cluster.removed.log);
     request.last_term = log_term_at(&cluster.removed.log, request.last_index);
-    cluster.leader.take(vote_request(request));
+    cluster.leader.on_frame(vote_request(request));
     request.to = MEMBER;
-    cluster.member.take(vote_request(request));
+    cluster.member.on_frame(vote_request(request));
     EXPECT_EQ(cluster.leader.log.role, LOG_LEADER);
     EXPECT_EQ(cluster.leader.log.term, term);
     EXPECT_EQ(cluster.member.log.term, term);
     cluster.member.now += 2000; // no leader is heard any more
-    cluster.member.take(vote_request(request));
+    cluster.member.on_frame(vote_request(request));
     EXPECT_EQ(cluster.member.log.term, term + 5);
     EXPECT_EQ(cluster.member.log.vote, 0);
 }
@@ -182,7 +182,7 @@
     struct bytes out = {};
     frame_build(&out, FRAME_APPEND, 9, (uint64_t)THIRD << 16 | 7000, &log_append_schema, &append);
     cluster.member.sent.clear();
-    cluster.member.take(std::string((const char *)out.at, (size_t)out.len));
+    cluster.member.on_frame(std::string((const char *)out.at, (size_t)out.len));
     bytes_free(&out);
     EXPECT_EQ(cluster.member.log.leader_id, LEADER);
     EXPECT_EQ(log_last(&cluster.member.log), last);
@@ -197,7 +197,7 @@
     struct bytes out = {};
     frame_build(&out, FRAME_LEAD_NOW, 9, (uint64_t)LEADER << 16 | 7000, &log_lead_now_schema, &now);
     cluster.removed.sent.clear();
-    cluster.removed.take(std::string((const char *)out.at, (size_t)out.len));
+    cluster.removed.on_frame(std::string((const char *)out.at, (size_t)out.len));
     bytes_free(&out);
     EXPECT_TRUE(cluster.removed.sent.empty());
     EXPECT_EQ(cluster.removed.log.role, LOG_FOLLOWER);
--- a/tests/unit/log_transfer_test.cc
+++ b/tests/unit/log_transfer_test.cc
@@ -81,7 +81,7 @@
             int before = member.events[EV_SNAPSHOT_REFUSED];
             std::string frame = pack_chunk(chunk);
             schema_free(&log_chunk_schema, &chunk);
-            member.take(frame);
+            member.on_frame(frame);
             ASSERT_EQ(member.events[EV_SNAPSHOT_REFUSED] - before, valid ? 0 : 1)
                 << "round " << round << " way " << damage << " chunk " << n;
             if (received < total) {
@@ -112,7 +112,7 @@
                 chunk.sum ^= 1;
             std::string frame = pack_chunk(chunk);
             schema_free(&log_chunk_schema, &chunk);
-            member.take(frame);
+            member.on_frame(frame);
         }
         EXPECT_EQ(member.state, "old");
         EXPECT_EQ(member.log.commit, 0);
@@ -120,7 +120,7 @@
         EXPECT_EQ(member.events[EV_SNAPSHOT_DAMAGED], 1);
         member.refuse_restore = false;
         for (auto &chunk : chunks) // then a valid transfer
-            member.take(chunk);
+            member.on_frame(chunk);
         EXPECT_GT(member.log.commit, 0);
     }
 }
@@ -137,7 +137,7 @@
         std::string frame = pair.leader.pop_sent();
         whole += frame[3] == FRAME_SNAPSHOT;
         EXPECT_NE(frame[3], FRAME_SNAPSHOT_CHUNK);
-        pair.member.take(frame);
+        pair.member.on_frame(frame);
     }
     EXPECT_EQ(whole, 1);
     EXPECT_EQ(pair.member.state, pair.leader.state);
@@ -160,14 +160,14 @@
                 if (chunk && sent % 3 == 0)
                     lost++;
                 else
-                    pair.member.take(frame);
+                    pair.member.on_frame(frame);
             }
             while (!pair.member.sent.empty()) {
                 std::string frame = pair.member.pop_sent();
                 if (frame[3] == FRAME_SNAPSHOT_CHUNK_ACK && sent == 4)
                     lost++; // an acknowledgement
                 else
-                    pair.leader.take(frame);
+                    pair.leader.on_frame(frame);
             }
         }
         if (i == 60) { // the leader forgets the offset and learns it again from the acknowledgement
@@ -198,9 +198,9 @@
         log_flush(&pair.leader.log);
         log_on_timer(&pair.leader.log);
         if (!pair.leader.sent.empty())
-            pair.member.take(pair.leader.pop_sent());
+            pair.member.on_frame(pair.leader.pop_sent());
         if (!pair.member.sent.empty())
-            pair.leader.take(pair.member.pop_sent());
+            pair.leader.on_frame(pair.member.pop_sent());
         if (!transfer_index && pair.member.log.incoming.index) {
             transfer_index = pair.member.log.incoming.index;
             snapshots_saved = pair.leader.events[EV_DIGEST_SAVED];
--- a/tests/unit/product_test.cc
+++ b/tests/unit/product_test.cc
@@ -38,7 +38,7 @@
 {
     std::string page = read("docs/settings.md");
     for (int i = 0; i < settings_schema.n; i++) {
-        const struct field *field = &settings_schema.fields[i];
+        const field *field = &settings_schema.fields[i];
         std::string default_value =
             field->kind == F_BOOL ? (field->default_value ? "true" : "false") : std::to_string(field->default_value);
         std::string range =
