--- a/sim/cluster_codec.c
+++ b/sim/cluster_codec.c
@@ -157,8 +157,7 @@
     return i;
 }
 
-/* A patch is {"version":2,"queues":[replaced or added],"removed":[names]}. Queues are few: they are searched linearly.
- */
+/* A patch is {"version":2,"queues":[replaced or added],"removed":[names]}. Queues are few: linear search. */
 static enum sagehitch_error patch_config(struct config *to, const struct bytes *current, const struct bytes *patch,
                                          struct validation_error *validation_error)
 {
--- a/sim/cluster_oracle.c
+++ b/sim/cluster_oracle.c
@@ -16,7 +16,8 @@
 
 const char *standin_end_name(int64_t how)
 {
-    static const char *const names[] = {"?", "done", "failed", "stopped", "lapsed", "broken", "alone"};
+    static const char *const names[] = {"?",           "done",        "failed", "stopped", "lease expired",
+                                        "gang broken", "gang timeout"};
     return names[how >= 1 && how <= RUN_GANG_TIMEOUT ? how : 0];
 }
 
--- a/tests/sim/cluster_run.h
+++ b/tests/sim/cluster_run.h
@@ -31,7 +31,8 @@
         EXPECT_GT(c.judged, 100);
         if (getenv("SAGEHITCH_FIGURES"))
             printf("accepted %lld refused %lld done %lld starts %lld; ends done %lld failed %lld stopped %lld "
-                   "lapsed %lld broken %lld alone %lld; room refused %lld late orders %lld lost core-s %lld\n",
+                   "lease expired %lld gang broken %lld gang timeout %lld; refused for capacity %lld late orders %lld "
+                   "lost core-s %lld\n",
                    (long long)c.n_accepted, (long long)c.n_refused, (long long)c.n_shown_done, (long long)c.n_starts,
                    (long long)c.n_ends[1], (long long)c.n_ends[2], (long long)c.n_ends[3], (long long)c.n_ends[4],
                    (long long)c.n_ends[5], (long long)c.n_ends[6], (long long)c.n_capacity_refused,
