--- a/src/proc/runtime.c
+++ b/src/proc/runtime.c
@@ -1,4 +1,4 @@
-/* The world of a real process: clocks, timer, signals, start and end. */
+/* The runtime of a process: clocks, timer, signals, start and end. */
 #include "proc/runtime.h"
 
 #include <fcntl.h>
@@ -20,22 +20,22 @@
     return (int64_t)ts.tv_sec * 1000 + ts.tv_nsec / 1000000;
 }
 
-static int64_t mono_ms(struct world *w)
+static int64_t mono_ms(struct world *world)
 {
-    (void)w;
+    (void)world;
     return clock_ms(CLOCK_MONOTONIC);
 }
 
-static int64_t wall_ms(struct world *w)
+static int64_t wall_ms(struct world *world)
 {
-    (void)w;
+    (void)world;
     return clock_ms(CLOCK_REALTIME);
 }
 
-static uint64_t random_u64(struct world *w)
+static uint64_t random_u64(struct world *world)
 {
     static uint64_t state;
-    (void)w;
+    (void)world;
     if (!state) {
         int fd = open("/dev/urandom", O_RDONLY | O_CLOEXEC);
         if (fd < 0 || read(fd, &state, sizeof state) != sizeof state)
@@ -64,7 +64,7 @@
 {
     struct runtime *runtime = prepare->data;
     (void)loop, (void)events;
-    api_flush(runtime);
+    http_server_flush(runtime);
     if (runtime->role.flush)
         runtime->role.flush(runtime->role.arg);
 }
@@ -99,9 +99,9 @@
     if (!rc)
         rc = local_check(&next, 0, why, sizeof why);
     if (rc) {
-        world_note(&runtime->base, EV_PARAMS_DENIED, "%s", *why ? why : "started from flags only");
+        world_note(&runtime->base, EV_PARAMS_DENIED, "%s", *why ? why : "no settings file, only flags");
     } else {
-        notes_level(next.log_level);
+        event_log_set_level(next.log_level);
         if (runtime->role.reload)
             runtime->role.reload(runtime->role.arg, &next);
         world_note(&runtime->base, EV_PARAMS_READ, "file=%s", next.file);
@@ -123,10 +123,10 @@
                                        .wall_ms = wall_ms,
                                        .random = random_u64,
                                        .send = net_send,
-                                       .call = out_call,
-                                       .answer = api_reply,
-                                       .note = notes_take};
-    folder_calls(&calls);
+                                       .call = http_client_call,
+                                       .answer = http_server_respond,
+                                       .note = event_log_write};
+    disk_set_calls(&calls);
     *runtime = (struct runtime){.base = {.calls = &calls, .self = local->listen_addr, .http_addr = local->http_addr},
                                 .local = local,
                                 .listen_fd = -1,
@@ -136,9 +136,9 @@
                                 .out_max = OUT_MAX};
     runtime->cluster = (uint32_t)hash_text(local->cluster);
     runtime->loop = ev_default_loop(EVFLAG_AUTO);
-    out_start(runtime);
-    if (local->data && *local->data && folder_start(runtime, local->data)) {
-        fprintf(stderr, "sagehitch: data folder %s cannot be used\n", local->data);
+    http_client_start(runtime);
+    if (local->data && *local->data && disk_start(runtime, local->data)) {
+        fprintf(stderr, "sagehitch: cannot use data directory %s\n", local->data);
         return ERROR_DISK;
     }
     return ERROR_NONE;
@@ -151,7 +151,7 @@
         fprintf(stderr, "sagehitch: cannot listen on %s\n", local->listen);
         return ERROR_BAD_SETTING;
     }
-    if (http && api_start(runtime)) {
+    if (http && http_server_start(runtime)) {
         fprintf(stderr, "sagehitch: cannot listen on %s\n", local->http);
         return ERROR_BAD_SETTING;
     }
@@ -161,9 +161,9 @@
     ev_prepare_init(&runtime->prepare, on_prepare);
     runtime->prepare.data = runtime;
     ev_prepare_start(runtime->loop, &runtime->prepare);
-    watch_signal(runtime, &runtime->term, SIGTERM, on_term);
-    watch_signal(runtime, &runtime->intr, SIGINT, on_term);
-    watch_signal(runtime, &runtime->on_sighup, SIGHUP, on_hup);
+    watch_signal(runtime, &runtime->sigterm_watcher, SIGTERM, on_term);
+    watch_signal(runtime, &runtime->sigint_watcher, SIGINT, on_term);
+    watch_signal(runtime, &runtime->sighup_watcher, SIGHUP, on_hup);
     return ERROR_NONE;
 }
 
@@ -177,8 +177,8 @@
 
 void runtime_end(struct runtime *runtime)
 {
-    api_end(runtime);
-    out_end(runtime);
+    http_server_end(runtime);
+    http_client_end(runtime);
     net_end(runtime);
-    folder_end(runtime);
+    disk_end(runtime);
 }
--- a/tests/platform/platform_test.h
+++ b/tests/platform/platform_test.h
@@ -1,4 +1,4 @@
-// Shared by the tests of the platform's codecs: one request at a door, and its end.
+// Shared by the tests of the platform's codecs: HTTP requests, and what the codec reads from them.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -15,21 +15,21 @@
 }
 
 struct Request {
-    entry at = ENTRY_CALLERS;
+    entry listener = ENTRY_CALLERS;
     std::string method, path, body;
     std::map<std::string, std::string> headers = {};
 };
 
-// What a door made of a request; freed with it.
-struct Read {
+// The result of reading a request with the platform's api; frees it at its end.
+struct ParsedRequest {
     api_request request = {};
     struct validation_error validation_error = {};
     int error = 0;
 
-    explicit Read(const Request &input)
+    explicit ParsedRequest(const Request &input)
     {
         http_request web = {};
-        web.entry = input.at;
+        web.entry = input.listener;
         web.method = input.method.c_str();
         web.path = input.path.c_str();
         web.body = input.body.data();
@@ -42,9 +42,9 @@
         };
         error = platform_api.read(&request, &web, &validation_error);
     }
-    ~Read() { schema_free(&api_request_schema, &request); }
-    Read(const Read &) = delete;
-    const executor_heartbeat &beat() const { return *api_request_beat(const_cast<api_request *>(&request)); }
+    ~ParsedRequest() { schema_free(&api_request_schema, &request); }
+    ParsedRequest(const ParsedRequest &) = delete;
+    const executor_heartbeat &heartbeat() const { return *api_request_beat(const_cast<api_request *>(&request)); }
     bool empty() const
     {
         const auto *bytes = reinterpret_cast<const unsigned char *>(&request);
@@ -60,12 +60,12 @@
 {
     return {ENTRY_OPERATORS, "PUT", "/sagehitch/configuration", body, {{"If-Match", base}}};
 }
-inline Request beat_request(const std::string &body)
+inline Request heartbeat_request(const std::string &body)
 {
     return {ENTRY_OPERATORS, "PUT", "/sagehitch/executors/i-19ab", body, {}};
 }
 
-// Valid bodies, with each field once.
+// Valid bodies in which each field occurs at least once.
 inline const char *const job_body =
     R"({"spec":"grind \"it\" \u00e6","stages":[{"taskCount":3,"vcpus":750,"memoryRequestMb":96,"gpus":1,)"
     R"("estimatedRuntimeMs":1200.5,"affinity":"r2-9","requirements":"fast","antiAffinity":2},)"
@@ -78,7 +78,7 @@
     R"({"name":"q-b","host":"mill.example","pathPrefix":"/mill/","timeoutMs":900,"service":"s-kiln"}],)"
     R"("services":[{"name":"s-mill","healthCheckPath":"/up","constraints":true},{"name":"s-kiln"}],)"
     R"("limits":{"maxBodyBytes":65536},"extra":[]})";
-inline const char *const beat_body =
+inline const char *const heartbeat_body =
     R"({"service":"s-mill","address":"10.9.8.7:8080","zone":"north","revision":"v3","capacity":4,"state":"draining",)"
     R"("departureMs":1750.5,"warmupRemainingMs":300,"freeCapacity":{"vcpus":8000,"memoryRequestMb":16384,"gpus":2},)"
     R"("labels":["b","r4-2"],"clockMs":99,"callSequence":12})";
