--- a/tests/unit/record_model_test.cc
+++ b/tests/unit/record_model_test.cc
@@ -1,4 +1,5 @@
-// The record against a naive model under random ops, packed, stored as snapshots and restored on the way.
+// Compares the record with a naive model under random ops, which are packed; snapshots are stored and restored in
+// between.
 #include "record_model.h"
 
 using namespace record_model;
@@ -6,7 +7,7 @@
 namespace
 {
 
-// Rows as changed() told of them: whoever listens holds the same as the record.
+// The rows as reported by the callback `changed`: they must be the same as those of the record.
 struct Listener {
     std::map<int64_t, std::vector<std::tuple<int, int64_t, int64_t, std::string>>> rows;
     const record *r = nullptr;
@@ -15,15 +16,15 @@
     {
         return {row->state, row->attempt, row->failures, row->checkpoint ? row->checkpoint : ""};
     }
-    static void hear(void *arg, struct job *job, int64_t no)
+    static void on_changed(void *arg, struct job *job, int64_t row_index)
     {
-        Listener *l = (Listener *)arg;
-        if (no >= 0) {
-            l->rows[job->spec.id].at((size_t)no) = seen(&job->rows[no]);
-        } else if (!job->rows || record_job(l->r, job->spec.id) != job) {
-            l->rows.erase(job->spec.id);
+        Listener *listener = (Listener *)arg;
+        if (row_index >= 0) {
+            listener->rows[job->spec.id].at((size_t)row_index) = seen(&job->rows[row_index]);
+        } else if (!job->rows || record_job(listener->r, job->spec.id) != job) {
+            listener->rows.erase(job->spec.id);
         } else {
-            auto &list = l->rows[job->spec.id];
+            auto &list = listener->rows[job->spec.id];
             list.clear();
             for (int64_t i = 0; i < job->repetitions * job->tasks; i++)
                 list.push_back(seen(&job->rows[i]));
@@ -38,16 +39,16 @@
     }
 };
 
-struct Trial {
+struct RandomOps {
     std::mt19937_64 random;
     Model model;
     int64_t now = 10000;
 
-    explicit Trial(uint64_t seed) : random(seed) {}
+    explicit RandomOps(uint64_t seed) : random(seed) {}
     int64_t pick(int64_t n) { return (int64_t)(random() % (uint64_t)n); }
-    int64_t any_job() { return pick(40) - 3; }
+    int64_t random_job_id() { return pick(40) - 3; }
 
-    void some_config(Batch &b)
+    void add_random_config(Batch &b)
     {
         std::vector<Queue> list;
         for (const char *name : {"a", "b", "c", "d"})
@@ -58,21 +59,21 @@
         if (to >= 1)
             model.config(base, to, list);
     }
-    void some_job(Batch &b)
+    void add_random_job(Batch &b)
     {
-        int64_t id = any_job();
+        int64_t id = random_job_id();
         size_t spec = (size_t)pick((int64_t)specs.size());
         std::string queue(1, (char)('a' + pick(5)));
         b.job(now, id, specs[spec], queue);
         model.add(id, spec, queue, now);
     }
-    void some_place(Batch &b)
+    void add_random_place(Batch &b)
     {
         std::vector<run_ref> runs;
         std::string incarnation = "life-" + std::to_string(pick(12));
         for (int64_t n = 1 + pick(3); n > 0; n--) {
-            ModelJob *j = model.job(any_job());
-            if (!j || !j->rows_there)
+            ModelJob *j = model.job(random_job_id());
+            if (!j || !j->has_rows)
                 continue;
             auto at = std::next(j->rows.begin(), pick((int64_t)j->rows.size()));
             auto [repetition, step, index] = at->first;
@@ -88,12 +89,12 @@
         b.place(now, incarnation, pick(5), runs);
         model.place(incarnation, runs, now);
     }
-    void some_ends(Batch &b)
+    void add_random_ends(Batch &b)
     {
         std::vector<End> ends;
         for (int64_t n = 1 + pick(4); n > 0; n--) {
-            ModelJob *j = model.job(any_job());
-            if (!j || !j->rows_there)
+            ModelJob *j = model.job(random_job_id());
+            if (!j || !j->has_rows)
                 continue;
             auto at = std::next(j->rows.begin(), pick((int64_t)j->rows.size()));
             auto [repetition, step, index] = at->first;
@@ -105,39 +106,39 @@
         for (const End &e : ends)
             model.end(e, now);
     }
-    void some_op(Batch &b)
+    void add_random_op(Batch &b)
     {
         now += pick(5);
-        int64_t id = any_job(), kind = pick(100);
+        int64_t id = random_job_id(), kind = pick(100);
         if (kind < 3)
-            some_config(b);
+            add_random_config(b);
         else if (kind < 15)
-            some_job(b);
+            add_random_job(b);
         else if (kind < 18)
             b.cancel(now, id), model.cancel(id, now);
         else if (kind < 24)
             b.forget(now, {id, id + 1}), model.forget(id), model.forget(id + 1);
         else if (kind < 65)
-            some_place(b);
+            add_random_place(b);
         else
-            some_ends(b);
+            add_random_ends(b);
     }
 };
 
-TEST(RecordModel, HoldsWhatTheModelHolds)
+TEST(RecordModel, MatchesModel)
 {
     std::map<int64_t, int64_t> states;
     for (uint64_t seed = 1; seed <= 4; seed++) {
-        Trial trial(seed);
+        RandomOps random_ops(seed);
         Listener listener;
-        record one, other; // one: packed and restored; other: op by op
+        record one, other; // one: ops are packed, and snapshots restored; other: ops are applied one by one
         record_start(&one);
         record_start(&other);
-        one.changed = Listener::hear, one.arg = &listener, listener.r = &one;
+        one.changed = Listener::on_changed, one.arg = &listener, listener.r = &one;
         for (int round = 0; round < 1200; round++) {
             Batch b;
-            for (int64_t n = 1 + trial.pick(3); n > 0; n--)
-                trial.some_op(b);
+            for (int64_t n = 1 + random_ops.pick(3); n > 0; n--)
+                random_ops.add_random_op(b);
             bytes packed = {};
             schema_pack(&record_batch_schema, &b.batch, &packed);
             record_result result = {};
@@ -147,7 +148,7 @@
             for (int64_t i = 0; i < b.batch.n; i++)
                 ASSERT_EQ(record_apply(&other, &b.batch.ops[i]), result.errors[i]);
             schema_free(&record_result_schema, &result);
-            ASSERT_NO_FATAL_FAILURE(trial.model.compare(&one)) << "seed " << seed << " round " << round;
+            ASSERT_NO_FATAL_FAILURE(random_ops.model.compare(&one)) << "seed " << seed << " round " << round;
             ASSERT_NO_FATAL_FAILURE(listener.compare()) << "seed " << seed << " round " << round;
             if (round % 50 == 7) {
                 std::string snapshot = snapshot_of(&one);
@@ -156,16 +157,16 @@
                 ASSERT_EQ(record_restore(&one, &from), 0);
                 ASSERT_EQ(one.arg, &listener);
                 ASSERT_EQ(snapshot_of(&one), snapshot);
-                ASSERT_NO_FATAL_FAILURE(trial.model.compare(&one));
+                ASSERT_NO_FATAL_FAILURE(random_ops.model.compare(&one));
             }
-            for (auto &[id, j] : trial.model.jobs)
+            for (auto &[id, j] : random_ops.model.jobs)
                 states[j.state]++;
         }
         record_end(&one);
         record_end(&other);
     }
     for (int64_t state = JOB_PENDING; state <= JOB_CANCELLED; state++)
-        EXPECT_GT(states[state], 100) << "the trial hardly ever came to state " << state;
+        EXPECT_GT(states[state], 100) << "jobs were too rarely in state " << state;
 }
 
 } // namespace
