--- a/src/rules/rules.c
+++ b/src/rules/rules.c
@@ -1,4 +1,4 @@
-/* Rules: schemas, validation, changes, what is in force, and opening hours. */
+/* Rules: schemas, validation, changes, effective values and opening hours. */
 #include "rules/rules.h"
 
 #include <ctype.h>
@@ -96,25 +96,25 @@
     return len > 0 && len <= OUTLET_NAME_MAX;
 }
 
-static int in_table(int rule, int64_t value)
+static int in_table_bounds(int rule, int64_t value)
 {
     return value >= value_fields[rule].min && value <= value_fields[rule].max;
 }
 
-static enum sagehitch_error set_check(const struct rule_set *set, struct validation_error *validation_error)
+static enum sagehitch_error rule_set_check(const struct rule_set *set, struct validation_error *validation_error)
 {
     for (int i = 0; i < rule_values_schema.n; i++) {
         int64_t value = *rule_at(&set->value, i), least = *rule_at(&set->least, i), most = *rule_at(&set->most, i);
         if (value == RULE_UNSET && least == RULE_UNSET && most == RULE_UNSET)
             continue;
-        if (!in_table(i, value))
+        if (!in_table_bounds(i, value))
             return validation_error_set(validation_error, ERROR_BAD_FIELD, "a value within the table's bounds",
                                         "rules.%s.value", value_fields[i].name);
-        if (!in_table(i, least) || least > value)
+        if (!in_table_bounds(i, least) || least > value)
             return validation_error_set(validation_error, ERROR_BAD_FIELD,
                                         "no more than value, within the table's bounds", "rules.%s.least",
                                         value_fields[i].name);
-        if (!in_table(i, most) || most < value)
+        if (!in_table_bounds(i, most) || most < value)
             return validation_error_set(validation_error, ERROR_BAD_FIELD,
                                         "no less than value, within the table's bounds", "rules.%s.most",
                                         value_fields[i].name);
@@ -125,7 +125,7 @@
 static enum sagehitch_error outlet_check(const struct outlet *outlet, struct validation_error *validation_error)
 {
     for (int i = 0; i < rule_values_schema.n; i++)
-        if (*rule_at(&outlet->own, i) != RULE_UNSET && !in_table(i, *rule_at(&outlet->own, i)))
+        if (*rule_at(&outlet->own, i) != RULE_UNSET && !in_table_bounds(i, *rule_at(&outlet->own, i)))
             return validation_error_set(validation_error, ERROR_BAD_FIELD, "a value within the table's bounds",
                                         "rules.%s", value_fields[i].name);
     if (outlet->n_queues > OUTLET_QUEUES_MAX)
@@ -143,7 +143,7 @@
     if ((change->outlet ? change->to.version : change->head.version) < 1)
         return validation_error_set(validation_error, ERROR_BAD_FIELD, "1 or more", "version");
     if (!change->outlet)
-        return set_check(&change->head, validation_error);
+        return rule_set_check(&change->head, validation_error);
     if (!outlet_name_valid(change->outlet))
         return validation_error_set(validation_error, ERROR_BAD_FIELD, "letters, digits, - _ and ., at most 64",
                                     "outlet");
@@ -152,7 +152,7 @@
 
 int rules_valid(const struct rules *rules)
 {
-    if (set_check(&rules->head, NULL) || !change_history_is_valid(&rules->history))
+    if (rule_set_check(&rules->head, NULL) || !change_history_is_valid(&rules->history))
         return 0;
     for (int64_t i = 0; i < rules->n_outlets; i++)
         if (!outlet_name_valid(rules->outlets[i].name) || outlet_check(&rules->outlets[i], NULL))
@@ -163,26 +163,27 @@
 /* --- changes -------------------------------------------------------------- */
 
 /* The entry in the change history; body is packed by schema. */
-static struct applied_change taken_of(const struct rules_change *change, const struct schema *schema, const void *body,
-                                      int64_t version)
+static struct applied_change applied_change_of(const struct rules_change *change, const struct schema *schema,
+                                               const void *body, int64_t version)
 {
     struct bytes packed = {0};
     schema_pack(schema, body, &packed);
-    struct applied_change taken = {.key = change->outlet ? (int64_t)hash_text(change->outlet) : 0,
-                                   .version = version,
-                                   .base = change->base,
-                                   .hash = change_hash(packed.at, packed.len)};
+    struct applied_change applied = {.key = change->outlet ? (int64_t)hash_text(change->outlet) : 0,
+                                     .version = version,
+                                     .base = change->base,
+                                     .hash = change_hash(packed.at, packed.len)};
     bytes_free(&packed);
-    return taken;
+    return applied;
 }
 
-/* Returns ERROR_NONE: to be applied to the current version; 1: a repetition; else an error. Histories of older versions
- * may be missing: then the newest body is still known by newest_hash. */
-static int versions(const struct rules *rules, const struct applied_change *change, int64_t now, int64_t newest_hash)
+/* Returns ERROR_NONE: apply the change to the current version; 1: a repetition of an applied change; else an error.
+ * The history may lack the newest version's change; a repetition of that one is recognised by newest_hash. */
+static int check_version(const struct rules *rules, const struct applied_change *change, int64_t current,
+                         int64_t newest_hash)
 {
-    if (change->version > now)
-        return change->base == now ? ERROR_NONE : ERROR_STALE;
-    if (change->version == now && change->hash == newest_hash)
+    if (change->version > current)
+        return change->base == current ? ERROR_NONE : ERROR_STALE;
+    if (change->version == current && change->hash == newest_hash)
         return 1;
     enum sagehitch_error rc = change_history_check(&rules->history, change);
     return rc ? rc : 1;
@@ -190,33 +191,36 @@
 
 static enum sagehitch_error apply_head(struct rules *rules, const struct rules_change *change)
 {
-    struct applied_change newest = taken_of(change, &rule_set_schema, &rules->head, rules->head.version);
-    struct applied_change taken = taken_of(change, &rule_set_schema, &change->head, change->head.version);
-    int rc = versions(rules, &taken, rules->head.version, newest.hash);
+    struct applied_change newest = applied_change_of(change, &rule_set_schema, &rules->head, rules->head.version);
+    struct applied_change applied = applied_change_of(change, &rule_set_schema, &change->head, change->head.version);
+    int rc = check_version(rules, &applied, rules->head.version, newest.hash);
     if (rc)
         return rc < 0 ? rc : ERROR_NONE;
-    rules->head = change->head; /* owns nothing */
-    change_history_add(&rules->history, &taken);
+    rules->head = change->head; /* a plain copy: it holds no pointers */
+    change_history_add(&rules->history, &applied);
     return ERROR_NONE;
 }
 
-static int allowed(const struct rule_set *head, int rule, int64_t value)
+static int adjustment_allowed(const struct rule_set *head, int rule, int64_t value)
 {
     return *rule_at(&head->value, rule) != RULE_UNSET && value >= *rule_at(&head->least, rule) &&
            value <= *rule_at(&head->most, rule);
 }
 
-/* Values set before stay allowed, so that repeating them in a later change is never refused. */
-static enum sagehitch_error outlet_bounds(const struct rules *rules, const struct outlet *now, const struct outlet *to)
+/* An outlet's value that the change leaves as it is stays allowed even if head office has narrowed the bounds since;
+ * otherwise an outlet could not change one value without changing the others. */
+static enum sagehitch_error outlet_bounds(const struct rules *rules, const struct outlet *current,
+                                          const struct outlet *to)
 {
     for (int i = 0; i < rule_values_schema.n; i++) {
         int64_t value = *rule_at(&to->own, i);
-        if (value != RULE_UNSET && !(now && *rule_at(&now->own, i) == value) && !allowed(&rules->head, i, value))
+        if (value != RULE_UNSET && !(current && *rule_at(&current->own, i) == value) &&
+            !adjustment_allowed(&rules->head, i, value))
             return ERROR_BOUND;
     }
     for (int64_t i = 0; i < to->n_queues; i++) {
         int64_t owner = rules_outlet_of_queue(rules, to->queues[i]);
-        if (owner >= 0 && &rules->outlets[owner] != now)
+        if (owner >= 0 && &rules->outlets[owner] != current)
             return ERROR_KEY_TAKEN;
     }
     return ERROR_NONE;
@@ -224,24 +228,24 @@
 
 static enum sagehitch_error apply_outlet(struct rules *rules, const struct rules_change *change)
 {
-    int64_t no = rules_outlet(rules, change->outlet);
-    struct outlet *now = no >= 0 ? &rules->outlets[no] : NULL, to = change->to;
+    int64_t index = rules_outlet(rules, change->outlet);
+    struct outlet *current = index >= 0 ? &rules->outlets[index] : NULL, to = change->to;
     to.name = change->outlet;
-    struct applied_change taken = taken_of(change, &outlet_schema, &to, to.version);
-    int64_t newest_hash = now ? taken_of(change, &outlet_schema, now, now->version).hash : 0;
-    int rc = versions(rules, &taken, now ? now->version : 0, newest_hash);
+    struct applied_change applied = applied_change_of(change, &outlet_schema, &to, to.version);
+    int64_t newest_hash = current ? applied_change_of(change, &outlet_schema, current, current->version).hash : 0;
+    int rc = check_version(rules, &applied, current ? current->version : 0, newest_hash);
     if (rc)
         return rc < 0 ? rc : ERROR_NONE;
-    rc = outlet_bounds(rules, now, &to);
+    rc = outlet_bounds(rules, current, &to);
     if (rc)
         return rc;
-    if (!now && rules->n_outlets >= OUTLETS_MAX)
+    if (!current && rules->n_outlets >= OUTLETS_MAX)
         return ERROR_TOO_LARGE;
-    if (!now)
-        now = array_add(rules->outlets, rules->n_outlets);
-    schema_free(&outlet_schema, now);
-    schema_copy(&outlet_schema, now, &to);
-    change_history_add(&rules->history, &taken);
+    if (!current)
+        current = array_add(rules->outlets, rules->n_outlets);
+    schema_free(&outlet_schema, current);
+    schema_copy(&outlet_schema, current, &to);
+    change_history_add(&rules->history, &applied);
     return ERROR_NONE;
 }
 
@@ -253,15 +257,15 @@
     return change->outlet ? apply_outlet(rules, change) : apply_head(rules, change);
 }
 
-/* --- what is in force ----------------------------------------------------- */
+/* --- effective values ----------------------------------------------------- */
 
 static int64_t effective(const struct rule_set *head, const struct rule_values *own, int rule)
 {
-    int64_t value = *rule_at(&head->value, rule), mine = *rule_at(own, rule);
-    if (value == RULE_UNSET || mine == RULE_UNSET)
+    int64_t value = *rule_at(&head->value, rule), own_value = *rule_at(own, rule);
+    if (value == RULE_UNSET || own_value == RULE_UNSET)
         return value;
     int64_t least = *rule_at(&head->least, rule), most = *rule_at(&head->most, rule);
-    return mine < least ? least : mine > most ? most : mine;
+    return own_value < least ? least : own_value > most ? most : own_value;
 }
 
 void rules_effective(const struct rules *rules, const struct outlet *outlet, struct rule_values *to)
@@ -272,8 +276,8 @@
 
 int rule_clamped(const struct rules *rules, const struct outlet *outlet, int rule)
 {
-    int64_t mine = *rule_at(&outlet->own, rule);
-    return mine != RULE_UNSET && effective(&rules->head, &outlet->own, rule) != mine;
+    int64_t own_value = *rule_at(&outlet->own, rule);
+    return own_value != RULE_UNSET && effective(&rules->head, &outlet->own, rule) != own_value;
 }
 
 struct job_rules *rules_stamp(const struct rules *rules, int64_t outlet)
@@ -291,26 +295,27 @@
 #define MINUTE_MS INT64_C(60000)
 #define DAY_MS (DAY_MIN * MINUTE_MS)
 
-static int has_hours(const struct rule_values *v)
+static int has_hours(const struct rule_values *values)
 {
-    return v->opens_at_min != RULE_UNSET && v->closes_at_min != RULE_UNSET && v->opens_at_min != v->closes_at_min;
+    return values->opens_at_min != RULE_UNSET && values->closes_at_min != RULE_UNSET &&
+           values->opens_at_min != values->closes_at_min;
 }
 
-int64_t rules_opened_ms(const struct rule_values *v, int64_t wall_ms)
+int64_t rules_opened_ms(const struct rule_values *values, int64_t wall_ms)
 {
-    if (!has_hours(v))
+    if (!has_hours(values))
         return 0;
-    int64_t opens_ms = wall_ms / DAY_MS * DAY_MS + v->opens_at_min * MINUTE_MS;
+    int64_t opens_ms = wall_ms / DAY_MS * DAY_MS + values->opens_at_min * MINUTE_MS;
     return opens_ms <= wall_ms ? opens_ms : opens_ms - DAY_MS;
 }
 
-int64_t rules_opens_ms(const struct rule_values *v, int64_t wall_ms)
+int64_t rules_opens_ms(const struct rule_values *values, int64_t wall_ms)
 {
-    return has_hours(v) ? rules_opened_ms(v, wall_ms) + DAY_MS : 0;
+    return has_hours(values) ? rules_opened_ms(values, wall_ms) + DAY_MS : 0;
 }
 
-int rules_open(const struct rule_values *v, int64_t wall_ms)
+int rules_open(const struct rule_values *values, int64_t wall_ms)
 {
-    int64_t lasts_min = (v->closes_at_min - v->opens_at_min + DAY_MIN) % DAY_MIN;
-    return !has_hours(v) || wall_ms - rules_opened_ms(v, wall_ms) < lasts_min * MINUTE_MS;
+    int64_t open_min = (values->closes_at_min - values->opens_at_min + DAY_MIN) % DAY_MIN;
+    return !has_hours(values) || wall_ms - rules_opened_ms(values, wall_ms) < open_min * MINUTE_MS;
 }
--- a/src/rules/rules_api.c
+++ b/src/rules/rules_api.c
@@ -17,11 +17,11 @@
     return !strncmp(path, rules_path, len) && (!path[len] || path[len] == '/');
 }
 
-/* The version a change is built on, which may be in quotes. */
-static enum sagehitch_error read_base(const struct http_request *web, int64_t *base,
+/* Reads the version that a change is based on from If-Match; the number may be in quotes. */
+static enum sagehitch_error read_base(const struct http_request *http, int64_t *base,
                                       struct validation_error *validation_error)
 {
-    const char *text = web->header ? web->header(web, "If-Match") : NULL;
+    const char *text = http->header ? http->header(http, "If-Match") : NULL;
     char *end = NULL;
     if (text) {
         text += strspn(text, " \t\"");
@@ -46,8 +46,8 @@
     return ERROR_NONE;
 }
 
-static enum sagehitch_error only(const json_t *from, const char *at, const char *const *names,
-                                 struct validation_error *validation_error)
+static enum sagehitch_error check_field_names(const json_t *from, const char *at, const char *const *names,
+                                              struct validation_error *validation_error)
 {
     const char *key;
     json_t *value;
@@ -62,7 +62,8 @@
     return ERROR_NONE;
 }
 
-/* {"value": 3} is fixed; least and most bound an outlet's adjustments; {"adjust": "free"}: the table's bounds. */
+/* Reads one rule of head office: {"value": 3} alone is fixed; least and most limit the adjustments of outlets; with
+ * {"adjust": "free"} the bounds of the table are the limits. */
 static enum sagehitch_error read_rule(struct rule_set *set, int rule, const json_t *from,
                                       struct validation_error *validation_error)
 {
@@ -74,17 +75,18 @@
     snprintf(at, sizeof at, "rules.%s.", field->name);
     if (!json_is_object(from) || !json_object_get(from, "value"))
         return validation_error_named(validation_error, ERROR_BAD_FIELD, at, "value", "a whole number");
-    enum sagehitch_error rc = only(from, at, names, validation_error);
+    enum sagehitch_error rc = check_field_names(from, at, names, validation_error);
     rc = rc ? rc : read_number(from, at, "value", &value, validation_error);
-    int bare = !json_object_get(from, "least") && !json_object_get(from, "most");
-    int open = adjust && !strcmp(adjust, "free"), within = adjust && !strcmp(adjust, "within");
-    if (!rc && json_object_get(from, "adjust") && !open && !within && !(adjust && !strcmp(adjust, "fixed")))
+    int without_limits = !json_object_get(from, "least") && !json_object_get(from, "most");
+    int adjust_free = adjust && !strcmp(adjust, "free"), adjust_within = adjust && !strcmp(adjust, "within");
+    if (!rc && json_object_get(from, "adjust") && !adjust_free && !adjust_within &&
+        !(adjust && !strcmp(adjust, "fixed")))
         return validation_error_named(validation_error, ERROR_BAD_FIELD, at, "adjust", "fixed, within or free");
-    if (!rc && adjust && within == bare)
+    if (!rc && adjust && adjust_within == without_limits)
         return validation_error_named(validation_error, ERROR_BAD_FIELD, at, "adjust",
                                       "least and most with within alone");
-    least = open ? field->min : value;
-    most = open ? field->max : value;
+    least = adjust_free ? field->min : value;
+    most = adjust_free ? field->max : value;
     rc = rc ? rc : read_number(from, at, "least", &least, validation_error);
     rc = rc ? rc : read_number(from, at, "most", &most, validation_error);
     *rule_at(&set->value, rule) = value;
@@ -93,13 +95,13 @@
     return rc;
 }
 
-static int rule_no(const char *name)
+static int rule_index(const char *name)
 {
     const struct field *field = schema_field(&rule_values_schema, name);
     return field ? (int)(field - rule_values_schema.fields) : -1;
 }
 
-/* The member rules: of objects for head office, of plain numbers for an outlet. */
+/* Reads the member "rules": each rule is an object for head office and a number for an outlet. */
 static enum sagehitch_error read_rules(struct rules_change *change, const json_t *rules,
                                        struct validation_error *validation_error)
 {
@@ -110,7 +112,7 @@
         return validation_error_named(validation_error, ERROR_BAD_FIELD, "", "rules", "an object");
     json_object_foreach((json_t *)(uintptr_t)rules, key, value)
     {
-        int rule = rule_no(key);
+        int rule = rule_index(key);
         if (rule < 0)
             return validation_error_named(validation_error, ERROR_BAD_FIELD, "rules.", key, "a rule of the table");
         if (!change->outlet)
@@ -146,7 +148,7 @@
                                         struct validation_error *validation_error)
 {
     static const char *const names[] = {"version", "rules", "queues", NULL};
-    enum sagehitch_error rc = only(root, "", names, validation_error);
+    enum sagehitch_error rc = check_field_names(root, "", names, validation_error);
     rc = rc ? rc
             : read_number(root, "", "version", change->outlet ? &change->to.version : &change->head.version,
                           validation_error);
@@ -158,15 +160,15 @@
     return rc ? rc : rules_change_check(change, validation_error);
 }
 
-static enum sagehitch_error read_put(struct rules_change *change, const struct http_request *web,
+static enum sagehitch_error read_put(struct rules_change *change, const struct http_request *http,
                                      struct validation_error *validation_error)
 {
     json_error_t error;
-    enum sagehitch_error rc = read_base(web, &change->base, validation_error);
+    enum sagehitch_error rc = read_base(http, &change->base, validation_error);
     if (rc)
         return rc;
     json_t *root =
-        json_loadb(web->body ? web->body : "", web->body ? (size_t)web->len : 0, JSON_REJECT_DUPLICATES, &error);
+        json_loadb(http->body ? http->body : "", http->body ? (size_t)http->len : 0, JSON_REJECT_DUPLICATES, &error);
     rc = json_is_object(root)
              ? read_change(change, root, validation_error)
              : validation_error_named(validation_error, ERROR_BAD_JSON, "", "", root ? "an object" : "JSON");
@@ -183,10 +185,10 @@
     return ERROR_NONE;
 }
 
-enum sagehitch_error rules_api_read(struct api_request *request, const struct http_request *web,
+enum sagehitch_error rules_api_read(struct api_request *request, const struct http_request *http,
                                     struct validation_error *validation_error)
 {
-    int get = !strcmp(web->method, "GET"), put = !strcmp(web->method, "PUT");
+    int get = !strcmp(http->method, "GET"), put = !strcmp(http->method, "PUT");
     int job = !strncmp(request->path, jobs_path, sizeof jobs_path - 1),
         outlet = !strncmp(request->path, outlets_path, sizeof outlets_path - 1);
     if (!job && !outlet && strcmp(request->path, rules_path))
@@ -201,13 +203,13 @@
         return validation_error_named(validation_error, ERROR_NOT_FOUND, "", "path",
                                       "an outlet's name: letters, digits, - _ and .");
     if (put)
-        return read_put(api_request_make_rules_put(request, name), web, validation_error);
+        return read_put(api_request_make_rules_put(request, name), http, validation_error);
     api_request_make_rules_get(request, name);
     return ERROR_NONE;
 }
 
 /* The JSON of a response without an error. */
-static char *body_of(const struct api_response *response)
+static char *response_body(const struct api_response *response)
 {
     if (response->kind == REQUEST_RULES_PUT)
         return must_dup("{}");
@@ -221,10 +223,10 @@
         response->kind != REQUEST_RULES_JOB)
         return 0;
     const struct error_response *error = error_response((int)response->error);
-    /* 504, since it may be in force and must not be read as a refusal */
+    /* 504: the change may be in force, so the status must not read as a rejection */
     *status = response->error == ERROR_OUTCOME_UNKNOWN ? 504 : response->error == ERROR_STALE ? 412 : error->status;
     if (!response->error) {
-        *body = body_of(response);
+        *body = response_body(response);
         return 1;
     }
     json_t *json = json_pack("{s:s}", "problem", error->name);
--- a/src/rules/rules_view.c
+++ b/src/rules/rules_view.c
@@ -7,16 +7,16 @@
 
 #include "base/error.h"
 
-static json_t *number(int64_t value) { return value == RULE_UNSET ? json_null() : json_integer(value); }
+static json_t *rule_json(int64_t value) { return value == RULE_UNSET ? json_null() : json_integer(value); }
 
-/* The bounds of an outlet's adjustment. */
-static void put_reach(json_t *to, const struct rules *rules, int rule)
+/* Adds how far an outlet may adjust the rule. */
+static void put_adjustment_limits(json_t *to, const struct rules *rules, int rule)
 {
     const struct field *field = &rule_values_schema.fields[rule];
     int64_t least = *rule_at(&rules->head.least, rule), most = *rule_at(&rules->head.most, rule);
-    int open = least == field->min && most == field->max;
-    json_object_set_new(to, "adjust", json_string(least == most ? "fixed" : open ? "free" : "within"));
-    if (least != most && !open) {
+    int adjust_free = least == field->min && most == field->max;
+    json_object_set_new(to, "adjust", json_string(least == most ? "fixed" : adjust_free ? "free" : "within"));
+    if (least != most && !adjust_free) {
         json_object_set_new(to, "least", json_integer(least));
         json_object_set_new(to, "most", json_integer(most));
     }
@@ -24,43 +24,46 @@
 
 static json_t *head_view(const struct rules *rules)
 {
-    json_t *ruled = json_object(), *names = json_array();
+    json_t *rules_json = json_object(), *names = json_array();
     for (int i = 0; i < rule_values_schema.n; i++) {
         int64_t value = *rule_at(&rules->head.value, i);
         if (value == RULE_UNSET)
             continue;
-        json_t *one = json_pack("{s:I}", "value", (json_int_t)value);
-        put_reach(one, rules, i);
-        json_object_set_new(ruled, rule_values_schema.fields[i].name, one);
+        json_t *rule_view = json_pack("{s:I}", "value", (json_int_t)value);
+        put_adjustment_limits(rule_view, rules, i);
+        json_object_set_new(rules_json, rule_values_schema.fields[i].name, rule_view);
     }
     for (int64_t i = 0; i < rules->n_outlets; i++)
         json_array_append_new(names, json_string(rules->outlets[i].name));
-    return json_pack("{s:I,s:o,s:o}", "version", (json_int_t)rules->head.version, "rules", ruled, "outlets", names);
+    return json_pack("{s:I,s:o,s:o}", "version", (json_int_t)rules->head.version, "rules", rules_json, "outlets",
+                     names);
 }
 
-/* Of each rule that is set: what is in force, head office's and the outlet's value, and whether that was clamped. */
+/* For each rule that is set: the value in force, the values of head office and of the outlet, and whether the outlet's
+ * value was clamped. */
 static json_t *outlet_view(const struct rules *rules, const struct outlet *outlet)
 {
-    struct rule_values now;
-    json_t *ruled = json_object(), *queues = json_array();
-    rules_effective(rules, outlet, &now);
+    struct rule_values effective;
+    json_t *rules_json = json_object(), *queues = json_array();
+    rules_effective(rules, outlet, &effective);
     for (int i = 0; i < rule_values_schema.n; i++) {
         int64_t value = *rule_at(&rules->head.value, i), own = *rule_at(&outlet->own, i);
         if (value == RULE_UNSET && own == RULE_UNSET)
             continue;
-        json_t *one = json_pack("{s:o,s:o}", "inForce", number(*rule_at(&now, i)), "headOffice", number(value));
+        json_t *rule_view =
+            json_pack("{s:o,s:o}", "inForce", rule_json(*rule_at(&effective, i)), "headOffice", rule_json(value));
         if (own != RULE_UNSET)
-            json_object_set_new(one, "own", json_integer(own));
+            json_object_set_new(rule_view, "own", json_integer(own));
         if (rule_clamped(rules, outlet, i))
-            json_object_set_new(one, "clamped", json_true());
+            json_object_set_new(rule_view, "clamped", json_true());
         if (value != RULE_UNSET)
-            put_reach(one, rules, i);
-        json_object_set_new(ruled, rule_values_schema.fields[i].name, one);
+            put_adjustment_limits(rule_view, rules, i);
+        json_object_set_new(rules_json, rule_values_schema.fields[i].name, rule_view);
     }
     for (int64_t i = 0; i < outlet->n_queues; i++)
         json_array_append_new(queues, json_string(outlet->queues[i]));
     return json_pack("{s:s,s:I,s:I,s:o,s:o}", "outlet", outlet->name, "version", (json_int_t)outlet->version,
-                     "ofHeadOffice", (json_int_t)rules->head.version, "queues", queues, "rules", ruled);
+                     "ofHeadOffice", (json_int_t)rules->head.version, "queues", queues, "rules", rules_json);
 }
 
 static json_t *job_view(const struct record *record, const struct job *job)
@@ -68,35 +71,36 @@
     const struct job_rules *rules = job->rules;
     char id[20];
     snprintf(id, sizeof id, "%016" PRIx64, (uint64_t)job->spec.id);
-    json_t *ruled = json_object(),
+    json_t *rules_json = json_object(),
            *view = json_pack("{s:s,s:s}", "job", id, "queue", record->queues[job->queue].config.name);
     if (!rules) {
-        json_decref(ruled);
+        json_decref(rules_json);
         json_object_set_new(view, "outlet", json_null());
         return view;
     }
     for (int i = 0; i < rule_values_schema.n; i++)
         if (*rule_at(&rules->values, i) != RULE_UNSET)
-            json_object_set_new(ruled, rule_values_schema.fields[i].name, json_integer(*rule_at(&rules->values, i)));
+            json_object_set_new(rules_json, rule_values_schema.fields[i].name,
+                                json_integer(*rule_at(&rules->values, i)));
     json_object_set_new(view, "outlet", json_string(record->rules.outlets[rules->outlet].name));
     json_object_set_new(view, "ofHeadOffice", json_integer(rules->of_head));
     json_object_set_new(view, "ofOutlet", json_integer(rules->of_outlet));
-    json_object_set_new(view, "rules", ruled);
+    json_object_set_new(view, "rules", rules_json);
     return view;
 }
 
-/* The rules of head office (outlet NULL) or of an outlet, owned by the caller; NULL: there is no such outlet. */
+/* The rules of head office (if outlet is NULL) or of an outlet; owned by the caller. NULL: there is no such outlet. */
 static json_t *rules_view(const struct rules *rules, const char *outlet, int64_t *version)
 {
     if (!outlet) {
         *version = rules->head.version;
         return head_view(rules);
     }
-    int64_t no = rules_outlet(rules, outlet);
-    if (no < 0)
+    int64_t index = rules_outlet(rules, outlet);
+    if (index < 0)
         return NULL;
-    *version = rules->outlets[no].version;
-    return outlet_view(rules, &rules->outlets[no]);
+    *version = rules->outlets[index].version;
+    return outlet_view(rules, &rules->outlets[index]);
 }
 
 struct api_response rules_answer(const struct record *record, const struct api_request *request, struct bytes *text)
--- a/src/rules/turns.c
+++ b/src/rules/turns.c
@@ -1,23 +1,24 @@
-/* Outlets' jobs in a planning round: their order, hours, and how many tasks of an outlet may be placed at once.
+/* Limits on the jobs of outlets in a planning round: their start order (rule in_turn), their opening hours, and the
+ * number of tasks of an outlet that may be placed at one time (rule running_most).
  * Declared in dispatch/plan_round.h. */
 #include <stdlib.h>
 
 #include "dispatch/plan_round.h"
 
-/* The key of the line in which jobs of one outlet and queue wait for each other. */
-static Word_t line_of(const struct job *job) { return (Word_t)job->rules->outlet << 32 | (Word_t)job->queue; }
+/* Identifies the jobs of one outlet and queue, which wait for each other. */
+static Word_t turn_key(const struct job *job) { return (Word_t)job->rules->outlet << 32 | (Word_t)job->queue; }
 
-static int in_line(Pcvoid_t line, Word_t key)
+static int turn_keys_contain(Pcvoid_t keys, Word_t key)
 {
     int rc;
-    J1T(rc, line, key);
+    J1T(rc, keys, key);
     return rc;
 }
 
-static void line_add(Pvoid_t *line, Word_t key)
+static void turn_keys_add(Pvoid_t *keys, Word_t key)
 {
     int rc;
-    J1S(rc, *line, key);
+    J1S(rc, *keys, key);
     if (rc == JERR)
         abort();
 }
@@ -41,8 +42,8 @@
     (void)freed;
 }
 
-/* Tasks that count against running_most: placed, or being placed. */
-static int64_t runs_of(const struct plan_round *round, const struct job *job)
+/* The job's tasks that count against running_most: those placed, and those that an op under way will place. */
+static int64_t running_tasks(const struct plan_round *round, const struct job *job)
 {
     int64_t n = job->n_placed, left = job->repetitions * job->tasks - job->n_done - job->n_placed;
     for (int64_t no = 0; round->in->busy && left > 0 && !job_over(job) && no < job->repetitions * job->tasks; no++)
@@ -50,8 +51,9 @@
     return n;
 }
 
-/* Whether the job, once begun, holds up no others: it has no end of its own, or repeats. */
-static int never_blocks(const struct job *job)
+/* Whether the job, once it has begun, does not block later jobs: it has long-running steps, which need not end, or
+ * repeats. */
+static int never_blocks_turn(const struct job *job)
 {
     for (int64_t s = 0; s < job->spec.n_steps; s++)
         if (job->spec.steps[s].long_running)
@@ -61,20 +63,20 @@
 
 int outlet_job_may_start(struct plan_round *round, const struct job *job, int due)
 {
-    Word_t line = line_of(job);
+    Word_t key = turn_key(job);
     int64_t in_turn = job->rules->values.in_turn;
-    int begun = job->state != JOB_PENDING, over = job_over(job);
-    int may = begun || in_turn == TURN_ANY || in_turn == RULE_UNSET ||
-              !in_line(in_turn == TURN_OVER ? round->not_over : round->not_begun, line);
-    round->outlet_runs[job->rules->outlet] += runs_of(round, job);
-    if (!begun && due)
-        line_add(&round->not_begun, line);
-    if (!begun ? due : over || !never_blocks(job))
-        line_add(&round->not_over, line);
-    return may && !over;
+    int has_begun = job->state != JOB_PENDING, is_over = job_over(job);
+    int may_start = has_begun || in_turn == TURN_ANY || in_turn == RULE_UNSET ||
+                    !turn_keys_contain(in_turn == TURN_OVER ? round->not_over : round->not_begun, key);
+    round->outlet_runs[job->rules->outlet] += running_tasks(round, job);
+    if (!has_begun && due)
+        turn_keys_add(&round->not_begun, key);
+    if (!has_begun ? due : is_over || !never_blocks_turn(job))
+        turn_keys_add(&round->not_over, key);
+    return may_start && !is_over;
 }
 
-static int time_begun(const struct job *job, int64_t repetition)
+static int repetition_begun(const struct job *job, int64_t repetition)
 {
     for (int64_t no = repetition * job->tasks; no < (repetition + 1) * job->tasks; no++)
         if (job->rows[no].attempt)
@@ -86,7 +88,7 @@
 {
     const struct rule_values *values = &job->rules->values;
     int64_t wall_ms = round->in->wall_ms;
-    if (rules_open(values, wall_ms) || time_begun(job, repetition))
+    if (rules_open(values, wall_ms) || repetition_begun(job, repetition))
         return 1;
     if (rules_opens_ms(values, wall_ms) < *next_due_ms)
         *next_due_ms = rules_opens_ms(values, wall_ms);
@@ -105,10 +107,10 @@
     if (!rules || rules->values.running_most <= 0)
         return limit;
     const struct step_spec *step = entry_step(entry);
-    int64_t room = rules->values.running_most - round->outlet_runs[rules->outlet];
-    if (room <= 0 || (step->gang && room < step->task_count))
+    int64_t remaining = rules->values.running_most - round->outlet_runs[rules->outlet];
+    if (remaining <= 0 || (step->gang && remaining < step->task_count))
         return 0;
-    return room < limit && !step->gang ? room : limit;
+    return remaining < limit && !step->gang ? remaining : limit;
 }
 
 void outlet_count_placed(struct plan_round *round, const struct plan_entry *entry, int64_t n)
