--- a/src/runbook/parse.c
+++ b/src/runbook/parse.c
@@ -1,4 +1,4 @@
-/* The text of a runbook: one line, one word that says what it is. */
+/* Parses the text of a runbook. The first word of each line is its keyword. */
 #include <ctype.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,22 +12,22 @@
 
 struct parser {
     struct runbook *book;
-    char *why;
-    size_t why_len;
-    int64_t no;
-    char **known;
-    int64_t n_known;
+    char *error;
+    size_t error_len;
+    int64_t line_no;
+    char **names;
+    int64_t n_names;
 };
 
-static int wrong(struct parser *p, const char *expected, const char *got)
+static int parse_error(struct parser *parser, const char *expected, const char *got)
 {
-    snprintf(p->why, p->why_len, "line %lld: expected %s, got '%.60s'", (long long)p->no, expected,
-             got ? got : "nothing");
+    snprintf(parser->error, parser->error_len, "line %lld: expected %s, got '%.60s'", (long long)parser->line_no,
+             expected, got ? got : "nothing");
     return ERROR_BAD_SETTING;
 }
 
-/* Takes the next word off; NULL at the end. */
-static char *word(char **rest)
+/* Splits the next word off *rest, in place; NULL at the end. */
+static char *next_word(char **rest)
 {
     char *at = *rest;
     while (isspace((unsigned char)*at))
@@ -42,57 +42,57 @@
     return at;
 }
 
-static int known(const struct parser *p, const char *name, size_t len)
+static int name_known(const struct parser *parser, const char *name, size_t len)
 {
-    for (int64_t i = 0; i < p->n_known; i++)
-        if (strlen(p->known[i]) == len && !strncmp(p->known[i], name, len))
+    for (int64_t i = 0; i < parser->n_names; i++)
+        if (strlen(parser->names[i]) == len && !strncmp(parser->names[i], name, len))
             return 1;
     return 0;
 }
 
-/* Every {name} must be a parameter or have been let; JSON braces are not names. */
-static int names_known(struct parser *p, const char *text)
+/* Checks that each {name} is a parameter or set by an earlier let. Other braces belong to JSON and are ignored. */
+static int check_names(struct parser *parser, const char *text)
 {
     for (const char *open = text ? strchr(text, '{') : NULL; open; open = strchr(open + 1, '{')) {
         size_t len = strspn(open + 1, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ");
         if (!len || open[1 + len] != '}')
             continue;
-        if (!known(p, open + 1, len)) {
+        if (!name_known(parser, open + 1, len)) {
             char name[64];
             snprintf(name, sizeof name, "%.*s", (int)(len < 60 ? len : 60), open + 1);
-            return wrong(p, "a parameter or a name let before", name);
+            return parse_error(parser, "a parameter or a name let before", name);
         }
     }
     return ERROR_NONE;
 }
 
 /* GET PATH SELECTOR RELATION VALUE [within MS] */
-static int take_condition(struct parser *p, struct line *line, char *rest, int needs_within)
+static int parse_condition(struct parser *parser, struct line *line, char *rest, int needs_within)
 {
-    char *method = word(&rest), *path = word(&rest), *select = word(&rest), *relation = word(&rest);
-    char *value = word(&rest), *within = word(&rest), *limit = word(&rest);
+    char *method = next_word(&rest), *path = next_word(&rest), *select = next_word(&rest), *relation = next_word(&rest);
+    char *value = next_word(&rest), *within = next_word(&rest), *limit = next_word(&rest);
     if (!method || strcmp(method, "GET"))
-        return wrong(p, "GET", method);
+        return parse_error(parser, "GET", method);
     if (!path || *path != '/')
-        return wrong(p, "a path", path);
+        return parse_error(parser, "a path", path);
     if (!select)
-        return wrong(p, "a selector", NULL);
+        return parse_error(parser, "a selector", NULL);
     int found = -1;
     for (int i = 0; relation && i < COUNT_OF(relations); i++)
         if (!strcmp(relation, relations[i]))
             found = i;
     if (found < 0)
-        return wrong(p, "is, isnt, atleast or atmost", relation);
+        return parse_error(parser, "is, isnt, atleast or atmost", relation);
     if (!value)
-        return wrong(p, "a value", NULL);
+        return parse_error(parser, "a value", NULL);
     if (within && strcmp(within, "within"))
-        return wrong(p, "within MS", within);
+        return parse_error(parser, "within MS", within);
     if (needs_within && !within)
-        return wrong(p, "within MS", NULL);
+        return parse_error(parser, "within MS", NULL);
     if (within && (!limit || strspn(limit, "0123456789") != strlen(limit) || text_to_int64(limit) < 1))
-        return wrong(p, "a number of milliseconds", limit);
-    if (word(&rest))
-        return wrong(p, "nothing more", rest);
+        return parse_error(parser, "a number of milliseconds", limit);
+    if (next_word(&rest))
+        return parse_error(parser, "nothing more", rest);
     line->relation = (enum relation)found;
     line->path = must_dup(path);
     line->select = must_dup(select);
@@ -101,13 +101,13 @@
     return ERROR_NONE;
 }
 
-static int take_action(struct parser *p, struct line *line, char *rest)
+static int parse_action(struct parser *parser, struct line *line, char *rest)
 {
-    char *method = word(&rest), *path = word(&rest);
+    char *method = next_word(&rest), *path = next_word(&rest);
     if (!method || (strcmp(method, "PUT") && strcmp(method, "POST") && strcmp(method, "DELETE")))
-        return wrong(p, "PUT, POST or DELETE", method);
+        return parse_error(parser, "PUT, POST or DELETE", method);
     if (!path || *path != '/')
-        return wrong(p, "a path", path);
+        return parse_error(parser, "a path", path);
     while (isspace((unsigned char)*rest))
         rest++;
     line->method = must_dup(method);
@@ -117,86 +117,88 @@
 }
 
 /* NAME = GET PATH SELECTOR */
-static int take_let(struct parser *p, struct line *line, char *rest)
+static int parse_let(struct parser *parser, struct line *line, char *rest)
 {
-    char *name = word(&rest), *equals = word(&rest), *method = word(&rest), *path = word(&rest), *select = word(&rest);
-    if (!name || !equals || strcmp(equals, "=") || !method || strcmp(method, "GET") || !path || !select || word(&rest))
-        return wrong(p, "NAME = GET PATH SELECTOR", name);
+    char *name = next_word(&rest), *equals = next_word(&rest), *method = next_word(&rest), *path = next_word(&rest),
+         *select = next_word(&rest);
+    if (!name || !equals || strcmp(equals, "=") || !method || strcmp(method, "GET") || !path || !select ||
+        next_word(&rest))
+        return parse_error(parser, "NAME = GET PATH SELECTOR", name);
     line->name = must_dup(name);
     line->path = must_dup(path);
     line->select = must_dup(select);
     return ERROR_NONE;
 }
 
-static int take_line(struct parser *p, enum verb verb, char *rest)
+static int parse_step_line(struct parser *parser, enum verb verb, char *rest)
 {
-    struct runbook *book = p->book;
+    struct runbook *book = parser->book;
     if (!book->n_steps)
-        return wrong(p, "a step first", verbs[verb]);
+        return parse_error(parser, "a step first", verbs[verb]);
     struct step *step = &book->steps[book->n_steps - 1];
     struct line *line = array_add(step->lines, step->n_lines);
     line->verb = verb;
-    line->no = p->no;
+    line->line_no = parser->line_no;
     int rc = ERROR_NONE;
     if (verb == VERB_LET)
-        rc = take_let(p, line, rest);
+        rc = parse_let(parser, line, rest);
     else if (verb == VERB_DO)
-        rc = take_action(p, line, rest);
+        rc = parse_action(parser, line, rest);
     else if (verb == VERB_TELL)
         line->body = must_dup(rest);
     else
-        rc = take_condition(p, line, rest, verb == VERB_WAIT || verb == VERB_EVERYWHERE);
+        rc = parse_condition(parser, line, rest, verb == VERB_WAIT || verb == VERB_EVERYWHERE);
     if (!rc)
-        rc = names_known(p, line->path);
+        rc = check_names(parser, line->path);
     if (!rc)
-        rc = names_known(p, line->select);
+        rc = check_names(parser, line->select);
     if (!rc)
-        rc = names_known(p, line->value);
+        rc = check_names(parser, line->value);
     if (!rc)
-        rc = names_known(p, line->body);
+        rc = check_names(parser, line->body);
     if (!rc && verb == VERB_LET)
-        *array_add(p->known, p->n_known) = line->name;
+        *array_add(parser->names, parser->n_names) = line->name;
     return rc;
 }
 
-static int take_text_line(struct parser *p, char *text)
+static int parse_text_line(struct parser *parser, char *text)
 {
-    struct runbook *book = p->book;
-    char *rest = text, *first = word(&rest);
+    struct runbook *book = parser->book;
+    char *rest = text, *first = next_word(&rest);
     if (!first || *first == '#')
         return ERROR_NONE;
     while (isspace((unsigned char)*rest))
         rest++;
     if (!strcmp(first, "runbook")) {
         if (book->name || !*rest)
-            return wrong(p, "one runbook NAME", rest);
+            return parse_error(parser, "one runbook NAME", rest);
         book->name = must_dup(rest);
         return ERROR_NONE;
     }
     if (!book->name)
-        return wrong(p, "runbook NAME first", first);
+        return parse_error(parser, "runbook NAME first", first);
     if (!strcmp(first, "param")) {
         if (!*rest || book->n_steps)
-            return wrong(p, "param NAME before the first step", rest);
-        *array_add(book->settings, book->n_settings) = must_dup(rest);
-        *array_add(p->known, p->n_known) = book->settings[book->n_settings - 1];
+            return parse_error(parser, "param NAME before the first step", rest);
+        *array_add(book->params, book->n_params) = must_dup(rest);
+        *array_add(parser->names, parser->n_names) = book->params[book->n_params - 1];
         return ERROR_NONE;
     }
     if (!strcmp(first, "step")) {
         if (!*rest)
-            return wrong(p, "step NAME", NULL);
-        *array_add(book->steps, book->n_steps) = (struct step){.name = must_dup(rest), .no = p->no};
+            return parse_error(parser, "step NAME", NULL);
+        *array_add(book->steps, book->n_steps) = (struct step){.name = must_dup(rest), .line_no = parser->line_no};
         return ERROR_NONE;
     }
     for (int i = 0; i < VERB_COUNT; i++)
         if (!strcmp(first, verbs[i]))
-            return take_line(p, (enum verb)i, rest);
-    return wrong(p, "runbook, param, step, let, wait, expect, everywhere, do, unless or tell", first);
+            return parse_step_line(parser, (enum verb)i, rest);
+    return parse_error(parser, "runbook, param, step, let, wait, expect, everywhere, do, unless or tell", first);
 }
 
-int runbook_parse(struct runbook *book, const char *text, char *why, size_t why_len)
+int runbook_parse(struct runbook *book, const char *text, char *error, size_t error_len)
 {
-    struct parser p = {.book = book, .why = why, .why_len = why_len};
+    struct parser parser = {.book = book, .error = error, .error_len = error_len};
     char *copy = must_dup(text), *at = copy;
     int rc = ERROR_NONE;
     *book = (struct runbook){0};
@@ -204,14 +206,14 @@
         char *end = strchr(at, '\n');
         if (end)
             *end = 0;
-        p.no++;
-        rc = take_text_line(&p, at);
+        parser.line_no++;
+        rc = parse_text_line(&parser, at);
         at = end ? end + 1 : NULL;
     }
     if (!rc && !book->n_steps)
-        rc = wrong(&p, "at least one step", NULL);
+        rc = parse_error(&parser, "at least one step", NULL);
     free(copy);
-    free(p.known);
+    free(parser.names);
     if (rc)
         runbook_free(book);
     return rc;
@@ -232,9 +234,9 @@
         free(book->steps[i].lines);
         free(book->steps[i].name);
     }
-    for (int64_t i = 0; i < book->n_settings; i++)
-        free(book->settings[i]);
-    free(book->settings);
+    for (int64_t i = 0; i < book->n_params; i++)
+        free(book->params[i]);
+    free(book->params);
     free(book->steps);
     free(book->name);
     *book = (struct runbook){0};
--- a/src/runbook/runbook.h
+++ b/src/runbook/runbook.h
@@ -1,7 +1,6 @@
-/* Runbooks that can be executed: steps with conditions to wait for, actions
- * through the operators' API, and expectations. Checked whole before anything
- * is done; every step is recorded with what was seen; done steps are skipped
- * when a run is taken up again. docs/runbooks.md is the page. */
+/* Executable runbooks. Their steps wait for conditions, act through the operators' API, and check expectations. A
+ * runbook is validated as a whole before its first step runs. Each step is recorded with what was seen, and a run that
+ * is resumed with that record skips the steps that are done. Described in docs/runbooks.md. */
 #ifndef SAGEHITCH_RUNBOOK_H
 #define SAGEHITCH_RUNBOOK_H
 #include <jansson.h>
@@ -12,17 +11,17 @@
 enum verb { VERB_LET, VERB_WAIT, VERB_EXPECT, VERB_EVERYWHERE, VERB_DO, VERB_UNLESS, VERB_TELL, VERB_COUNT };
 enum relation { REL_IS, REL_ISNT, REL_ATLEAST, REL_ATMOST };
 
-/* One line within a step. Texts may hold {names}, filled in when it is run. */
+/* A line of a step. Its texts may contain {names}, which are replaced when it runs. */
 struct line {
     enum verb verb;
     enum relation relation;
-    int64_t no, within_ms;
+    int64_t line_no, within_ms;
     char *name, *method, *path, *select, *value, *body;
 };
 
 struct step {
     char *name;
-    int64_t no;
+    int64_t line_no;
     struct line *lines;
     int64_t n_lines;
 };
@@ -31,38 +30,40 @@
     char *name, *value;
 };
 
-/* Invariant: names used in lines are parameters or were let before. */
+/* Invariant: each name used in a line is a parameter or is set by an earlier let. */
 struct runbook {
     char *name;
     struct step *steps;
     int64_t n_steps;
-    char **settings;
-    int64_t n_settings;
+    char **params;
+    int64_t n_params;
 };
 
-/* What a run may ask of the outside; the tests give it a fleet of paper. */
-struct runbook_world {
+/* What a run needs from the process around it; the tests provide a simulated cluster. */
+struct runbook_environment {
     void *arg;
-    /* node: -1 any, else the nth live node; returns the status, 0 for no answer, -1 past the last node */
-    long (*request)(void *arg, int64_t node, const char *method, const char *path, const char *body, struct bytes *got);
+    /* node: -1: any, else the index of a live node. Returns the HTTP status; 0: no response; -1: no such node. */
+    long (*request)(void *arg, int64_t node, const char *method, const char *path, const char *body,
+                    struct bytes *response);
     int64_t (*now_ms)(void *arg);
     void (*pause)(void *arg, int64_t ms);
-    void (*say)(void *arg, const char *text);
+    void (*print)(void *arg, const char *text);
 };
 
-/* 0, or an error; why names the line and what was expected. */
-int runbook_parse(struct runbook *book, const char *text, char *why, size_t why_len);
+/* Returns 0, or an error; the text in error names the line and what was expected. */
+int runbook_parse(struct runbook *book, const char *text, char *error, size_t error_len);
 void runbook_free(struct runbook *book);
-/* What a selector finds in an answer, as text; owned, NULL for nothing. */
+/* The value that a selector finds in a response, as text owned by the caller; NULL: none. */
 char *runbook_select(const json_t *json, const char *select);
-/* How a runbook is run. dry: actions are named, not done. */
+/* Options of a run. dry: actions are printed instead of sent; wait, everywhere and expect are skipped. */
 struct runbook_options {
-    const struct binding *settings; /* values of its parameters; borrowed */
-    int64_t n_settings;
+    const struct binding *params; /* values of the runbook's parameters; borrowed */
+    int64_t n_params;
     int dry;
 };
-/* Runs what record does not say is done; record grows by a line a step. 0, or an error with why. */
-int runbook_run(const struct runbook *book, const struct runbook_options *options, const struct runbook_world *world,
-                struct bytes *record, char *why, size_t why_len);
+/* Runs the steps that are not done according to record, and appends a line to record for each. Returns 0, or an error
+ * with a text in error. */
+int runbook_run(const struct runbook *book, const struct runbook_options *options,
+                const struct runbook_environment *environment, struct bytes *record, char *error, size_t error_len);
 int runbook_main(int argc, char **argv);
 #endif
--- a/src/runbook/runbook_main.c
+++ b/src/runbook/runbook_main.c
@@ -10,7 +10,7 @@
 #include "ctl/ctl.h"
 #include "runbook/runbook.h"
 
-struct outside {
+struct runbook_client {
     struct local *local;
     uint64_t nodes[64];
     int64_t n_nodes;
@@ -31,47 +31,48 @@
     nanosleep(&ts, NULL);
 }
 
-static void say(void *arg, const char *text)
+static void print(void *arg, const char *text)
 {
     (void)arg;
     printf("%s\n", text);
     (void)fflush(stdout);
 }
 
-/* The doors of all live nodes, asked anew for each sweep over them. */
-static void find_nodes(struct outside *o)
+/* Looks up the HTTP addresses of all live nodes. */
+static void find_nodes(struct runbook_client *client)
 {
-    struct bytes got = {0};
+    struct bytes response = {0};
     size_t i;
-    json_t *one;
-    o->n_nodes = 0;
-    if (ctl_request(o->local, "GET", "/v1/members", NULL, &got) == 200) {
-        json_t *json = json_loadb((char *)got.at, (size_t)got.len, 0, NULL);
-        json_array_foreach(json_object_get(json, "members"), i, one)
+    json_t *member;
+    client->n_nodes = 0;
+    if (ctl_request(client->local, "GET", "/v1/members", NULL, &response) == 200) {
+        json_t *json = json_loadb((char *)response.at, (size_t)response.len, 0, NULL);
+        json_array_foreach(json_object_get(json, "members"), i, member)
         {
-            const char *role = json_string_value(json_object_get(one, "role"));
-            const char *state = json_string_value(json_object_get(one, "state"));
-            const char *http = json_string_value(json_object_get(one, "http"));
+            const char *role = json_string_value(json_object_get(member, "role"));
+            const char *state = json_string_value(json_object_get(member, "state"));
+            const char *http = json_string_value(json_object_get(member, "http"));
             if (role && state && http && !strcmp(role, "node") && !strcmp(state, "alive") &&
-                o->n_nodes < COUNT_OF(o->nodes))
-                o->nodes[o->n_nodes++] = addr_parse(http);
+                client->n_nodes < COUNT_OF(client->nodes))
+                client->nodes[client->n_nodes++] = addr_parse(http);
         }
         json_decref(json);
     }
-    bytes_free(&got);
+    bytes_free(&response);
 }
 
-static long request(void *arg, int64_t node, const char *method, const char *path, const char *body, struct bytes *got)
+static long request(void *arg, int64_t node, const char *method, const char *path, const char *body,
+                    struct bytes *response)
 {
-    struct outside *o = arg;
+    struct runbook_client *client = arg;
     if (node < 0)
-        return ctl_request(o->local, method, path, body, got);
+        return ctl_request(client->local, method, path, body, response);
     if (!node)
-        find_nodes(o);
-    return node < o->n_nodes ? ctl_request_at(o->nodes[node], method, path, body, got) : -1;
+        find_nodes(client);
+    return node < client->n_nodes ? ctl_request_at(client->nodes[node], method, path, body, response) : -1;
 }
 
-static int read_whole(const char *name, struct bytes *to)
+static int read_file(const char *name, struct bytes *to)
 {
     char chunk[4096];
     size_t n;
@@ -98,23 +99,24 @@
 static const char help[] =
     "usage: sagehitch runbook check FILE\n"
     "       sagehitch runbook run FILE --seeds IP:PORT[,...] [--record FILE] [--dry] [NAME=VALUE ...]\n"
-    "check reads the whole runbook and names the first line that is wrong. run does the\n"
-    "steps its record does not say are done, stops at the first that is not as expected,\n"
-    "and can be taken up again with the same record. --dry names actions without doing them.\n"
-    "Exit status: 0 all done, 1 wrong use or a wrong line, 2 stopped.\n";
+    "check validates the whole runbook and prints the first error. run does the steps that\n"
+    "are not done according to the record and stops at the first that fails; run it again\n"
+    "with the same record to resume. --dry prints the actions without sending them.\n"
+    "Exit status: 0 done, 1 wrong usage or an invalid runbook, 2 stopped.\n";
 
-static int run(struct outside *o, const struct runbook *book, const char *record_name, int dry,
-               const struct binding *settings, int64_t n_settings)
+static int run(struct runbook_client *client, const struct runbook *book, const char *record_name, int dry,
+               const struct binding *params, int64_t n_params)
 {
-    const struct runbook_world world = {.arg = o, .request = request, .now_ms = now_ms, .pause = pause_ms, .say = say};
+    const struct runbook_environment environment = {
+        .arg = client, .request = request, .now_ms = now_ms, .pause = pause_ms, .print = print};
     struct bytes record = {0};
     char why[600] = "";
-    if (record_name && read_whole(record_name, &record) == ERROR_DISK) {
+    if (record_name && read_file(record_name, &record) == ERROR_DISK) {
         fprintf(stderr, "sagehitch runbook: %s cannot be read\n", record_name);
         return 1;
     }
-    const struct runbook_options options = {.settings = settings, .n_settings = n_settings, .dry = dry};
-    int rc = runbook_run(book, &options, &world, &record, why, sizeof why);
+    const struct runbook_options options = {.params = params, .n_params = n_params, .dry = dry};
+    int rc = runbook_run(book, &options, &environment, &record, why, sizeof why);
     if (record_name && write_record(record_name, &record))
         fprintf(stderr, "sagehitch runbook: %s cannot be written\n", record_name);
     if (rc)
@@ -128,11 +130,11 @@
 int runbook_main(int argc, char **argv)
 {
     struct local local;
-    struct outside outside = {.local = &local};
+    struct runbook_client runbook_client = {.local = &local};
     struct runbook book = {0};
     struct bytes text = {0};
-    struct binding settings[32];
-    int64_t n_settings = 0;
+    struct binding params[32];
+    int64_t n_params = 0;
     const char *record = NULL;
     char why[400] = "";
     int dry = 0, rc = 1;
@@ -149,14 +151,14 @@
             record = argv[++i];
         } else if (!strcmp(argv[i], "--seeds") && i + 1 < argc) {
             local_set(&local, "seeds", argv[++i], "flags", why, sizeof why);
-        } else if (equals && equals != argv[i] && *argv[i] != '-' && n_settings < COUNT_OF(settings)) {
+        } else if (equals && equals != argv[i] && *argv[i] != '-' && n_params < COUNT_OF(params)) {
             *equals = 0;
-            settings[n_settings++] = (struct binding){.name = argv[i], .value = equals + 1};
+            params[n_params++] = (struct binding){.name = argv[i], .value = equals + 1};
         } else {
             snprintf(why, sizeof why, "%s: expected --seeds, --record, --dry or NAME=VALUE", argv[i]);
         }
     }
-    if (!*why && read_whole(argv[1], &text))
+    if (!*why && read_file(argv[1], &text))
         snprintf(why, sizeof why, "%s cannot be read", argv[1]);
     if (!*why)
         runbook_parse(&book, (char *)text.at, why, sizeof why);
@@ -165,9 +167,9 @@
     if (*why)
         fprintf(stderr, "sagehitch runbook: %s: %s\n", argv[1], why);
     else if (!strcmp(argv[0], "check"))
-        rc = printf("%s: %lld steps, nothing wrong\n", book.name, (long long)book.n_steps) < 0;
+        rc = printf("%s: %lld steps, no errors\n", book.name, (long long)book.n_steps) < 0;
     else
-        rc = run(&outside, &book, record, dry, settings, n_settings);
+        rc = run(&runbook_client, &book, record, dry, params, n_params);
     runbook_free(&book);
     bytes_free(&text);
     local_free(&local);
--- a/src/runbook/select.c
+++ b/src/runbook/select.c
@@ -1,32 +1,32 @@
-/* Selectors: names joined by dots; LIST[key=value] takes the items that match,
- * a last .count counts them. members[state=alive].count, settings.version */
+/* Selectors: member names joined by dots, for example settings.version. LIST[key=value] keeps the matching items, and
+ * .count at the end counts them: members[state=alive].count */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "runbook/runbook.h"
 
-static int matches(const json_t *item, const char *key, const char *want)
+static int matches(const json_t *item, const char *key, const char *expected)
 {
     const json_t *value = json_object_get(item, key);
     char text[32];
     if (json_is_string(value))
-        return !strcmp(json_string_value(value), want);
+        return !strcmp(json_string_value(value), expected);
     if (json_is_boolean(value))
-        return !strcmp(json_is_true(value) ? "true" : "false", want);
+        return !strcmp(json_is_true(value) ? "true" : "false", expected);
     snprintf(text, sizeof text, "%lld", (long long)json_integer_value(value));
-    return json_is_integer(value) && !strcmp(text, want);
+    return json_is_integer(value) && !strcmp(text, expected);
 }
 
-/* The matching items of a list; a new list. filter is "key=value]" or "]". */
-static json_t *filtered(const json_t *list, const char *filter)
+/* A new list of the items that match; filter is "key=value]", or "]" for all. */
+static json_t *filter_list(const json_t *list, const char *filter)
 {
-    char key[64] = "", want[128] = "";
+    char key[64] = "", expected[128] = "";
     json_t *out = json_array(), *item;
     size_t i;
-    if (sscanf(filter, "%63[^]=]=%127[^]]", key, want) < 2 && *filter != ']')
+    if (sscanf(filter, "%63[^]=]=%127[^]]", key, expected) < 2 && *filter != ']')
         return out;
-    json_array_foreach((json_t *)(uintptr_t)list, i, item) if (*filter == ']' || matches(item, key, want))
+    json_array_foreach((json_t *)(uintptr_t)list, i, item) if (*filter == ']' || matches(item, key, expected))
         json_array_append(out, item);
     return out;
 }
@@ -44,9 +44,9 @@
 
 char *runbook_select(const json_t *json, const char *select)
 {
-    json_t *at = json_incref((json_t *)(uintptr_t)json);
+    json_t *value = json_incref((json_t *)(uintptr_t)json);
     const char *rest = select;
-    while (at && *rest) {
+    while (value && *rest) {
         char part[256];
         size_t n = 0, depth = 0;
         for (; rest[n] && (rest[n] != '.' || depth); n++)
@@ -57,21 +57,21 @@
         if (bracket)
             *bracket = 0;
         json_t *next;
-        if (!strcmp(part, "count") && json_is_array(at))
-            next = json_integer((json_int_t)json_array_size(at));
-        else if (json_is_array(at))
-            next = json_incref(json_object_get(json_array_get(at, 0), part));
+        if (!strcmp(part, "count") && json_is_array(value))
+            next = json_integer((json_int_t)json_array_size(value));
+        else if (json_is_array(value))
+            next = json_incref(json_object_get(json_array_get(value, 0), part));
         else
-            next = json_incref(json_object_get(at, part));
+            next = json_incref(json_object_get(value, part));
         if (bracket && next) {
-            json_t *some = filtered(next, bracket + 1);
+            json_t *matching = filter_list(next, bracket + 1);
             json_decref(next);
-            next = some;
+            next = matching;
         }
-        json_decref(at);
-        at = next;
+        json_decref(value);
+        value = next;
     }
-    char *text = as_text(at);
-    json_decref(at);
+    char *text = as_text(value);
+    json_decref(value);
     return text;
 }
--- a/tests/sim/runbook_test.cc
+++ b/tests/sim/runbook_test.cc
@@ -1,5 +1,5 @@
-// The shipped runbooks, each run against a simulated fleet, the operator's own
-// hands played by the test; and runbooks that are wrong.
+// Runs each shipped runbook against a simulated cluster, with the test doing what the runbook tells the operator to do;
+// and rejects invalid runbooks.
 #include <fstream>
 #include <functional>
 #include <sstream>
@@ -13,12 +13,12 @@
 namespace
 {
 
-std::string shipped(const std::string &name)
+std::string read_runbook(const std::string &name)
 {
     std::ifstream in(std::string(SAGEHITCH_SOURCE) + "/runbooks/" + name + ".run");
     std::stringstream all;
     all << in.rdbuf();
-    // the hours an operator may take are minutes here
+    // the runbooks allow operators up to an hour; the simulation allows 30 s
     std::string text = all.str();
     for (const char *hours : {"3600000", "600000"})
         for (size_t at; (at = text.find(std::string("within ") + hours)) != std::string::npos;)
@@ -27,10 +27,10 @@
 }
 
 struct Runner : Fleet {
-    std::function<void(const std::string &)> hand = [](const std::string &) {};
-    std::vector<std::string> said;
+    std::function<void(const std::string &)> operator_action = [](const std::string &) {};
+    std::vector<std::string> printed;
     std::string record, why;
-    int asked = 0;
+    int n_requests = 0;
     explicit Runner(int keepers = 3) : Fleet(1, 15, 6, 16, "dackhuset", keepers)
     {
         for (int i = 4; i <= keepers; i++)
@@ -46,7 +46,7 @@
                 up.push_back(r->at("node" + std::to_string(i)));
         if (node >= (int64_t)up.size())
             return -1;
-        r->asked++;
+        r->n_requests++;
         Answer a = r->request(node < 0 ? r->any() : up[(size_t)node], method, path, body ? body : "");
         got->len = 0;
         bytes_add(got, a.body.data(), (int64_t)a.body.size());
@@ -54,13 +54,13 @@
     }
     static int64_t now_(void *arg) { return sim_ms(&((Runner *)arg)->s); }
     static void pause_(void *arg, int64_t ms) { ((Runner *)arg)->run(ms); }
-    static void say_(void *arg, const char *text)
+    static void print_(void *arg, const char *text)
     {
         Runner *r = (Runner *)arg;
-        r->said.push_back(text);
-        r->hand(text);
+        r->printed.push_back(text);
+        r->operator_action(text);
     }
-    int book(const std::string &text, std::vector<std::pair<std::string, std::string>> settings, int dry = 0)
+    int run_book(const std::string &text, std::vector<std::pair<std::string, std::string>> settings, int dry = 0)
     {
         runbook b;
         char buffer[600] = "";
@@ -71,7 +71,7 @@
             why = buffer;
             return ERROR_BAD_SETTING;
         }
-        runbook_world w = {this, request_, now_, pause_, say_};
+        runbook_environment w = {this, request_, now_, pause_, print_};
         bytes rec = {};
         bytes_add(&rec, record.data(), (int64_t)record.size());
         runbook_options options = {bindings.data(), (int64_t)bindings.size(), dry};
@@ -83,9 +83,9 @@
         return rc;
     }
     std::string addr(const std::string &name) { return addr_text(at(name)->base.self); }
-    bool told(const std::string &what)
+    bool has_printed(const std::string &what)
     {
-        return std::any_of(said.begin(), said.end(),
+        return std::any_of(printed.begin(), printed.end(),
                            [&](const std::string &s) { return s.find(what) != std::string::npos; });
     }
 };
@@ -95,18 +95,18 @@
     Runner r;
     std::vector<std::pair<std::string, std::string>> change = {
         {"path", "root/lookup"}, {"overrides", "{\"attemptsMax\":2}"}, {"name", "attemptsMax"}, {"value", "2"}};
-    EXPECT_EQ(r.book(shipped("change-branch"), change, 1), ERROR_NONE) << r.why;
-    EXPECT_TRUE(r.told("PUT /v1/settings/branch?expect=0&path=root/lookup"));
+    EXPECT_EQ(r.run_book(read_runbook("change-branch"), change, 1), ERROR_NONE) << r.why;
+    EXPECT_TRUE(r.has_printed("PUT /v1/settings/branch?expect=0&path=root/lookup"));
     EXPECT_EQ(r.number(r.request(r.any(), "GET", "/v1/settings"), "version"), 0);
     r.record.clear();
-    EXPECT_EQ(r.book(shipped("change-branch"), change), ERROR_NONE) << r.why;
+    EXPECT_EQ(r.run_book(read_runbook("change-branch"), change), ERROR_NONE) << r.why;
     EXPECT_EQ(r.number(r.request(r.any(), "GET", "/v1/settings"), "version"), 1);
     r.record.clear();
-    EXPECT_EQ(r.book(shipped("change-branch"), change), ERROR_NONE) << r.why; // again: harmless
+    EXPECT_EQ(r.run_book(read_runbook("change-branch"), change), ERROR_NONE) << r.why; // repeating it changes nothing
     EXPECT_EQ(r.number(r.request(r.any(), "GET", "/v1/settings"), "version"), 1);
     r.record.clear();
-    EXPECT_EQ(r.book(shipped("roll-back"),
-                     {{"path", "root/lookup"}, {"overrides", "{}"}, {"name", "attemptsMax"}, {"value", "3"}}),
+    EXPECT_EQ(r.run_book(read_runbook("roll-back"),
+                         {{"path", "root/lookup"}, {"overrides", "{}"}, {"name", "attemptsMax"}, {"value", "3"}}),
               ERROR_NONE)
         << r.why;
     EXPECT_EQ(r.number(r.request(r.any(), "GET", "/v1/settings"), "version"), 2);
@@ -117,14 +117,14 @@
     Runner r;
     caller *load = sim_load(&r.s, 600, 30);
     r.run(2000);
-    r.hand = [&](const std::string &text) {
+    r.operator_action = [&](const std::string &text) {
         if (text.find("is empty: stop it now") != std::string::npos) {
             EXPECT_EQ(r.at("executor2")->core.executor.n_work, 0);
             sim_kill(r.at("executor2"), 1);
         }
     };
-    EXPECT_EQ(r.book(shipped("drain-executor"),
-                     {{"executor", "executor2"}, {"at", std::to_string(sim_wall_ms(&r.s) + 6000)}}),
+    EXPECT_EQ(r.run_book(read_runbook("drain-executor"),
+                         {{"executor", "executor2"}, {"at", std::to_string(sim_wall_ms(&r.s) + 6000)}}),
               ERROR_NONE)
         << r.why;
     EXPECT_FALSE(r.at("executor2")->up);
@@ -133,30 +133,31 @@
     EXPECT_EQ(r.breaches(), "");
 }
 
-TEST(Runbook, SwapAKeeperStopsHalfwayAndIsTakenUpAgain)
+TEST(Runbook, SwapKeeperResumesAfterAFailedStep)
 {
     Runner r(4);
     std::vector<std::pair<std::string, std::string>> settings = {{"lost", r.addr("keeper2")},
                                                                  {"fresh", r.addr("keeper4")}};
     sim_kill(r.at("keeper2"), 1);
-    EXPECT_EQ(r.book(shipped("swap-keeper"), settings), ERROR_OUTCOME_UNKNOWN); // nobody starts the new one
+    EXPECT_EQ(r.run_book(read_runbook("swap-keeper"), settings),
+              ERROR_OUTCOME_UNKNOWN); // the new keeper is not started
     EXPECT_NE(r.why.find("line 12"), std::string::npos) << r.why;
     EXPECT_NE(r.record.find("\"how\":\"failed\""), std::string::npos);
     EXPECT_NE(r.record.find("\"how\":\"done\""), std::string::npos);
-    r.said.clear();
-    r.hand = [&](const std::string &text) {
+    r.printed.clear();
+    r.operator_action = [&](const std::string &text) {
         if (text.find("start an empty keeper") != std::string::npos)
             sim_boot(r.at("keeper4"));
     };
-    EXPECT_EQ(r.book(shipped("swap-keeper"), settings), ERROR_NONE) << r.why;
-    EXPECT_FALSE(r.told("be sure the others hold")); // was done before
+    EXPECT_EQ(r.run_book(read_runbook("swap-keeper"), settings), ERROR_NONE) << r.why;
+    EXPECT_FALSE(r.has_printed("be sure the others hold")); // was done in the first run
     EXPECT_EQ(r.breaches(), "");
 }
 
 TEST(Runbook, ExchangeAllKeepersAndRestartAZone)
 {
     Runner r(6);
-    r.hand = [&](const std::string &text) {
+    r.operator_action = [&](const std::string &text) {
         for (int i = 1; i <= 3; i++) {
             std::string from = "keeper" + std::to_string(i), to = "keeper" + std::to_string(i + 3);
             if (text.find("stop the keeper at " + r.addr(from)) == std::string::npos)
@@ -181,17 +182,17 @@
                 (r.s.machines[i]->kind == M_NODE || r.s.machines[i] == r.at("keeper5")))
                 sim_restart(r.s.machines[i]);
     };
-    EXPECT_EQ(r.book(shipped("exchange-keepers"), {{"oldA", r.addr("keeper1")},
-                                                   {"newA", r.addr("keeper4")},
-                                                   {"oldB", r.addr("keeper2")},
-                                                   {"newB", r.addr("keeper5")},
-                                                   {"oldC", r.addr("keeper3")},
-                                                   {"newC", r.addr("keeper6")}}),
+    EXPECT_EQ(r.run_book(read_runbook("exchange-keepers"), {{"oldA", r.addr("keeper1")},
+                                                            {"newA", r.addr("keeper4")},
+                                                            {"oldB", r.addr("keeper2")},
+                                                            {"newB", r.addr("keeper5")},
+                                                            {"oldC", r.addr("keeper3")},
+                                                            {"newC", r.addr("keeper6")}}),
               ERROR_NONE)
         << r.why;
     r.record.clear();
     r.run(5000);
-    EXPECT_EQ(r.book(shipped("restart-zone"), {{"zone", "z2"}, {"all", "18"}}), ERROR_NONE) << r.why;
+    EXPECT_EQ(r.run_book(read_runbook("restart-zone"), {{"zone", "z2"}, {"all", "18"}}), ERROR_NONE) << r.why;
     EXPECT_EQ(r.breaches(), "");
 }
 
@@ -200,21 +201,21 @@
     Runner r;
     for (int64_t i = 0; i < r.s.n; i++)
         sim_kill(r.s.machines[i], 1);
-    r.hand = [&](const std::string &text) {
+    r.operator_action = [&](const std::string &text) {
         if (text.find("start the keepers") != std::string::npos)
             for (int64_t i = 0; i < r.s.n; i++)
                 sim_restart(r.s.machines[i]);
     };
-    EXPECT_EQ(r.book(shipped("after-power-cut"), {{"executors", "6"}}), ERROR_NONE) << r.why;
+    EXPECT_EQ(r.run_book(read_runbook("after-power-cut"), {{"executors", "6"}}), ERROR_NONE) << r.why;
     EXPECT_EQ(r.breaches(), "");
 }
 
-TEST(Runbook, WrongOnesAreNamedWithTheirLineBeforeAnythingIsDone)
+TEST(Runbook, InvalidRunbooksAreRejectedWithTheLineBeforeAnyRequest)
 {
     Runner r;
-    struct Wrong {
+    struct InvalidRunbook {
         const char *text, *why;
-    } wrongs[] = {
+    } invalid_runbooks[] = {
         {"", "line 1: expected at least one step"},
         {"step a\n", "line 1: expected runbook NAME first"},
         {"runbook x\nstep a\n  dance\n", "line 3: expected runbook, param, step"},
@@ -230,22 +231,23 @@
         {"runbook x\nstep a\nlet v GET /v1/status gate\n", "line 3: expected NAME = GET PATH SELECTOR"},
         {"runbook x\nstep a\nparam b\n", "line 3: expected param NAME before the first step"},
     };
-    for (const Wrong &w : wrongs) {
-        EXPECT_EQ(r.book(w.text, {}), ERROR_BAD_SETTING);
+    for (const InvalidRunbook &w : invalid_runbooks) {
+        EXPECT_EQ(r.run_book(w.text, {}), ERROR_BAD_SETTING);
         EXPECT_EQ(r.why.rfind(w.why, 0), 0u) << r.why << " instead of " << w.why;
     }
-    EXPECT_EQ(r.book("runbook x\nparam a\nstep s\n tell {a}\n", {}), ERROR_BAD_SETTING);
-    EXPECT_EQ(r.asked, 0);
+    EXPECT_EQ(r.run_book("runbook x\nparam a\nstep s\n tell {a}\n", {}), ERROR_BAD_SETTING);
+    EXPECT_EQ(r.n_requests, 0);
     EXPECT_EQ(r.record, "");
-    // stops at the first unmet expectation, with what was seen; what came after is not done
+    // a run stops at the first expectation that is not met and reports what was seen; later steps are not run
     EXPECT_EQ(
-        r.book("runbook x\nstep one\nexpect GET /v1/settings version is 7\nstep two\ndo PUT /v1/settings?expect=0 {}\n",
-               {}),
+        r.run_book(
+            "runbook x\nstep one\nexpect GET /v1/settings version is 7\nstep two\ndo PUT /v1/settings?expect=0 {}\n",
+            {}),
         ERROR_REJECTED);
-    EXPECT_EQ(r.why, "line 3: expected otherwise, seen: 0");
+    EXPECT_EQ(r.why, "line 3: expectation not met, seen: 0");
     EXPECT_EQ(r.number(r.request(r.any(), "GET", "/v1/settings"), "version"), 0);
     EXPECT_EQ(r.record.find("two"), std::string::npos);
-    EXPECT_EQ(r.book("runbook y\nstep three\ndo PUT /v1/settings?expect=9 {}\n", {}), ERROR_REJECTED);
+    EXPECT_EQ(r.run_book("runbook y\nstep three\ndo PUT /v1/settings?expect=9 {}\n", {}), ERROR_REJECTED);
     EXPECT_NE(r.why.find("409"), std::string::npos);
 }
 
