--- a/src/ctl/check.c
+++ b/src/ctl/check.c
@@ -1,6 +1,6 @@
-/* Folds the executors' own journals and says whether a rule was broken: no
- * task on two executors at once or again after it was done, no executor over
- * its room. Exit status 0: none broken, 2: some broken, 1: wrong use. */
+/* The command check: reads the journals of executors and checks that no task ran on two executors at the same time or
+ * again after it was done, and that no executor ran more tasks than its capacity allows. Exit status 0: no violation;
+ * 1: wrong usage or an unreadable journal; 2: violations. */
 #include <jansson.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -53,7 +53,7 @@
     return 0;
 }
 
-static int by_task(const void *a, const void *b)
+static int compare_task(const void *a, const void *b)
 {
     const struct line *x = a, *y = b;
     if (x->job != y->job)
@@ -65,7 +65,7 @@
     return (int)(x->start - y->start);
 }
 
-static int by_executor(const void *a, const void *b)
+static int compare_executor(const void *a, const void *b)
 {
     const struct line *x = a, *y = b;
     int name = strcmp(x->executor, y->executor);
@@ -75,51 +75,53 @@
         return x->incarnation < y->incarnation ? -1 : 1;
     if (x->at_ms != y->at_ms)
         return x->at_ms < y->at_ms ? -1 : 1;
-    return (int)(x->start - y->start); /* ends before starts of the same moment */
+    return (int)(x->start - y->start); /* ends before starts at the same time */
 }
 
 static int64_t check_tasks(struct lines *lines)
 {
-    int64_t broken = 0;
-    qsort(lines->all, (size_t)lines->n, sizeof *lines->all, by_task);
+    int64_t n_violations = 0;
+    qsort(lines->all, (size_t)lines->n, sizeof *lines->all, compare_task);
     for (int64_t i = 0; i < lines->n;) {
         int64_t k = i, running = 0, done = 0, incarnation = 0;
         for (; k < lines->n && lines->all[k].job == lines->all[i].job && lines->all[k].no == lines->all[i].no; k++) {
-            const struct line *l = &lines->all[k];
-            /* a killed executor writes no end: its next incarnation speaks for it */
-            if (l->start && running && incarnation != l->incarnation &&
-                !strcmp(lines->all[k - 1].executor, l->executor))
+            const struct line *line = &lines->all[k];
+            /* a killed executor journals no end: a start by its next incarnation implies it */
+            if (line->start && running && incarnation != line->incarnation &&
+                !strcmp(lines->all[k - 1].executor, line->executor))
                 running = 0;
-            if (l->start && (running || done)) {
-                printf("broken: task %lld/%lld started on %s attempt %lld while %s\n", (long long)l->job,
-                       (long long)l->no, l->executor, (long long)l->attempt, done ? "already done" : "running");
-                broken++;
+            if (line->start && (running || done)) {
+                printf("broken: task %lld/%lld started on %s attempt %lld while %s\n", (long long)line->job,
+                       (long long)line->no, line->executor, (long long)line->attempt,
+                       done ? "already done" : "running");
+                n_violations++;
             }
-            running += l->start ? 1 : -1;
-            done |= l->done;
-            incarnation = l->incarnation;
+            running += line->start ? 1 : -1;
+            done |= line->done;
+            incarnation = line->incarnation;
         }
         i = k;
     }
-    return broken;
+    return n_violations;
 }
 
-static int64_t check_rooms(struct lines *lines)
+static int64_t check_capacity(struct lines *lines)
 {
-    int64_t broken = 0, cores = 0, mem_mb = 0;
-    qsort(lines->all, (size_t)lines->n, sizeof *lines->all, by_executor);
+    int64_t n_violations = 0, cores = 0, mem_mb = 0;
+    qsort(lines->all, (size_t)lines->n, sizeof *lines->all, compare_executor);
     for (int64_t i = 0; i < lines->n; i++) {
-        const struct line *l = &lines->all[i], *before = i ? l - 1 : NULL;
-        if (!before || strcmp(before->executor, l->executor) || before->incarnation != l->incarnation)
+        const struct line *line = &lines->all[i], *before = i ? line - 1 : NULL;
+        if (!before || strcmp(before->executor, line->executor) || before->incarnation != line->incarnation)
             cores = mem_mb = 0;
-        cores += l->start ? l->cores : -l->cores;
-        mem_mb += l->start ? l->mem_mb : -l->mem_mb;
-        if (l->start && (cores > l->cap_cores || mem_mb > l->cap_mb)) {
-            printf("broken: %s holds %lld of %lld cores\n", l->executor, (long long)cores, (long long)l->cap_cores);
-            broken++;
+        cores += line->start ? line->cores : -line->cores;
+        mem_mb += line->start ? line->mem_mb : -line->mem_mb;
+        if (line->start && (cores > line->cap_cores || mem_mb > line->cap_mb)) {
+            printf("broken: %s holds %lld of %lld cores\n", line->executor, (long long)cores,
+                   (long long)line->cap_cores);
+            n_violations++;
         }
     }
-    return broken;
+    return n_violations;
 }
 
 int check_main(int argc, char **argv)
@@ -135,10 +137,10 @@
             free(lines.all);
             return 1;
         }
-    int64_t starts = 0, broken = lines.n ? check_tasks(&lines) + check_rooms(&lines) : 0;
+    int64_t starts = 0, n_violations = lines.n ? check_tasks(&lines) + check_capacity(&lines) : 0;
     for (int64_t i = 0; i < lines.n; i++)
         starts += lines.all[i].start;
-    printf("journals %d, starts %lld, broken %lld\n", argc, (long long)starts, (long long)broken);
+    printf("journals %d, starts %lld, broken %lld\n", argc, (long long)starts, (long long)n_violations);
     free(lines.all);
-    return broken ? 2 : 0;
+    return n_violations ? 2 : 0;
 }
--- a/src/ctl/ctl.c
+++ b/src/ctl/ctl.c
@@ -1,4 +1,4 @@
-/* The operators' command: one request, its answer, and an exit status. */
+/* The command ctl of operators: sends one request, prints the response and returns an exit status. */
 #include <curl/curl.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -7,65 +7,66 @@
 #include "ctl/ctl.h"
 #include "proc/roles.h"
 
-const char ctl_help[] = "Asks the first node of --seeds (HTTP addresses) that answers. Commands:\n"
+const char ctl_help[] = "Sends a request to the first node of --seeds (HTTP addresses) that responds. Commands:\n"
                         "  status | members | duties | executors | settings | calendar\n"
                         "  effective PATH                 settings in force at PATH and where each comes from\n"
-                        "  story ID                       what every node saw and did to a job, in order\n"
+                        "  story ID                       what each node journalled about a job, in order of time\n"
                         "  job ID | why ID TASK | jobs [KEY] | cancel ID\n"
                         "  send FILE                      a job from a JSON file\n"
                         "  set-all VERSION FILE           whole settings: {\"root\": {...}, \"root/service\": {...}}\n"
                         "  set VERSION PATH FILE          one branch; FILE - reads standard input\n"
-                        "  unset VERSION PATH             take a branch away, it inherits again\n"
+                        "  unset VERSION PATH             remove a branch, so that it inherits again\n"
                         "  plan VERSION NAME FILE         a planned move; unplan VERSION NAME\n"
-                        "  get PATH                       any GET door, for example /v1/status\n"
-                        "Exit status: 0 done, 1 wrong use, 2 denied, 3 nobody answered or come back later.";
+                        "  get PATH                       any GET path, for example /v1/status\n"
+                        "Exit status: 0 done, 1 wrong usage, 2 denied, 3 no response or try again later.";
 
-static size_t take(char *at, size_t size, size_t n, void *arg)
+static size_t append_body(char *at, size_t size, size_t n, void *arg)
 {
     bytes_add(arg, at, (int64_t)(size * n));
     return size * n;
 }
 
-long ctl_request_at(uint64_t addr, const char *method, const char *path, const char *body, struct bytes *got)
+long ctl_request_at(uint64_t addr, const char *method, const char *path, const char *body, struct bytes *response)
 {
     long status = 0;
-    CURL *easy = curl_easy_init();
+    CURL *handle = curl_easy_init();
     char *url = must_printf("http://%s%s", addr_text(addr), path);
     struct curl_slist *headers = curl_slist_append(NULL, "Content-Type: application/json");
-    got->len = 0;
-    curl_easy_setopt(easy, CURLOPT_URL, url);
-    curl_easy_setopt(easy, CURLOPT_PROXY, "");
-    curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, 6000L);
-    curl_easy_setopt(easy, CURLOPT_HTTPHEADER, headers);
-    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, take);
-    curl_easy_setopt(easy, CURLOPT_WRITEDATA, got);
+    response->len = 0;
+    curl_easy_setopt(handle, CURLOPT_URL, url);
+    curl_easy_setopt(handle, CURLOPT_PROXY, "");
+    curl_easy_setopt(handle, CURLOPT_TIMEOUT_MS, 6000L);
+    curl_easy_setopt(handle, CURLOPT_HTTPHEADER, headers);
+    curl_easy_setopt(handle, CURLOPT_WRITEFUNCTION, append_body);
+    curl_easy_setopt(handle, CURLOPT_WRITEDATA, response);
     if (strcmp(method, "GET")) {
-        curl_easy_setopt(easy, CURLOPT_POSTFIELDS, body ? body : "");
-        curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, method);
+        curl_easy_setopt(handle, CURLOPT_POSTFIELDS, body ? body : "");
+        curl_easy_setopt(handle, CURLOPT_CUSTOMREQUEST, method);
     }
-    if (!curl_easy_perform(easy))
-        curl_easy_getinfo(easy, CURLINFO_RESPONSE_CODE, &status);
+    if (!curl_easy_perform(handle))
+        curl_easy_getinfo(handle, CURLINFO_RESPONSE_CODE, &status);
     curl_slist_free_all(headers);
-    curl_easy_cleanup(easy);
+    curl_easy_cleanup(handle);
     free(url);
     return status;
 }
 
-long ctl_request(const struct local *local, const char *method, const char *path, const char *body, struct bytes *got)
+long ctl_request(const struct local *local, const char *method, const char *path, const char *body,
+                 struct bytes *response)
 {
     long status = 0;
     for (int64_t i = 0; i < local->n_seeds && !status; i++)
-        status = ctl_request_at((uint64_t)local->seed_addrs[i], method, path, body, got);
+        status = ctl_request_at((uint64_t)local->seed_addrs[i], method, path, body, response);
     return status;
 }
 
-static int show(long status, const struct bytes *got)
+static int print_response(long status, const struct bytes *response)
 {
-    json_t *json = got->len ? json_loadb((char *)got->at, (size_t)got->len, 0, NULL) : NULL;
+    json_t *json = response->len ? json_loadb((char *)response->at, (size_t)response->len, 0, NULL) : NULL;
     char *text = json ? json_dumps(json, JSON_INDENT(2)) : NULL;
     FILE *to = status >= 200 && status < 300 ? stdout : stderr;
     if (!status)
-        fprintf(stderr, "sagehitch ctl: nobody answered\n");
+        fprintf(stderr, "sagehitch ctl: no node responded\n");
     else
         fprintf(to, "%s\n", text ? text : "");
     free(text);
@@ -75,11 +76,11 @@
     return !status || status == 503 || status == 429 ? 3 : 2;
 }
 
-static int run(const struct local *local, const char *method, char *path, const char *body)
+static int request_and_print(const struct local *local, const char *method, char *path, const char *body)
 {
-    struct bytes got = {0};
-    int rc = show(ctl_request(local, method, path, body, &got), &got);
-    bytes_free(&got);
+    struct bytes response = {0};
+    int rc = print_response(ctl_request(local, method, path, body, &response), &response);
+    bytes_free(&response);
     free(path);
     return rc;
 }
@@ -102,21 +103,21 @@
     return (char *)all.at;
 }
 
-static int run_file(const struct local *local, const char *method, char *path, const char *file)
+static int request_with_file(const struct local *local, const char *method, char *path, const char *file)
 {
     char *body = read_file(file);
     if (!body) {
         free(path);
         return 1;
     }
-    int rc = run(local, method, path, body);
+    int rc = request_and_print(local, method, path, body);
     free(body);
     return rc;
 }
 
 static const struct {
     const char *name, *method, *format;
-    int words, file; /* words go into the format; then a file, if any */
+    int n_args, file; /* number of arguments for format; whether a file follows them */
 } commands[] = {
     {"status", "GET", "/v1/status", 0, 0},
     {"members", "GET", "/v1/members", 0, 0},
@@ -139,9 +140,9 @@
     {"get", "GET", "%s", 1, 0},
 };
 
-static char *fill(const char *format, int words, char **argv)
+static char *format_path(const char *format, int n_args, char **argv)
 {
-    const char *a = words > 0 ? argv[0] : "", *b = words > 1 ? argv[1] : "";
+    const char *a = n_args > 0 ? argv[0] : "", *b = n_args > 1 ? argv[1] : "";
     struct bytes out = {0};
     int next = 0;
     for (const char *c = format; *c; c++) {
@@ -178,13 +179,13 @@
         if (strcmp(commands[i].name, argv[0]))
             continue;
         known = 1;
-        if (argc - 1 != commands[i].words + commands[i].file)
+        if (argc - 1 != commands[i].n_args + commands[i].file)
             continue;
-        char *path = fill(commands[i].format, commands[i].words, argv + 1);
+        char *path = format_path(commands[i].format, commands[i].n_args, argv + 1);
         if (commands[i].file)
-            return run_file(local, commands[i].method, path, argv[argc - 1]);
-        return run(local, commands[i].method, path, NULL);
+            return request_with_file(local, commands[i].method, path, argv[argc - 1]);
+        return request_and_print(local, commands[i].method, path, NULL);
     }
-    fprintf(stderr, "sagehitch ctl: %s %s\n%s\n", known ? "wrong words for" : "no command", argv[0], ctl_help);
+    fprintf(stderr, "sagehitch ctl: %s %s\n%s\n", known ? "wrong arguments for" : "unknown command", argv[0], ctl_help);
     return 1;
 }
