--- a/src/caller/caller.h
+++ b/src/caller/caller.h
@@ -1,43 +1,46 @@
-/* The stand-in caller: sends a deployment's mix at its rate, resends after
- * silence under the same key, asks until each job has ended, and counts. */
+/* A caller that generates load for tests and trials: submits a deployment's mix of jobs at a fixed rate, resends a job
+ * under the same key until it is accepted or rejected, polls it until it ends, and counts the outcomes. */
 #ifndef SAGEHITCH_CALLER_H
 #define SAGEHITCH_CALLER_H
 #include "base/world.h"
 
+/* A job of the caller. schema: the index of its kind of job in mix.c; the simulator sets it to -1 once its oracle has
+ * seen the job's end. */
 struct caller_job {
     char key[64], id[48], *body;
-    int64_t no, born_ms, accepted_ms, ended_ms, request_ms, busy, schema;
+    int64_t no, created_ms, accepted_ms, ended_ms, next_request_ms, request_pending, schema;
     char state[16];
 };
 
-/* Invariant: a job is counted once under the state it ended in. */
+/* Invariant: each job is counted once, under its final state. */
 struct caller {
-    struct world *w;
+    struct world *world;
     const char *deployment, *name;
-    int64_t seeds[8], n_seeds, turn;
+    int64_t seeds[8], n_seeds, next_seed;
     int64_t per_minute, until_ms, started_ms, sent, resent, rejected;
-    struct caller_job *jobs; /* allocated whole at start: calls hold places in it */
+    struct caller_job *jobs; /* has its full size from the start: pending calls refer to its elements */
     int64_t n_jobs, cap, live;
     int64_t statuses[8];
 };
 
-/* A load of jobs. deployment and name are borrowed for as long as the caller lives, seeds for the start only. */
+/* The load to generate. deployment and name must outlive the caller; seeds are copied. */
 struct caller_setup {
-    const char *deployment; /* decides the mix of jobs, see mix_job() */
-    const char *name;       /* begins the keys of its jobs */
-    const int64_t *seeds;   /* HTTP addresses that are called in turn */
+    const char *deployment; /* selects the mix of jobs, see mix_job() */
+    const char *name;       /* prefix of the job keys */
+    const int64_t *seeds;   /* HTTP addresses, called in turn */
     int64_t n_seeds;
-    int64_t per_minute, seconds; /* jobs a minute, for so long */
+    int64_t per_minute, seconds; /* jobs per minute, and for how long */
 };
 
-void caller_start(struct caller *c, struct world *w, const struct caller_setup *setup);
-void caller_end(struct caller *c);
-void caller_on_timer(struct caller *c);
-int caller_done(const struct caller *c);
-/* Counts and percentiles as JSON; owned by the caller of this. */
-char *caller_report(struct caller *c);
+void caller_start(struct caller *caller, struct world *world, const struct caller_setup *setup);
+void caller_end(struct caller *caller);
+void caller_on_timer(struct caller *caller);
+int caller_done(const struct caller *caller);
+/* Counts and percentiles as JSON; the text must be freed with free(). */
+char *caller_report(struct caller *caller);
 
-/* mix.c: the body of one job of the deployment; owned. 0 for an unknown one. */
-char *mix_job(struct world *w, const char *deployment, const char *key, int64_t *schema);
+/* The body of a random job of the deployment's mix, to be freed with free(); NULL: unknown deployment. kind: set to
+ * the index of the kind of job. */
+char *mix_job(struct world *world, const char *deployment, const char *key, int64_t *kind);
 int mix_known(const char *deployment);
 #endif
--- a/src/caller/mix.c
+++ b/src/caller/mix.c
@@ -1,4 +1,4 @@
-/* What each deployment sends, in schema and proportion. */
+/* The kinds of jobs that each deployment submits, and their shares. */
 #include <string.h>
 
 #include "base/bytes.h"
@@ -6,9 +6,9 @@
 
 struct mix {
     const char *deployment, *service, *queue;
-    int64_t of_hundred;       /* how many of a hundred jobs */
-    int64_t tasks, cores, ms; /* of the first step */
-    int64_t steps, wide;      /* further steps, tasks in each */
+    int64_t share_pct;                 /* of the deployment's jobs */
+    int64_t tasks, cores, duration_ms; /* of the first step */
+    int64_t steps, step_tasks;         /* number of further steps, and of tasks in each */
     int gang;
     int64_t priority;
 };
@@ -30,41 +30,41 @@
     return 0;
 }
 
-static void add_step(struct bytes *to, const struct mix *m, struct world *w, int64_t no, int64_t tasks)
+static void add_step(struct bytes *to, const struct mix *mix, struct world *world, int64_t no, int64_t tasks)
 {
     bytes_printf(to, "%s{\"name\":\"s%lld\"", no ? "," : "", (long long)no);
     if (no)
         bytes_printf(to, ",\"after\":[\"s%lld\"]", (long long)no - 1);
-    if (!no && m->gang)
+    if (!no && mix->gang)
         bytes_printf(to, ",\"gang\":true,\"rack\":\"one\",\"perExecutor\":2");
     else if (tasks > 2)
         bytes_printf(to, ",\"perExecutor\":3,\"perRack\":6");
     bytes_printf(to, ",\"tasks\":[");
     for (int64_t i = 0; i < tasks; i++) {
-        int64_t ms = m->ms / 2 + (int64_t)(world_random(w) % (uint64_t)m->ms);
+        int64_t duration_ms = mix->duration_ms / 2 + (int64_t)(world_random(world) % (uint64_t)mix->duration_ms);
         bytes_printf(to, "%s{\"kind\":\"std\",\"cores\":%lld,\"memMb\":256,\"payload\":\"ms=%lld\"}", i ? "," : "",
-                     (long long)m->cores, (long long)ms);
+                     (long long)mix->cores, (long long)duration_ms);
     }
     bytes_printf(to, "]}");
 }
 
-char *mix_job(struct world *w, const char *deployment, const char *key, int64_t *schema)
+char *mix_job(struct world *world, const char *deployment, const char *key, int64_t *kind)
 {
-    int64_t pick = (int64_t)(world_random(w) % 100);
+    int64_t pick = (int64_t)(world_random(world) % 100);
     struct bytes body = {0};
     for (int i = 0; i < COUNT_OF(mixes); i++) {
-        const struct mix *m = &mixes[i];
-        if (strcmp(m->deployment, deployment))
+        const struct mix *mix = &mixes[i];
+        if (strcmp(mix->deployment, deployment))
             continue;
-        pick -= m->of_hundred;
+        pick -= mix->share_pct;
         if (pick >= 0)
             continue;
-        *schema = i;
+        *kind = i;
         bytes_printf(&body, "{\"key\":\"%s\",\"service\":\"%s\",\"queue\":\"%s\",\"priority\":%lld,\"steps\":[", key,
-                     m->service, m->queue, (long long)m->priority);
-        add_step(&body, m, w, 0, m->tasks);
-        for (int64_t s = 1; s <= m->steps; s++)
-            add_step(&body, m, w, s, m->wide);
+                     mix->service, mix->queue, (long long)mix->priority);
+        add_step(&body, mix, world, 0, mix->tasks);
+        for (int64_t step = 1; step <= mix->steps; step++)
+            add_step(&body, mix, world, step, mix->step_tasks);
         bytes_printf(&body, "]}");
         break;
     }
