--- a/tests/sim/season.h
+++ b/tests/sim/season.h
@@ -1,5 +1,6 @@
-// A season in small: three nodes with a record and a leader's side each over one agreed log,
-// executors with their agents, head office, outlets and callers, in virtual time.
+// Simulation of the rules of head office and outlets in virtual time: three nodes with a record and a dispatcher each
+// over one replicated log, and executors with their agents. The load is in season_office.h, the checks in
+// season_judge.h.
 #ifndef SAGEHITCH_TESTS_SEASON_H
 #define SAGEHITCH_TESTS_SEASON_H
 #include <deque>
@@ -23,23 +24,23 @@
     Season *season;
     record r = {};
     struct dispatch *d = nullptr;
-    size_t applied = 0; // batches of the log
+    size_t applied = 0; // batches of the log that this node has applied
 };
 
-// An executor and its agent, which never lose a message; the executor may go down.
-struct Standin {
+// An executor and its agent. Messages are never lost, but the executor may crash.
+struct SimulatedExecutor {
     struct Run {
         int64_t attempt, ends_ms, how;
     };
-    int64_t no, incarnations = 0, epoch = 0, seq = 0, dark_until_ms = 0, next_ms = 0;
+    int64_t no, incarnations = 0, epoch = 0, seq = 0, down_until_ms = 0, next_ms = 0;
     std::string incarnation;
     std::vector<std::string> lost;
-    std::map<std::pair<int64_t, int64_t>, Run> runs; // by job and task
-    std::map<std::pair<int64_t, int64_t>, int64_t> barred;
+    std::map<std::pair<int64_t, int64_t>, Run> runs; // key: job, task
+    std::map<std::pair<int64_t, int64_t>, int64_t> stopped_attempts;
     std::vector<run_ended> ended;
 };
 
-// Sent again until a leader answers.
+// A request that is resent until a leader responds.
 struct Request {
     api_request request = {};
     int64_t ticket = 0;
@@ -57,24 +58,24 @@
     std::vector<std::string> log;
     struct Proposal {
         std::string batch;
-        int64_t tag, due_ms;
+        int64_t tag, commit_ms;
     };
     std::deque<Proposal> proposals;
-    std::vector<Standin> standins;
+    std::vector<SimulatedExecutor> executors;
     std::vector<std::unique_ptr<Request>> requests;
     History history;
     int64_t fail_pct = 8;
 
-    int64_t below(int64_t n) { return (int64_t)(random() % (uint64_t)n); }
+    int64_t random_below(int64_t n) { return (int64_t)(random() % (uint64_t)n); }
     int64_t wall() const { return wall_base + now_ms; }
-    Event &note(Kind kind)
+    Event &note(EventKind kind)
     {
         history.emplace_back();
         history.back().kind = kind, history.back().ms = wall();
         return history.back();
     }
 
-    explicit Season(unsigned seed, int64_t executors = 6) : random(seed)
+    explicit Season(unsigned seed, int64_t n_executors = 6) : random(seed)
     {
         table.mono_ms = [](struct world *w) { return MONO_BASE + static_cast<Node *>(w)->season->now_ms; };
         table.wall_ms = [](struct world *w) { return static_cast<Node *>(w)->season->wall(); };
@@ -94,12 +95,12 @@
             calls.barrier = [](void *, int64_t) {};
             n->d = dispatch_new(n, &n->r, &settings, &calls);
         }
-        for (int64_t i = 0; i < executors; i++) {
-            standins.push_back({});
-            standins.back().no = i;
-            rise(standins.back());
+        for (int64_t i = 0; i < n_executors; i++) {
+            executors.push_back({});
+            executors.back().no = i;
+            new_incarnation(executors.back());
         }
-        lead(0);
+        elect(0);
     }
     ~Season()
     {
@@ -111,12 +112,13 @@
         }
     }
 
-    // --- the agreed log -----------------------------------------------------
+    // --- the replicated log -----------------------------------------------------
     static void propose(void *arg, const struct bytes *batch, int64_t tag)
     {
         Season *s = static_cast<Node *>(arg)->season;
-        s->proposals.push_back({std::string((const char *)batch->at, (size_t)batch->len), tag,
-                                s->now_ms + 20 + s->below(150)}); // rounds overlap with ops under way
+        s->proposals.push_back(
+            {std::string((const char *)batch->at, (size_t)batch->len), tag,
+             s->now_ms + 20 + s->random_below(150)}); // long enough that planning rounds overlap with pending ops
     }
     void apply(Node *n, const std::string &batch, record_result *result)
     {
@@ -135,17 +137,17 @@
         while (n->applied < log.size())
             apply(n, log[n->applied], nullptr);
     }
-    void agree(const std::string &batch)
+    void append_log(const std::string &batch)
     {
         log.push_back(batch);
         note(COMMIT).batch = batch;
     }
     void commit()
     {
-        while (!proposals.empty() && proposals.front().due_ms <= now_ms) {
+        while (!proposals.empty() && proposals.front().commit_ms <= now_ms) {
             Proposal p = proposals.front();
             proposals.pop_front();
-            agree(p.batch);
+            append_log(p.batch);
             std::vector<int64_t> errors(4096);
             record_result result = {errors.data(), 0};
             apply(leader, p.batch, &result);
@@ -155,11 +157,11 @@
             bytes_free(&packed);
         }
     }
-    void lead(size_t no)
+    void elect(size_t no)
     {
         if (leader) {
-            while (!proposals.empty() && below(2)) { // agreed on, and nobody was told
-                agree(proposals.front().batch);
+            while (!proposals.empty() && random_below(2)) { // committed, but the old leader did not learn of it
+                append_log(proposals.front().batch);
                 proposals.pop_front();
             }
             proposals.clear();
@@ -169,7 +171,7 @@
         catch_up(leader);
         dispatch_become_leader(leader->d, ++epoch);
     }
-    // A node comes back from its snapshot, or from the whole log on an empty disk.
+    // A node restarts from its snapshot, or with an empty disk from the whole log.
     void restart(size_t no)
     {
         Node *n = nodes[no].get();
@@ -179,7 +181,7 @@
         record_snapshot(&n->r, &snapshot);
         record_end(&n->r);
         record_start(&n->r);
-        if (below(2))
+        if (random_below(2))
             EXPECT_EQ(record_restore(&n->r, &snapshot), 0);
         else
             n->applied = 0;
@@ -187,40 +189,43 @@
     }
 
     // --- executors ------------------------------------------------------------
-    void rise(Standin &e) { e.incarnation = "life-" + std::to_string(e.no) + "-" + std::to_string(++e.incarnations); }
-    void go_down(Standin &e)
+    void new_incarnation(SimulatedExecutor &e)
+    {
+        e.incarnation = "life-" + std::to_string(e.no) + "-" + std::to_string(++e.incarnations);
+    }
+    void crash(SimulatedExecutor &e)
     {
         for (auto &[at, run] : e.runs)
             lost(at.first, at.second, 0);
         for (run_ended &end : e.ended)
             if (end.how == END_DONE)
                 lost(end.job, end.task, 1);
-        e.runs.clear(), e.ended.clear(), e.barred.clear();
+        e.runs.clear(), e.ended.clear(), e.stopped_attempts.clear();
         e.lost.push_back(e.incarnation);
-        e.dark_until_ms = now_ms + 1000 + below(4000);
-        rise(e);
+        e.down_until_ms = now_ms + 1000 + random_below(4000);
+        new_incarnation(e);
     }
     void lost(int64_t job, int64_t task, int64_t done)
     {
-        Event &event = note(LOST);
+        Event &event = note(TASK_LOST);
         event.job = job, event.task = task, event.how = done;
     }
     static void orders(void *arg, int64_t agent, const agent_orders *o)
     {
         Node *n = static_cast<Node *>(arg);
-        n->season->take(n->season->standins[(size_t)agent - 100], *o);
+        n->season->on_orders(n->season->executors[(size_t)agent - 100], *o);
     }
-    void take(Standin &e, const agent_orders &o)
+    void on_orders(SimulatedExecutor &e, const agent_orders &o)
     {
         if (o.epoch < e.epoch)
             return;
         e.epoch = o.epoch;
         for (int64_t i = 0; i < o.n_incarnations_seen; i++)
             e.lost.erase(std::remove(e.lost.begin(), e.lost.end(), o.incarnations_seen[i]), e.lost.end());
-        if (!o.incarnation || e.incarnation != o.incarnation || now_ms < e.dark_until_ms)
+        if (!o.incarnation || e.incarnation != o.incarnation || now_ms < e.down_until_ms)
             return;
-        auto told = [&](const run_ended &end) { return end.seq && end.seq <= o.seen; };
-        e.ended.erase(std::remove_if(e.ended.begin(), e.ended.end(), told), e.ended.end());
+        auto acknowledged = [&](const run_ended &end) { return end.seq && end.seq <= o.seen; };
+        e.ended.erase(std::remove_if(e.ended.begin(), e.ended.end(), acknowledged), e.ended.end());
         for (int64_t i = 0; i < o.n_ends_seen; i++) {
             auto absent = [&](const run_ended &end) {
                 return !end.seq && end.job == o.ends_seen[i].job && end.task == o.ends_seen[i].task;
@@ -232,10 +237,10 @@
         for (int64_t i = 0; i < o.n_starts; i++)
             start(e, o.starts[i]);
     }
-    void stop(Standin &e, const run_ref &ref)
+    void stop(SimulatedExecutor &e, const run_ref &ref)
     {
         auto at = std::make_pair(ref.job, ref.task);
-        e.barred[at] = std::max(e.barred[at], ref.attempt);
+        e.stopped_attempts[at] = std::max(e.stopped_attempts[at], ref.attempt);
         auto run = e.runs.find(at);
         for (const run_ended &end : e.ended)
             if (end.job == ref.job && end.task == ref.task && end.attempt == ref.attempt)
@@ -246,30 +251,31 @@
             e.ended.push_back({0, ref.job, ref.task, ref.attempt, END_NEVER_RAN, nullptr});
         e.next_ms = 0;
     }
-    void start(Standin &e, const run_start &s)
+    void start(SimulatedExecutor &e, const run_start &s)
     {
         auto at = std::make_pair(s.job, s.task);
         for (const run_ended &end : e.ended)
             if (end.job == s.job && end.task == s.task && end.attempt >= s.attempt)
                 return;
-        if (e.runs.count(at) || (e.barred.count(at) && e.barred[at] >= s.attempt))
+        if (e.runs.count(at) || (e.stopped_attempts.count(at) && e.stopped_attempts[at] >= s.attempt))
             return;
-        int64_t how = below(100) < fail_pct ? END_FAILED : END_DONE;
-        e.runs[at] = {s.attempt, now_ms + 100 + below(1500), how};
-        Event &event = note(BEGUN);
+        int64_t how = random_below(100) < fail_pct ? END_FAILED : END_DONE;
+        e.runs[at] = {s.attempt, now_ms + 100 + random_below(1500), how};
+        Event &event = note(TASK_STARTED);
         event.job = s.job, event.task = s.task, event.attempt = s.attempt;
         e.next_ms = 0;
     }
-    std::map<std::pair<int64_t, int64_t>, Standin::Run>::iterator
-    finish(Standin &e, std::map<std::pair<int64_t, int64_t>, Standin::Run>::iterator run, int64_t how)
+    std::map<std::pair<int64_t, int64_t>, SimulatedExecutor::Run>::iterator
+    finish(SimulatedExecutor &e, std::map<std::pair<int64_t, int64_t>, SimulatedExecutor::Run>::iterator run,
+           int64_t how)
     {
-        Event &event = note(ENDED);
+        Event &event = note(TASK_ENDED);
         event.job = run->first.first, event.task = run->first.second, event.how = how;
         e.ended.push_back({++e.seq, run->first.first, run->first.second, run->second.attempt, how, nullptr});
         e.next_ms = 0;
         return e.runs.erase(run);
     }
-    void work(Standin &e)
+    void run_and_report(SimulatedExecutor &e)
     {
         for (auto run = e.runs.begin(); run != e.runs.end();)
             run = run->second.ends_ms <= now_ms ? finish(e, run, run->second.how) : std::next(run);
@@ -285,7 +291,7 @@
         for (std::string &incarnation : e.lost)
             gone.push_back(&incarnation[0]);
         report.stamp_ms = now_ms + 1, report.boot = 1, report.epoch = e.epoch;
-        report.present = now_ms >= e.dark_until_ms, report.ready = report.present;
+        report.present = now_ms >= e.down_until_ms, report.ready = report.present;
         report.executor.incarnation = &e.incarnation[0], report.executor.service = service;
         report.executor.zone = zone, report.executor.rack = rack;
         report.executor.cpu_milli = 8000, report.executor.memory_mb = 8000;
@@ -297,7 +303,7 @@
     }
 
     // --- requests -------------------------------------------------------------
-    // The caller makes it one of some kind.
+    // Adds a request; the caller fills it in.
     api_request &request(std::function<void(const api_response &)> done)
     {
         requests.push_back(std::make_unique<Request>());
@@ -329,22 +335,22 @@
             r->ticket = next_ticket++;
             size_t before = requests.size();
             dispatch_request(leader->d, r->ticket, &r->request);
-            i -= before > requests.size(); // answered at once
+            i -= before > requests.size(); // got its response within dispatch_request()
         }
     }
     void on_timer()
     {
         now_ms += TIMER_MS;
         commit();
-        for (Standin &e : standins)
-            work(e);
+        for (SimulatedExecutor &e : executors)
+            run_and_report(e);
         send();
         dispatch_on_timer(leader->d);
         dispatch_flush(leader->d);
     }
     bool idle() const
     {
-        for (const Standin &e : standins)
+        for (const SimulatedExecutor &e : executors)
             if (!e.runs.empty() || !e.ended.empty())
                 return false;
         return proposals.empty() && requests.empty();
--- a/tests/sim/season_judge.h
+++ b/tests/sim/season_judge.h
@@ -1,5 +1,5 @@
-// What happened in a season, in one line of time, and a naive judge of it: it knows rules as
-// maps of names, and follows the agreed log and the executors event by event.
+// The history of a simulated season and an oracle that checks it. The oracle is a second, simple implementation: it
+// keeps rules as maps by name and replays the committed log and the events of the executors one by one.
 #ifndef SAGEHITCH_TESTS_SEASON_JUDGE_H
 #define SAGEHITCH_TESTS_SEASON_JUDGE_H
 #include <algorithm>
@@ -16,7 +16,7 @@
 namespace season
 {
 
-using Values = std::map<std::string, int64_t>; // only what is said
+using Values = std::map<std::string, int64_t>; // only the rules that are set
 inline Values values_of(const rule_values &from)
 {
     Values to;
@@ -26,18 +26,18 @@
     return to;
 }
 
-enum Kind {
-    COMMIT, // a batch of ops, in the order of the agreed log
-    SENT,   // a caller sends a job for the first time, knowing these versions to be in force
-    TAKEN,  // a change of rules or of an outlet's own was acknowledged
-    JOB_SHOWN,
-    OUTLET_SHOWN, // what the door said
-    BEGUN,
-    ENDED,
-    LOST // at an executor; LOST: it went down, with what it did or had done unseen
+enum EventKind {
+    COMMIT,              // a batch of ops was committed to the log
+    JOB_SUBMITTED,       // a caller sends a job for the first time; these versions are known to be in force
+    CHANGE_ACKNOWLEDGED, // a change of head office's or an outlet's rules was acknowledged
+    JOB_RULES_READ,      // the API returned these rules of a job, or these adjustments of an outlet
+    OUTLET_RULES_READ,
+    TASK_STARTED,
+    TASK_ENDED,
+    TASK_LOST // an executor crashed with the task running, or done but not reported
 };
 struct Event {
-    Kind kind;
+    EventKind kind;
     int64_t ms = 0; // time of day
     std::string batch, outlet;
     int64_t job = 0, task = 0, attempt = 0, how = 0, of_head = 0, of_outlet = 0;
@@ -45,19 +45,19 @@
 };
 using History = std::vector<Event>;
 
-class Judge
+class SeasonOracle
 {
-    struct Head {
+    struct HeadRules {
         int64_t version = 0;
         std::map<std::string, std::tuple<int64_t, int64_t, int64_t>> rules; // value, least, most
     };
-    struct Own {
+    struct OutletRules {
         int64_t version = 0;
         Values values;
         std::set<std::string> queues;
     };
     struct Job {
-        std::string outlet, line;
+        std::string outlet, turn_key;
         int64_t of_head = 0, of_outlet = 0, tasks = 0;
         std::set<int64_t> done;
         std::set<std::pair<int64_t, int64_t>> failed_once; // task, attempt
@@ -65,22 +65,26 @@
         bool placed = false, over = false, failed = false;
         std::map<int64_t, int64_t> failures, ends, active, lost; // by task
     };
-    Head head;
-    std::map<std::string, Own> outlets;
+    HeadRules head;
+    std::map<std::string, OutletRules> outlets;
     std::map<int64_t, Job> jobs;
-    std::map<std::string, std::vector<int64_t>> lines;     // of each outlet and queue, in order of acceptance
-    std::map<std::string, std::multiset<int64_t>> running; // by outlet: its jobs, once a task at work
-    std::map<std::string, std::map<std::pair<int64_t, int64_t>, int64_t>> placed; // by outlet: attempts
-    std::map<int64_t, std::pair<int64_t, int64_t>> sent;
-    std::map<std::string, Values> taken; // newest own of an outlet that was acknowledged
+    std::map<std::string, std::vector<int64_t>> jobs_by_turn; // by outlet and queue, in order of acceptance
+    std::map<std::string, std::multiset<int64_t>> running;    // by outlet: the job of each running task
+    std::map<std::string, std::map<std::pair<int64_t, int64_t>, int64_t>>
+        placed; // by outlet: attempt of each placed task
+    std::map<int64_t, std::pair<int64_t, int64_t>> submitted;
+    std::map<std::string, Values> acknowledged; // by outlet: the adjustments last acknowledged
     int64_t now = 0;
 
-    void say(int64_t job, const std::string &what) { breaches.push_back("job " + std::to_string(job) + ": " + what); }
+    void report_violation(int64_t job, const std::string &what)
+    {
+        violations.push_back("job " + std::to_string(job) + ": " + what);
+    }
     static int64_t get(const Values &v, const std::string &name, int64_t otherwise)
     {
         return v.count(name) ? v.at(name) : otherwise;
     }
-    Values in_force(const Own &own) const
+    Values in_force(const OutletRules &own) const
     {
         Values to;
         for (auto &[name, rule] : head.rules) {
@@ -90,20 +94,21 @@
         }
         return to;
     }
-    void change(const rules_change &c)
+    void change(const rules_change &proposed)
     {
-        if (!c.outlet) {
-            if (c.base != head.version || c.head.version <= head.version)
+        if (!proposed.outlet) {
+            if (proposed.base != head.version || proposed.head.version <= head.version)
                 return;
-            Values value = values_of(c.head.value), least = values_of(c.head.least), most = values_of(c.head.most);
-            head = {c.head.version, {}};
+            Values value = values_of(proposed.head.value), least = values_of(proposed.head.least),
+                   most = values_of(proposed.head.most);
+            head = {proposed.head.version, {}};
             for (auto &[name, v] : value)
                 head.rules[name] = {v, least[name], most[name]};
             return;
         }
-        auto &now = outlets[c.outlet];
-        Values own = values_of(c.to.own);
-        bool ok = c.base == now.version && c.to.version > now.version;
+        auto &now = outlets[proposed.outlet];
+        Values own = values_of(proposed.to.own);
+        bool ok = proposed.base == now.version && proposed.to.version > now.version;
         for (auto &[name, v] : own) {
             bool kept = now.values.count(name) && now.values[name] == v;
             bool may =
@@ -111,9 +116,9 @@
             ok &= kept || may;
         }
         if (ok)
-            now = {c.to.version, own, {c.to.queues, c.to.queues + c.to.n_queues}};
+            now = {proposed.to.version, own, {proposed.to.queues, proposed.to.queues + proposed.to.n_queues}};
         else if (!now.version)
-            outlets.erase(c.outlet);
+            outlets.erase(proposed.outlet);
     }
     void accept(const job_op &op)
     {
@@ -123,22 +128,23 @@
                 outlet = name;
         if (jobs.count(op.spec.id) || outlet.empty() || !outlets.count(outlet))
             return;
-        Job j;
-        j.outlet = outlet, j.line = outlet + " " + op.queue, j.tasks = job_spec_tasks(&op.spec);
-        j.of_head = head.version, j.of_outlet = outlets[outlet].version, j.values = in_force(outlets[outlet]);
-        int64_t most = get(j.values, "runningMost", 0);
+        Job job;
+        job.outlet = outlet, job.turn_key = outlet + " " + op.queue, job.tasks = job_spec_tasks(&op.spec);
+        job.of_head = head.version, job.of_outlet = outlets[outlet].version, job.values = in_force(outlets[outlet]);
+        int64_t most = get(job.values, "runningMost", 0);
         for (int64_t s = 0; s < op.spec.n_steps; s++)
             if (op.spec.steps[s].gang && most && op.spec.steps[s].task_count > most)
                 return;
-        if (sent.count(op.spec.id) && (j.of_head < sent[op.spec.id].first || j.of_outlet < sent[op.spec.id].second))
-            say(op.spec.id, "accepted under older rules than were in force when it was sent");
-        jobs[op.spec.id] = j;
-        lines[j.line].push_back(op.spec.id);
+        if (submitted.count(op.spec.id) &&
+            (job.of_head < submitted[op.spec.id].first || job.of_outlet < submitted[op.spec.id].second))
+            report_violation(op.spec.id, "accepted under older rules than were in force when it was sent");
+        jobs[op.spec.id] = job;
+        jobs_by_turn[job.turn_key].push_back(op.spec.id);
     }
-    // All before it in its line are over, or have begun.
-    bool in_turn(int64_t id, const Job &j, bool over)
+    // Whether all earlier jobs of its outlet and queue have ended (if over is set), or have been placed.
+    bool in_turn(int64_t id, const Job &job, bool over)
     {
-        for (int64_t other : lines[j.line]) {
+        for (int64_t other : jobs_by_turn[job.turn_key]) {
             if (other == id)
                 return true;
             const Job &o = jobs[other];
@@ -152,56 +158,57 @@
     }
     void place(int64_t id, int64_t at_ms)
     {
-        Job &j = jobs[id];
-        if (j.placed)
+        Job &job = jobs[id];
+        if (job.placed)
             return;
-        if (get(j.values, "inTurn", 0) == TURN_BEGUN && !in_turn(id, j, false))
-            say(id, "placed before one that was accepted earlier");
-        j.placed = true;
-        int64_t opens = get(j.values, "opensAtMin", -1), closes = get(j.values, "closesAtMin", -1);
+        if (get(job.values, "inTurn", 0) == TURN_BEGUN && !in_turn(id, job, false))
+            report_violation(id, "placed before one that was accepted earlier");
+        job.placed = true;
+        int64_t opens = get(job.values, "opensAtMin", -1), closes = get(job.values, "closesAtMin", -1);
         int64_t minute = at_ms / 60000 % DAY_MIN;
         bool open = opens < closes ? minute >= opens && minute < closes : minute >= opens || minute < closes;
         if (opens >= 0 && closes >= 0 && opens != closes && !open)
-            say(id, "begun outside its hours");
+            report_violation(id, "begun outside its hours");
     }
-    // Each within its limit, in some order: those with the narrowest first.
+    // The tasks of a batch may be counted in any order, so those with the lowest limits are counted first.
     void place_all(const std::vector<run_ref> &runs)
     {
-        std::map<std::string, std::vector<std::pair<int64_t, run_ref>>> of;
+        std::map<std::string, std::vector<std::pair<int64_t, run_ref>>> by_outlet;
         for (const run_ref &run : runs) {
-            Job &j = jobs[run.job];
-            int64_t most = get(j.values, "runningMost", 0);
-            if (!j.over && !placed[j.outlet].count({run.job, run.task}))
-                of[j.outlet].push_back({most ? most : INT64_MAX, run});
+            Job &job = jobs[run.job];
+            int64_t most = get(job.values, "runningMost", 0);
+            if (!job.over && !placed[job.outlet].count({run.job, run.task}))
+                by_outlet[job.outlet].push_back({most ? most : INT64_MAX, run});
         }
-        for (auto &[outlet, list] : of) {
+        for (auto &[outlet, list] : by_outlet) {
             std::sort(list.begin(), list.end(), [](auto &a, auto &b) { return a.first < b.first; });
             for (auto &[most, run] : list) {
                 placed[outlet][{run.job, run.task}] = run.attempt;
                 if ((int64_t)placed[outlet].size() > most)
-                    say(run.job, "more of its outlet placed than the rules allow");
+                    report_violation(run.job, "more of its outlet placed than the rules allow");
             }
         }
     }
-    void end(const run_ended &e)
+    void end(const run_ended &event)
     {
-        Job &j = jobs[e.job];
-        auto &there = placed[j.outlet];
-        if (there.count({e.job, e.task}) && there[{e.job, e.task}] == e.attempt)
-            there.erase({e.job, e.task});
-        if (e.how == END_DONE)
-            j.done.insert(e.task);
-        if (e.how == END_FAILED && j.failed_once.insert({e.task, e.attempt}).second &&
-            ++j.failures[e.task] >= get(j.values, "attemptsMax", 4))
-            j.over = j.failed = true;
-        j.over |= (int64_t)j.done.size() == j.tasks;
+        Job &job = jobs[event.job];
+        auto &outlet_placed = placed[job.outlet];
+        if (outlet_placed.count({event.job, event.task}) && outlet_placed[{event.job, event.task}] == event.attempt)
+            outlet_placed.erase({event.job, event.task});
+        if (event.how == END_DONE)
+            job.done.insert(event.task);
+        if (event.how == END_FAILED && job.failed_once.insert({event.task, event.attempt}).second &&
+            ++job.failures[event.task] >= get(job.values, "attemptsMax", 4))
+            job.over = job.failed = true;
+        job.over |= (int64_t)job.done.size() == job.tasks;
     }
-    void commit(const Event &e)
+    void commit(const Event &event)
     {
         record_batch batch = {};
         std::vector<run_ref> runs;
-        if (schema_unpack(&record_batch_schema, &batch, (const uint8_t *)e.batch.data(), (int64_t)e.batch.size()))
-            return breaches.push_back("a batch that cannot be read");
+        if (schema_unpack(&record_batch_schema, &batch, (const uint8_t *)event.batch.data(),
+                          (int64_t)event.batch.size()))
+            return violations.push_back("a batch that cannot be read");
         for (int64_t i = 0; i < batch.n; i++) {
             const record_op &op = batch.ops[i];
             if (op.kind == OP_RULES)
@@ -222,89 +229,91 @@
         place_all(runs);
         schema_free(&record_batch_schema, &batch);
     }
-    void begun(const Event &e)
+    void task_started(const Event &event)
     {
-        Job &j = jobs[e.job];
-        bool first = j.active.empty() && j.ends.empty();
-        if (!j.placed)
-            say(e.job, "begun and not placed");
-        if (first && get(j.values, "inTurn", 0) == TURN_OVER && !in_turn(e.job, j, true))
-            say(e.job, "begun before an earlier one was over");
-        if (++j.active[e.task] > 1 || j.ends[e.task] > j.lost[e.task])
-            say(e.job, "a task ran twice");
-        /* begun in another order than placed; never more than one of those at work may see */
-        running[j.outlet].insert(e.job);
-        for (int64_t other : running[j.outlet]) {
+        Job &job = jobs[event.job];
+        bool first = job.active.empty() && job.ends.empty();
+        if (!job.placed)
+            report_violation(event.job, "begun and not placed");
+        if (first && get(job.values, "inTurn", 0) == TURN_OVER && !in_turn(event.job, job, true))
+            report_violation(event.job, "begun before an earlier one was over");
+        if (++job.active[event.task] > 1 || job.ends[event.task] > job.lost[event.task])
+            report_violation(event.job, "a task ran twice");
+        // Tasks may start in another order than they were placed, so it is enough that one of the running jobs allows
+        // as many.
+        running[job.outlet].insert(event.job);
+        for (int64_t other : running[job.outlet]) {
             int64_t most = get(jobs[other].values, "runningMost", 0);
-            if (!most || (int64_t)running[j.outlet].size() <= most)
+            if (!most || (int64_t)running[job.outlet].size() <= most)
                 return;
         }
-        say(e.job, "more of its outlet at work than the rules allow");
+        report_violation(event.job, "more of its outlet at work than the rules allow");
     }
-    void off(Job &j, const Event &e)
+    void remove_running(Job &job, const Event &event)
     {
-        auto &at = running[j.outlet];
-        if (at.count(e.job))
-            at.erase(at.find(e.job));
-        j.active[e.task]--;
+        auto &at = running[job.outlet];
+        if (at.count(event.job))
+            at.erase(at.find(event.job));
+        job.active[event.task]--;
     }
-    void ended(const Event &e)
+    void task_ended(const Event &event)
     {
-        Job &j = jobs[e.job];
-        off(j, e);
-        if (e.how == END_DONE && ++j.ends[e.task] > 1 + j.lost[e.task])
-            say(e.job, "a task was done twice");
+        Job &job = jobs[event.job];
+        remove_running(job, event);
+        if (event.how == END_DONE && ++job.ends[event.task] > 1 + job.lost[event.task])
+            report_violation(event.job, "a task was done twice");
     }
-    void lost(const Event &e)
+    void task_lost(const Event &event)
     {
-        Job &j = jobs[e.job];
-        if (e.how)
-            j.lost[e.task]++; // done, and nobody was told
+        Job &job = jobs[event.job];
+        if (event.how)
+            job.lost[event.task]++; // done, but not reported
         else
-            off(j, e);
+            remove_running(job, event);
     }
-    void shown(const Event &e)
+    void check_job_rules(const Event &event)
     {
-        const Job &j = jobs[e.job];
-        if (j.of_head != e.of_head || j.of_outlet != e.of_outlet || j.outlet != e.outlet)
-            say(e.job, "shown under versions other than it was accepted under");
-        if (j.values != e.values)
-            say(e.job, "shown under rules other than those in force when it was accepted");
+        const Job &job = jobs[event.job];
+        if (job.of_head != event.of_head || job.of_outlet != event.of_outlet || job.outlet != event.outlet)
+            report_violation(event.job, "shown under versions other than it was accepted under");
+        if (job.values != event.values)
+            report_violation(event.job, "shown under rules other than those in force when it was accepted");
     }
-    void outlet_shown(const Event &e)
+    void check_outlet_rules(const Event &event)
     {
-        if (outlets[e.outlet].values != e.values || (taken.count(e.outlet) && taken[e.outlet] != e.values))
-            breaches.push_back("outlet " + e.outlet + ": adjustments lost");
+        if (outlets[event.outlet].values != event.values ||
+            (acknowledged.count(event.outlet) && acknowledged[event.outlet] != event.values))
+            violations.push_back("outlet " + event.outlet + ": adjustments lost");
     }
 
   public:
-    std::vector<std::string> breaches;
+    std::vector<std::string> violations;
     int64_t n_over = 0, n_failed = 0, n_turns = 0;
 
-    explicit Judge(const History &history)
+    explicit SeasonOracle(const History &history)
     {
-        for (const Event &e : history) {
-            now = e.ms;
-            switch (e.kind) {
-            case COMMIT: commit(e); break;
-            case SENT: sent[e.job] = {e.of_head, e.of_outlet}; break;
-            case TAKEN:
-                if (!e.outlet.empty())
-                    taken[e.outlet] = e.values;
-                if ((e.outlet.empty() ? head.version : outlets[e.outlet].version) != e.of_head)
-                    breaches.push_back("a change was acknowledged that is not in force");
+        for (const Event &event : history) {
+            now = event.ms;
+            switch (event.kind) {
+            case COMMIT: commit(event); break;
+            case JOB_SUBMITTED: submitted[event.job] = {event.of_head, event.of_outlet}; break;
+            case CHANGE_ACKNOWLEDGED:
+                if (!event.outlet.empty())
+                    acknowledged[event.outlet] = event.values;
+                if ((event.outlet.empty() ? head.version : outlets[event.outlet].version) != event.of_head)
+                    violations.push_back("a change was acknowledged that is not in force");
                 break;
-            case JOB_SHOWN: shown(e); break;
-            case OUTLET_SHOWN: outlet_shown(e); break;
-            case BEGUN: begun(e); break;
-            case ENDED: ended(e); break;
-            case LOST: lost(e); break;
+            case JOB_RULES_READ: check_job_rules(event); break;
+            case OUTLET_RULES_READ: check_outlet_rules(event); break;
+            case TASK_STARTED: task_started(event); break;
+            case TASK_ENDED: task_ended(event); break;
+            case TASK_LOST: task_lost(event); break;
             }
         }
-        for (auto &[id, j] : jobs) {
-            if (!j.over)
-                say(id, "never came to its end");
-            n_over += j.over, n_failed += j.failed, n_turns += get(j.values, "inTurn", 0) != 0;
+        for (auto &[id, job] : jobs) {
+            if (!job.over)
+                report_violation(id, "never came to its end");
+            n_over += job.over, n_failed += job.failed, n_turns += get(job.values, "inTurn", 0) != 0;
         }
     }
 };
--- a/tests/sim/season_office.h
+++ b/tests/sim/season_office.h
@@ -1,5 +1,4 @@
-// The people of a season: head office that changes its mind, outlets that adjust, callers, and
-// the troubles of a site.
+// Drives a simulated season: changes of head office's and outlets' rules, jobs, reads through the API, and faults.
 #ifndef SAGEHITCH_TESTS_SEASON_OFFICE_H
 #define SAGEHITCH_TESTS_SEASON_OFFICE_H
 #include <gtest/gtest.h>
@@ -12,7 +11,7 @@
 namespace season
 {
 
-const int64_t OUTLETS = 40, QUEUES = 3, CLAIMED = 10, DAYS = 3, OPENS = 8 * 60;
+const int64_t OUTLETS = 40, QUEUES = 3, OUTLETS_WITH_QUEUE = 10, DAYS = 3, OPENS_MIN = 8 * 60;
 
 inline std::string outlet_name(int64_t no) { return "outlet-" + std::to_string(no); }
 
@@ -30,25 +29,25 @@
     return to;
 }
 
-struct Office : Season {
-    struct Side {
+struct SeasonDriver : Season {
+    struct RulesState {
         int64_t version = 0;
         bool busy = false;
         Values own;
     };
-    Side head;
-    std::vector<Side> outlets = std::vector<Side>(OUTLETS);
+    RulesState head;
+    std::vector<RulesState> outlets = std::vector<RulesState>(OUTLETS);
     std::map<std::string, std::tuple<int64_t, int64_t, int64_t>> rules;
-    int64_t n_jobs = 0, n_taken = 0, n_stale = 0, n_bound = 0, n_changes = 0, n_clamped = 0, n_led = 0;
+    int64_t n_jobs = 0, n_accepted = 0, n_stale = 0, n_bound = 0, n_changes = 0, n_clamped = 0, n_elections = 0;
 
-    explicit Office(unsigned seed) : Season(seed) { configure(); }
+    explicit SeasonDriver(unsigned seed) : Season(seed) { configure(); }
 
     void configure()
     {
         std::vector<record_build::Queue> queues;
         for (int64_t q = 0; q < QUEUES; q++)
             queues.push_back({"q" + std::to_string(q), 4});
-        for (int64_t q = 0; q < CLAIMED; q++)
+        for (int64_t q = 0; q < OUTLETS_WITH_QUEUE; q++)
             queues.push_back({"till-" + std::to_string(q), 4});
         api_request &a = request([](const api_response &answer) { EXPECT_EQ(answer.error, 0); });
         api_request_make_config_put(&a)->config = record_build::config_of(1, queues, "config");
@@ -60,43 +59,43 @@
         const field *f = schema_field(&rule_values_schema, name.c_str());
         *rule_at(&to, (int)(f - rule_values_schema.fields)) = value;
     }
-    // value, and how far outlets may go
-    void rule(const std::string &name, int64_t min, int64_t max)
+    // Sets a random value for a rule, with random limits for the outlets.
+    void random_rule(const std::string &name, int64_t min, int64_t max)
     {
-        int64_t least = min + below(max - min + 1), most = least + below(max - least + 1);
-        int64_t value = least + below(most - least + 1);
-        if (!below(4))
+        int64_t least = min + random_below(max - min + 1), most = least + random_below(max - least + 1);
+        int64_t value = least + random_below(most - least + 1);
+        if (!random_below(4))
             least = most = value;
         rules[name] = {value, least, most};
     }
-    void head_office()
+    void change_head_rules()
     {
         if (head.busy)
             return;
         rules.clear();
-        rule("inTurn", TURN_BEGUN, TURN_OVER);
-        if (below(5))
-            rule("runningMost", 2, 6);
-        if (below(5))
-            rule("attemptsMax", 2, 5);
-        if (below(3))
-            rule("priority", 0, 9);
-        if (below(2))
-            rule("targetMs", 1000, 60000);
-        if (below(2)) {
-            rule("opensAtMin", OPENS - 3, OPENS + 1);
-            rule("closesAtMin", OPENS + 3, OPENS + 5);
+        random_rule("inTurn", TURN_BEGUN, TURN_OVER);
+        if (random_below(5))
+            random_rule("runningMost", 2, 6);
+        if (random_below(5))
+            random_rule("attemptsMax", 2, 5);
+        if (random_below(3))
+            random_rule("priority", 0, 9);
+        if (random_below(2))
+            random_rule("targetMs", 1000, 60000);
+        if (random_below(2)) {
+            random_rule("opensAtMin", OPENS_MIN - 3, OPENS_MIN + 1);
+            random_rule("closesAtMin", OPENS_MIN + 3, OPENS_MIN + 5);
         }
-        bool rogue = !below(5); // built on a version that is no longer the newest
-        int64_t base = rogue ? head.version + 7 : head.version, to = base + 1 + below(3);
-        api_request &a = request([this, rogue, to](const api_response &answer) {
+        bool stale = !random_below(5); // based on a version that is not the current one
+        int64_t base = stale ? head.version + 7 : head.version, to = base + 1 + random_below(3);
+        api_request &a = request([this, stale, to](const api_response &answer) {
             head.busy = false;
-            EXPECT_EQ(answer.error, rogue ? ERROR_STALE : ERROR_NONE);
-            n_stale += rogue;
-            if (rogue)
+            EXPECT_EQ(answer.error, stale ? ERROR_STALE : ERROR_NONE);
+            n_stale += stale;
+            if (stale)
                 return;
             head.version = to, n_changes++;
-            note(TAKEN).of_head = to;
+            note(CHANGE_ACKNOWLEDGED).of_head = to;
         });
         rules_change *c = api_request_make_rules_put(&a, nullptr);
         head.busy = true;
@@ -107,75 +106,75 @@
             put(c->head.most, name, std::get<2>(r));
         }
     }
-    void adjust(int64_t no)
+    void change_outlet_rules(int64_t no)
     {
         static const std::vector<std::tuple<const char *, int64_t, int64_t>> all = {{"runningMost", 2, 6},
                                                                                     {"attemptsMax", 2, 5},
                                                                                     {"priority", 0, 9},
                                                                                     {"inTurn", 1, 2},
                                                                                     {"targetMs", 1000, 60000}};
-        Side &side = outlets[(size_t)no];
-        if (side.busy)
+        RulesState &state = outlets[(size_t)no];
+        if (state.busy)
             return;
-        Values own = side.own;
-        if (side.version && below(6)) {
-            auto &[name, min, max] = all[(size_t)below((int64_t)all.size())];
-            own[name] = min + below(max - min + 1);
+        Values own = state.own;
+        if (state.version && random_below(6)) {
+            auto &[name, min, max] = all[(size_t)random_below((int64_t)all.size())];
+            own[name] = min + random_below(max - min + 1);
         }
-        int64_t to = side.version + 1 + below(2);
+        int64_t to = state.version + 1 + random_below(2);
         api_request &a = request([this, no, to, own](const api_response &answer) {
-            Side &mine = outlets[(size_t)no];
+            RulesState &mine = outlets[(size_t)no];
             mine.busy = false;
             EXPECT_TRUE(!answer.error || answer.error == ERROR_BOUND) << answer.error;
             n_bound += answer.error == ERROR_BOUND;
             if (answer.error)
                 return;
             mine.version = to, mine.own = own, n_changes++;
-            Event &event = note(TAKEN);
+            Event &event = note(CHANGE_ACKNOWLEDGED);
             event.outlet = outlet_name(no), event.of_head = to, event.values = own;
         });
         rules_change *c = api_request_make_rules_put(&a, outlet_name(no).c_str());
-        side.busy = true;
-        c->base = side.version, c->to.version = to;
+        state.busy = true;
+        c->base = state.version, c->to.version = to;
         for (auto &[name, v] : own)
             put(c->to.own, name, v);
-        if (no < CLAIMED)
+        if (no < OUTLETS_WITH_QUEUE)
             record_build::more_of(c->to.queues, c->to.n_queues) = must_dup(("till-" + std::to_string(no)).c_str());
     }
-    void job(int64_t no)
+    void submit_job(int64_t no)
     {
         if (!outlets[(size_t)no].version)
             return;
-        bool claimed = no < CLAIMED && below(2);
-        std::string queue = claimed ? "till-" + std::to_string(no) : "q" + std::to_string(below(QUEUES));
-        record_build::Spec spec = {{{1 + below(3), {}}}, 0};
-        if (!below(3))
+        bool own_queue = no < OUTLETS_WITH_QUEUE && random_below(2);
+        std::string queue = own_queue ? "till-" + std::to_string(no) : "q" + std::to_string(random_below(QUEUES));
+        record_build::Spec spec = {{{1 + random_below(3), {}}}, 0};
+        if (!random_below(3))
             spec.steps.push_back({1, {0}});
         int64_t id = ++n_jobs;
-        Event &event = note(SENT);
+        Event &event = note(JOB_SUBMITTED);
         event.job = id, event.of_head = head.version, event.of_outlet = outlets[(size_t)no].version;
         api_request &a = request([this, id](const api_response &answer) {
             EXPECT_EQ(answer.error, 0);
-            n_taken++;
-            show(id);
+            n_accepted++;
+            read_job_rules(id);
         });
         a.host = must_dup("host.example"), a.path = must_dup(("/" + queue + "/" + std::to_string(id)).c_str());
         job_spec &sent = *api_request_make_job(&a);
         sent = record_build::spec_of(id, spec);
         for (int64_t s = 0; s < sent.n_steps; s++)
-            sent.steps[s].cpu_milli = 500 + below(3) * 500, sent.steps[s].estimate_ms = 800;
-        if (!claimed)
+            sent.steps[s].cpu_milli = 500 + random_below(3) * 500, sent.steps[s].estimate_ms = 800;
+        if (!own_queue)
             sent.outlet = must_dup(outlet_name(no).c_str());
     }
-    // What a job ran under, as the door tells; now and at a later day.
-    void show(int64_t id)
+    // Reads a job's rules through the API, just after its acceptance and again later.
+    void read_job_rules(int64_t id)
     {
         api_request &a = request([this, id](const api_response &answer) {
             if (answer.error)
-                return; // forgotten since
+                return; // no longer retained
             const bytes &text = api_response_document(&answer)->text;
             json_t *json = json_loadb((const char *)text.at, (size_t)text.len, 0, nullptr);
-            Event &event = note(JOB_SHOWN);
+            Event &event = note(JOB_RULES_READ);
             event.job = id, event.outlet = json_string_value(json_object_get(json, "outlet"));
             event.of_head = json_integer_value(json_object_get(json, "ofHeadOffice"));
             event.of_outlet = json_integer_value(json_object_get(json, "ofOutlet"));
@@ -184,7 +183,7 @@
         });
         api_request_make_rules_job(&a, id);
     }
-    void show_outlet(int64_t no)
+    void read_outlet_rules(int64_t no)
     {
         if (outlets[(size_t)no].busy || !outlets[(size_t)no].version)
             return;
@@ -194,7 +193,7 @@
             ASSERT_EQ(answer.error, 0);
             const bytes &text = api_response_document(&answer)->text;
             json_t *json = json_loadb((const char *)text.at, (size_t)text.len, 0, nullptr);
-            Event &event = note(OUTLET_SHOWN);
+            Event &event = note(OUTLET_RULES_READ);
             event.outlet = outlet_name(no);
             event.values = json_values(json_object_get(json, "rules"), "own");
             n_clamped += strstr((const char *)text.at, "\"clamped\":true") != nullptr;
@@ -202,36 +201,36 @@
         });
         api_request_make_rules_get(&a, outlet_name(no).c_str());
     }
-    void trouble()
+    void inject_faults()
     {
-        if (!below(400)) {
-            lead((size_t)below(3));
-            n_led++;
+        if (!random_below(400)) {
+            elect((size_t)random_below(3));
+            n_elections++;
         }
-        if (!below(300))
-            restart((size_t)below(3));
-        if (!below(200))
-            go_down(standins[(size_t)below((int64_t)standins.size())]);
-        if (!below(100))
-            catch_up(nodes[(size_t)below(3)].get());
+        if (!random_below(300))
+            restart((size_t)random_below(3));
+        if (!random_below(200))
+            crash(executors[(size_t)random_below((int64_t)executors.size())]);
+        if (!random_below(100))
+            catch_up(nodes[(size_t)random_below(3)].get());
     }
-    // Seven minutes of each day; the other hours are passed over while nothing runs.
+    // Runs seven minutes of the day, around the opening hours, then until all is idle. The rest of the day is skipped.
     void day(int64_t no, bool busy)
     {
-        now_ms = std::max(now_ms, no * 86400000 + (OPENS - 2) * 60000);
-        int64_t till_ms = no * 86400000 + (OPENS + 5) * 60000;
+        now_ms = std::max(now_ms, no * 86400000 + (OPENS_MIN - 2) * 60000);
+        int64_t till_ms = no * 86400000 + (OPENS_MIN + 5) * 60000;
         while (now_ms < till_ms) {
-            if (busy && !below(100))
-                head_office();
-            if (!below(12))
-                adjust(below(OUTLETS));
-            if (!below(30))
-                show_outlet(below(OUTLETS));
-            if (busy && !below(10) && n_jobs)
-                show(1 + below(n_jobs));
-            if (busy && !below(5))
-                job(below(OUTLETS));
-            trouble();
+            if (busy && !random_below(100))
+                change_head_rules();
+            if (!random_below(12))
+                change_outlet_rules(random_below(OUTLETS));
+            if (!random_below(30))
+                read_outlet_rules(random_below(OUTLETS));
+            if (busy && !random_below(10) && n_jobs)
+                read_job_rules(1 + random_below(n_jobs));
+            if (busy && !random_below(5))
+                submit_job(random_below(OUTLETS));
+            inject_faults();
             on_timer();
         }
         for (int i = 0; i < 4000 && !idle(); i++)
@@ -245,17 +244,17 @@
         for (int64_t no = DAYS; no < DAYS + 4 && leader->r.n_live; no++)
             day(no, false);
         for (int64_t no = 0; no < OUTLETS; no++)
-            show_outlet(no);
+            read_outlet_rules(no);
         for (int i = 0; i < 10; i++)
             on_timer();
     }
 };
 
-inline void expect_quiet(const Judge &judge)
+inline void expect_no_violations(const SeasonOracle &oracle)
 {
-    EXPECT_EQ(judge.breaches.size(), 0u);
-    for (size_t i = 0; i < judge.breaches.size() && i < 10; i++)
-        ADD_FAILURE() << judge.breaches[i];
+    EXPECT_EQ(oracle.violations.size(), 0u);
+    for (size_t i = 0; i < oracle.violations.size() && i < 10; i++)
+        ADD_FAILURE() << oracle.violations[i];
 }
 
 } // namespace season
--- a/tests/sim/season_planted_test.cc
+++ b/tests/sim/season_planted_test.cc
@@ -1,4 +1,4 @@
-// A judge that notices nothing proves nothing: breaches planted into a good history.
+// Tests of the season's oracle: it must detect violations that are inserted into a valid history.
 #include "season_office.h"
 
 using namespace season;
@@ -6,120 +6,121 @@
 namespace
 {
 
-struct Planted : testing::Test {
-    static History &good()
+struct SeasonOracleTest : testing::Test {
+    static History &valid_history()
     {
         static History history = [] {
-            Office office(3);
+            SeasonDriver driver(3);
             for (int64_t no = 0; no < 2; no++)
-                office.day(no, true);
-            for (int64_t no = 2; no < 6 && office.leader->r.n_live; no++)
-                office.day(no, false);
-            return office.history;
+                driver.day(no, true);
+            for (int64_t no = 2; no < 6 && driver.leader->r.n_live; no++)
+                driver.day(no, false);
+            return driver.history;
         }();
         return history;
     }
-    static size_t find(const History &h, std::function<bool(const Event &)> wanted)
+    static size_t find(const History &history, std::function<bool(const Event &)> wanted)
     {
-        for (size_t i = h.size() / 3; i < h.size(); i++)
-            if (wanted(h[i]))
+        for (size_t i = history.size() / 3; i < history.size(); i++)
+            if (wanted(history[i]))
                 return i;
         ADD_FAILURE() << "nothing to tamper with";
         return 0;
     }
-    static bool noticed(const History &h, const std::string &what)
+    static bool detected(const History &history, const std::string &what)
     {
-        Judge judge(h);
-        for (const std::string &breach : judge.breaches)
-            if (breach.find(what) != std::string::npos)
+        SeasonOracle oracle(history);
+        for (const std::string &violation : oracle.violations)
+            if (violation.find(what) != std::string::npos)
                 return true;
         return false;
     }
 };
 
-TEST_F(Planted, NoneIsNoticedInTheGoodHistory) { expect_quiet(Judge(good())); }
+TEST_F(SeasonOracleTest, AValidHistoryHasNoViolations) { expect_no_violations(SeasonOracle(valid_history())); }
 
-TEST_F(Planted, AJobUnderAnotherRule)
+TEST_F(SeasonOracleTest, AJobUnderAnotherRule)
 {
-    History h = good();
-    h[find(h, [](const Event &e) { return e.kind == JOB_SHOWN; })].values["inTurn"] ^= 3;
-    EXPECT_TRUE(noticed(h, "shown under rules other"));
+    History history = valid_history();
+    history[find(history, [](const Event &event) { return event.kind == JOB_RULES_READ; })].values["inTurn"] ^= 3;
+    EXPECT_TRUE(detected(history, "shown under rules other"));
 }
 
-TEST_F(Planted, AJobUnderAnOlderVersion)
+TEST_F(SeasonOracleTest, AJobUnderAnOlderVersion)
 {
-    History h = good();
-    h[find(h, [](const Event &e) { return e.kind == SENT; })].of_head += 1000;
-    EXPECT_TRUE(noticed(h, "older rules"));
-    h = good();
-    h[find(h, [](const Event &e) { return e.kind == JOB_SHOWN; })].of_head--;
-    EXPECT_TRUE(noticed(h, "versions other"));
+    History history = valid_history();
+    history[find(history, [](const Event &event) { return event.kind == JOB_SUBMITTED; })].of_head += 1000;
+    EXPECT_TRUE(detected(history, "older rules"));
+    history = valid_history();
+    history[find(history, [](const Event &event) { return event.kind == JOB_RULES_READ; })].of_head--;
+    EXPECT_TRUE(detected(history, "versions other"));
 }
 
-TEST_F(Planted, AnAdjustmentLost)
+TEST_F(SeasonOracleTest, AnAdjustmentLost)
 {
-    History h = good();
-    h[find(h, [](const Event &e) { return e.kind == OUTLET_SHOWN && !e.values.empty(); })].values.clear();
-    EXPECT_TRUE(noticed(h, "adjustments lost"));
+    History history = valid_history();
+    history[find(history, [](const Event &event) { return event.kind == OUTLET_RULES_READ && !event.values.empty(); })]
+        .values.clear();
+    EXPECT_TRUE(detected(history, "adjustments lost"));
 }
 
-TEST_F(Planted, AChangeThatIsNotInForce)
+TEST_F(SeasonOracleTest, AChangeThatIsNotInForce)
 {
-    History h = good();
-    h[find(h, [](const Event &e) { return e.kind == TAKEN; })].of_head++;
-    EXPECT_TRUE(noticed(h, "acknowledged that is not in force"));
+    History history = valid_history();
+    history[find(history, [](const Event &event) { return event.kind == CHANGE_ACKNOWLEDGED; })].of_head++;
+    EXPECT_TRUE(detected(history, "acknowledged that is not in force"));
 }
 
-TEST_F(Planted, ATaskThatRanTwice)
+TEST_F(SeasonOracleTest, ATaskThatRanTwice)
 {
-    History h = good();
-    size_t at = find(h, [](const Event &e) { return e.kind == BEGUN; });
-    h.insert(h.begin() + (long)at, h[at]);
-    EXPECT_TRUE(noticed(h, "ran twice"));
-    h = good();
-    at = find(h, [](const Event &e) { return e.kind == ENDED && e.how == END_DONE; });
-    h.insert(h.begin() + (long)at, h[at]);
-    EXPECT_TRUE(noticed(h, "done twice"));
+    History history = valid_history();
+    size_t at = find(history, [](const Event &event) { return event.kind == TASK_STARTED; });
+    history.insert(history.begin() + (long)at, history[at]);
+    EXPECT_TRUE(detected(history, "ran twice"));
+    history = valid_history();
+    at = find(history, [](const Event &event) { return event.kind == TASK_ENDED && event.how == END_DONE; });
+    history.insert(history.begin() + (long)at, history[at]);
+    EXPECT_TRUE(detected(history, "done twice"));
 }
 
-TEST_F(Planted, AJobThatNeverEnds)
+TEST_F(SeasonOracleTest, AJobThatNeverEnds)
 {
-    History h = good();
-    h.erase(
-        std::remove_if(h.begin() + (long)(h.size() * 9 / 10), h.end(), [](const Event &e) { return e.kind == COMMIT; }),
-        h.end());
-    EXPECT_TRUE(noticed(h, "never came to its end"));
+    History history = valid_history();
+    history.erase(std::remove_if(history.begin() + (long)(history.size() * 9 / 10), history.end(),
+                                 [](const Event &event) { return event.kind == COMMIT; }),
+                  history.end());
+    EXPECT_TRUE(detected(history, "never came to its end"));
 }
 
-// Changes every batch of a history.
-void rewrite(History &h, std::function<void(record_op &)> how)
+// Applies a function to every op of a history.
+void rewrite(History &history, std::function<void(record_op &)> how)
 {
-    for (Event &e : h) {
+    for (Event &event : history) {
         record_batch batch = {};
         struct bytes packed = {};
-        if (e.kind != COMMIT ||
-            schema_unpack(&record_batch_schema, &batch, (const uint8_t *)e.batch.data(), (int64_t)e.batch.size()))
+        if (event.kind != COMMIT || schema_unpack(&record_batch_schema, &batch, (const uint8_t *)event.batch.data(),
+                                                  (int64_t)event.batch.size()))
             continue;
         for (int64_t i = 0; i < batch.n; i++)
             how(batch.ops[i]);
         schema_pack(&record_batch_schema, &batch, &packed);
-        e.batch.assign((const char *)packed.at, (size_t)packed.len);
+        event.batch.assign((const char *)packed.at, (size_t)packed.len);
         bytes_free(&packed);
         schema_free(&record_batch_schema, &batch);
     }
 }
 
-// Two jobs that follow each other in one line are placed in each other's stead.
-TEST_F(Planted, AJobOutOfTurn)
+// Swaps the placements of two jobs that follow each other in one outlet and queue.
+TEST_F(SeasonOracleTest, AJobOutOfTurn)
 {
     std::map<std::string, int64_t> last;
     std::vector<std::pair<int64_t, int64_t>> pairs;
-    std::set<int64_t> follows; // begin once the one before has begun
-    History h = good();
-    for (const Event &e : h)
-        if (e.kind == JOB_SHOWN && e.values.count("inTurn") && e.values.at("inTurn") == TURN_BEGUN)
-            follows.insert(e.job);
-    rewrite(h, [&](record_op &op) {
+    std::set<int64_t> follows; // jobs that start once the earlier ones have started
+    History history = valid_history();
+    for (const Event &event : history)
+        if (event.kind == JOB_RULES_READ && event.values.count("inTurn") && event.values.at("inTurn") == TURN_BEGUN)
+            follows.insert(event.job);
+    rewrite(history, [&](record_op &op) {
         const job_op *job = op.kind == OP_JOB ? record_op_job(&op) : nullptr;
         if (!job || !job->spec.outlet)
             return;
@@ -132,45 +133,47 @@
     ASSERT_GT(pairs.size(), 50u);
     for (size_t i = 0; i < 8 && !found; i++) {
         auto [a, b] = pairs[pairs.size() / 8 * i];
-        h = good();
-        rewrite(h, [a = a, b = b](record_op &op) {
+        history = valid_history();
+        rewrite(history, [a = a, b = b](record_op &op) {
             for (int64_t k = 0; op.kind == OP_PLACE && k < record_op_place(&op)->n_runs; k++) {
                 int64_t &job = record_op_append_place(&op)->runs[k].job;
                 job = job == a ? b : job == b ? a : job;
             }
         });
-        found = noticed(h, "placed before one that was accepted earlier");
+        found = detected(history, "placed before one that was accepted earlier");
     }
     EXPECT_TRUE(found);
 }
 
-// An executor that begins before the one before is over, more than its outlet may, or at night.
-TEST_F(Planted, AStartTooEarly)
+// A task that starts before an earlier job has ended, and while its outlet runs as many tasks as its rules allow.
+TEST_F(SeasonOracleTest, AStartTooEarly)
 {
-    History h = good();
-    // as if none had ended before the next began
-    h.erase(std::remove_if(h.begin(), h.end(), [](const Event &e) { return e.kind == ENDED; }), h.end());
-    EXPECT_TRUE(noticed(h, "before an earlier one was over"));
-    EXPECT_TRUE(noticed(h, "more of its outlet at work"));
+    History history = valid_history();
+    // without the ends of tasks, every later start comes too early
+    history.erase(
+        std::remove_if(history.begin(), history.end(), [](const Event &event) { return event.kind == TASK_ENDED; }),
+        history.end());
+    EXPECT_TRUE(detected(history, "before an earlier one was over"));
+    EXPECT_TRUE(detected(history, "more of its outlet at work"));
 }
 
-// Ends that nobody agreed on: the record's own count of placed tasks grows past the limits.
-TEST_F(Planted, MorePlacedThanTheRulesAllow)
+// Without the committed ends, the number of placed tasks grows beyond the limits.
+TEST_F(SeasonOracleTest, MorePlacedThanTheRulesAllow)
 {
-    History h = good();
-    rewrite(h, [](record_op &op) {
+    History history = valid_history();
+    rewrite(history, [](record_op &op) {
         if (op.kind == OP_END)
             record_op_append_end(&op)->n_ended = 0;
     });
-    EXPECT_TRUE(noticed(h, "more of its outlet placed"));
+    EXPECT_TRUE(detected(history, "more of its outlet placed"));
 }
 
-TEST_F(Planted, AJobBegunAtNight)
+TEST_F(SeasonOracleTest, AJobStartedOutsideItsOpeningHours)
 {
-    History h = good();
+    History history = valid_history();
     int64_t shift_ms = 6 * 3600000;
-    rewrite(h, [shift_ms](record_op &op) { op.at_ms += shift_ms; });
-    EXPECT_TRUE(noticed(h, "outside its hours"));
+    rewrite(history, [shift_ms](record_op &op) { op.at_ms += shift_ms; });
+    EXPECT_TRUE(detected(history, "outside its hours"));
 }
 
 } // namespace
