--- a/src/executor_owner/executor_owner.c
+++ b/src/executor_owner/executor_owner.c
@@ -1,4 +1,5 @@
-/* The home's side of reservations, starts, stops and checks. */
+/* Owner of an executor: reports of executors, and messages of shard owners about reservations, starts, stops and
+ * checks. */
 #include "executor_owner/executor_owner.h"
 
 #include <stdio.h>
@@ -9,7 +10,7 @@
 #include "base/error.h"
 #include "node/node.h"
 
-enum { WANT_MS = 400 };
+enum { DENIED_KEEP_MS = 400 };
 
 struct executor_owner *executor_owner_find(struct node *node, const char *name)
 {
@@ -19,64 +20,63 @@
     return NULL;
 }
 
-static void home_free(struct executor_owner *executor_owner)
+static void executor_owner_free(struct executor_owner *owner)
 {
-    for (int64_t i = 0; i < executor_owner->n_rows; i++)
-        account_free(&executor_owner->rows[i]);
-    free(executor_owner->rows);
-    free(executor_owner->acks);
-    schema_free(&exec_state_schema, &executor_owner->state);
-    free(executor_owner->name);
-    free(executor_owner);
+    for (int64_t i = 0; i < owner->n_rows; i++)
+        allocation_free(&owner->rows[i]);
+    free(owner->rows);
+    free(owner->acks);
+    schema_free(&exec_state_schema, &owner->state);
+    free(owner->name);
+    free(owner);
 }
 
-void executor_owner_drop(struct node *node, struct executor_owner *executor_owner)
+void executor_owner_drop(struct node *node, struct executor_owner *owner)
 {
-    world_note(node->w, EV_HOME_LOST, "executor=%s epoch=%lld", executor_owner->name, (long long)executor_owner->epoch);
+    world_note(node->w, EV_HOME_LOST, "executor=%s epoch=%lld", owner->name, (long long)owner->epoch);
     for (int64_t i = 0; i < node->n_executor_owners; i++)
-        if (node->executor_owners[i] == executor_owner)
+        if (node->executor_owners[i] == owner)
             node->executor_owners[i] = node->executor_owners[--node->n_executor_owners];
-    home_free(executor_owner);
+    executor_owner_free(owner);
 }
 
 void executor_owners_end(struct node *node)
 {
     while (node->n_executor_owners)
-        home_free(node->executor_owners[--node->n_executor_owners]);
+        executor_owner_free(node->executor_owners[--node->n_executor_owners]);
     free(node->executor_owners);
     node->executor_owners = NULL;
 }
 
 struct executor_owner *executor_owner_start(struct node *node, const char *name, int64_t epoch)
 {
-    struct executor_owner *executor_owner = executor_owner_find(node, name);
-    if (executor_owner && executor_owner->epoch >= epoch)
-        return executor_owner;
-    if (executor_owner)
-        executor_owner_drop(node, executor_owner);
-    executor_owner = must_alloc(sizeof *executor_owner);
-    executor_owner->name = must_dup(name);
-    executor_owner->epoch = epoch;
-    executor_owner->started_ms = executor_owner->heard_ms = world_ms(node->w);
-    /* the former home may have been given tickets until its gate closed */
-    executor_owner->ticket_ms = executor_owner->started_ms + ADMISSION_MS;
-    struct executor_summary *executor_summary =
-        executor_summary_find(node, name); /* what the former home told everybody */
-    executor_owner->addr = executor_summary ? executor_summary->addr : 0;
-    *array_add(node->executor_owners, node->n_executor_owners) = executor_owner;
-    return executor_owner;
+    struct executor_owner *owner = executor_owner_find(node, name);
+    if (owner && owner->epoch >= epoch)
+        return owner;
+    if (owner)
+        executor_owner_drop(node, owner);
+    owner = must_alloc(sizeof *owner);
+    owner->name = must_dup(name);
+    owner->epoch = epoch;
+    owner->started_ms = owner->last_response_ms = world_ms(node->w);
+    /* the former owner could receive tickets until its admission closed, at most ADMISSION_MS after this */
+    owner->ticket_ms = owner->started_ms + ADMISSION_MS;
+    struct executor_summary *summary = executor_summary_find(node, name); /* as the former owner sent it */
+    owner->addr = summary ? summary->addr : 0;
+    *array_add(node->executor_owners, node->n_executor_owners) = owner;
+    return owner;
 }
 
 /* --- reports ------------------------------------------------------------------------ */
 
-static void claimed(struct node *node, int64_t request, int error, const struct bytes *result)
+static void on_ownership_proposed(struct node *node, int64_t request, int error, const struct bytes *result)
 {
     (void)error, (void)result;
-    api_error(node, request, ERROR_NO_OWNER, "this executor is being given a home");
+    api_error(node, request, ERROR_NO_OWNER, "the owner of this executor is being assigned");
 }
 
-/* An executor nobody knows: whoever hears first proposes to be its home. */
-static void claim(struct node *node, int64_t request, const char *name)
+/* For an executor without an owner: proposes this node, as the one that received its report. */
+static void propose_ownership(struct node *node, int64_t request, const char *name)
 {
     struct config_tree_op op = {.kind = CONFIG_OP_OWNERSHIPS};
     struct bytes bytes = {0};
@@ -86,11 +86,11 @@
     ownership->boot = node->boot;
     ownership->epoch = 1;
     schema_pack(&config_tree_op_schema, &op, &bytes);
-    node_propose(node, GROUP_CONTROL, &bytes, 2000, claimed, request);
+    node_propose(node, GROUP_CONTROL, &bytes, 2000, on_ownership_proposed, request);
     schema_free(&config_tree_op_schema, &op);
 }
 
-static void answer_home(struct node *node, int64_t request)
+static void answer_owner_address(struct node *node, int64_t request)
 {
     api_json(node, request, 200, json_pack("{s:s}", "home", addr_text(node->w->http_addr)));
 }
@@ -104,238 +104,244 @@
         api_validation_error(node, request, &validation_error);
         return;
     }
-    struct executor_owner *executor_owner = executor_owner_find(node, state.name);
+    struct executor_owner *owner = executor_owner_find(node, state.name);
     snprintf(name, sizeof name, "home/%s", state.name);
     const struct ownership *ownership = config_tree_ownership(&node->config_tree, name);
     if (strcmp(state.cluster, node->cluster_name))
         api_error(node, request, ERROR_BAD_FIELD, "this is another cluster");
     else if (!addr_parse(state.address))
         api_error(node, request, ERROR_BAD_FIELD, "address must be IP:PORT");
-    else if (executor_owner) {
-        home_take_state(node, executor_owner, &state, 0);
-        answer_home(node, request);
+    else if (owner) {
+        executor_owner_apply_state(node, owner, &state, 0);
+        answer_owner_address(node, request);
     } else if (ownership && ownership->owner != (int64_t)node->w->self)
         api_forward(node, request, ownership->owner,
                     &(struct api_call){.shard = -1, .method = "POST", .path = "/v1/executors/report", .body = body});
     else if (!ownership && admission_open(node))
-        claim(node, request, state.name);
+        propose_ownership(node, request, state.name);
     else
-        api_error(node, request, ERROR_UNAVAILABLE, "no home yet");
+        api_error(node, request, ERROR_UNAVAILABLE, "the executor has no owner yet");
     schema_free(&exec_state_schema, &state);
 }
 
-/* --- what owners ask ------------------------------------------------------------------ */
+/* --- messages of shard owners ---------------------------------------------------------- */
 
-/* Neither below what was heard from the shard here, nor below its duty in the
- * configuration tree: a home that is new has heard from nobody yet. */
-static int epoch_ok(struct node *node, struct executor_owner *executor_owner, int64_t shard, int64_t epoch)
+/* Rejects an epoch of a shard lower than one seen before, from the shard's owner or in the configuration tree: a new
+ * executor owner has not received any from shard owners yet. */
+static int accept_shard_epoch(struct node *node, struct executor_owner *owner, int64_t shard, int64_t epoch)
 {
-    if (shard < 0 || shard >= SHARD_COUNT || epoch < executor_owner->shard_epochs[shard] ||
-        epoch < node->shards[shard].epoch)
+    if (shard < 0 || shard >= SHARD_COUNT || epoch < owner->shard_epochs[shard] || epoch < node->shards[shard].epoch)
         return 0;
-    executor_owner->shard_epochs[shard] = epoch;
+    owner->shard_epochs[shard] = epoch;
     return 1;
 }
 
-/* Room that becomes free is kept a moment for the most urgent that was denied:
- * owners on many nodes ask, each sees only its own order. left: what would
- * remain after this reservation. */
-static int room_for(struct node *node, struct executor_owner *executor_owner, int64_t urgency, int64_t left_cores,
-                    int64_t left_mb)
+/* Whether a reservation may take capacity; left_cores, left_mb: what would remain free. Capacity that becomes free is
+ * kept for DENIED_KEEP_MS for the most urgent reservation that was denied, since the shard owners, on many nodes, each
+ * see only their own tasks. A lower urgency is more urgent. */
+static int capacity_allows(struct node *node, struct executor_owner *owner, int64_t urgency, int64_t left_cores,
+                           int64_t left_mb)
 {
     int64_t now_ms = world_ms(node->w);
-    int waits = executor_owner->want_until_ms > now_ms;
+    int keeps_capacity = owner->denied_until_ms > now_ms;
     if (left_cores < 0 || left_mb < 0) {
-        if (waits && urgency >= executor_owner->want_urgency)
+        if (keeps_capacity && urgency >= owner->denied_urgency)
             return 0;
         int64_t cores, mem_mb;
-        account_room(executor_owner, &cores, &mem_mb);
-        executor_owner->want_urgency = urgency;
-        executor_owner->want_cores = cores - left_cores;
-        executor_owner->want_mb = mem_mb - left_mb;
-        executor_owner->want_until_ms = now_ms + WANT_MS;
+        allocations_free_capacity(owner, &cores, &mem_mb);
+        owner->denied_urgency = urgency;
+        owner->denied_cores = cores - left_cores;
+        owner->denied_mb = mem_mb - left_mb;
+        owner->denied_until_ms = now_ms + DENIED_KEEP_MS;
         return 0;
     }
-    if (waits && urgency > executor_owner->want_urgency &&
-        (left_cores < executor_owner->want_cores || left_mb < executor_owner->want_mb))
+    if (keeps_capacity && urgency > owner->denied_urgency &&
+        (left_cores < owner->denied_cores || left_mb < owner->denied_mb))
         return 0;
-    if (waits && urgency <= executor_owner->want_urgency)
-        executor_owner->want_until_ms = 0;
+    if (keeps_capacity && urgency <= owner->denied_urgency)
+        owner->denied_until_ms = 0;
     return 1;
 }
 
-static int may_reserve(struct node *node, struct executor_owner *executor_owner, const struct reserve_request *m)
+static int may_reserve(struct node *node, struct executor_owner *owner, const struct reserve_request *message)
 {
     int64_t cores, mem_mb;
-    if (!executor_owner || executor_owner->epoch != m->executor_epoch || !executor_owner->opened ||
-        executor_owner->incarnation != m->incarnation || !admission_open(node) || node->leaving ||
-        !epoch_ok(node, executor_owner, m->shard, m->shard_epoch))
+    if (!owner || owner->epoch != message->executor_epoch || !owner->opened ||
+        owner->incarnation != message->incarnation || !admission_open(node) || node->leaving ||
+        !accept_shard_epoch(node, owner, message->shard, message->shard_epoch))
         return 0;
-    int64_t state = home_room_state(node, executor_owner);
+    int64_t state = executor_owner_summary_state(node, owner);
     if (state != EXECUTOR_OPEN && state != EXECUTOR_PROBATION)
         return 0;
-    account_room(executor_owner, &cores, &mem_mb);
-    for (int64_t i = 0; i < m->n_tasks; i++) {
-        cores -= m->tasks[i].cores;
-        mem_mb -= m->tasks[i].mem_mb;
+    allocations_free_capacity(owner, &cores, &mem_mb);
+    for (int64_t i = 0; i < message->n_tasks; i++) {
+        cores -= message->tasks[i].cores;
+        mem_mb -= message->tasks[i].mem_mb;
     }
-    if (state == EXECUTOR_PROBATION && executor_owner->n_rows)
-        return 0; /* one at a time until it has proved itself */
-    return room_for(node, executor_owner, m->urgency, cores, mem_mb);
+    if (state == EXECUTOR_PROBATION && owner->n_rows)
+        return 0; /* one reservation at a time until the probation is over */
+    return capacity_allows(node, owner, message->urgency, cores, mem_mb);
 }
 
-void executor_owner_on_reserve(struct node *node, int64_t from, const struct reserve_request *m)
+void executor_owner_on_reserve(struct node *node, int64_t from, const struct reserve_request *message)
 {
-    struct executor_owner *executor_owner = executor_owner_find(node, m->executor);
-    struct reserve_reply reply = {.req = m->req, .executor = m->executor, .error = ERROR_REJECTED};
-    if (may_reserve(node, executor_owner, m)) {
+    struct executor_owner *owner = executor_owner_find(node, message->executor);
+    struct reserve_reply reply = {.req = message->req, .executor = message->executor, .error = ERROR_REJECTED};
+    if (may_reserve(node, owner, message)) {
         reply.error = ERROR_NONE;
-        for (int64_t i = 0; i < m->n_tasks; i++) {
-            const struct task_ref *ref = &m->tasks[i];
-            if (account_find(executor_owner, ref->job, ref->no, ref->attempt))
+        for (int64_t i = 0; i < message->n_tasks; i++) {
+            const struct task_ref *ref = &message->tasks[i];
+            if (allocation_find(owner, ref->job, ref->no, ref->attempt))
                 continue;
-            struct account *row = array_add(executor_owner->rows, executor_owner->n_rows);
-            row->ref = *ref;
-            row->state = ALLOCATION_RESERVED;
-            row->since_ms = world_ms(node->w);
+            struct account *allocation = array_add(owner->rows, owner->n_rows);
+            allocation->ref = *ref;
+            allocation->state = ALLOCATION_RESERVED;
+            allocation->since_ms = world_ms(node->w);
         }
     }
     node_send(node, from, FRAME_RESERVED, &reserve_reply_schema, &reply);
 }
 
-void executor_owner_on_release(struct node *node, int64_t from, const struct reserve_request *m)
+void executor_owner_on_release(struct node *node, int64_t from, const struct reserve_request *message)
 {
-    struct executor_owner *executor_owner = executor_owner_find(node, m->executor);
+    struct executor_owner *owner = executor_owner_find(node, message->executor);
     (void)from;
-    for (int64_t i = 0; executor_owner && i < m->n_tasks; i++) {
-        struct account *row = account_find(executor_owner, m->tasks[i].job, m->tasks[i].no, m->tasks[i].attempt);
-        if (row && row->state == ALLOCATION_RESERVED)
-            account_remove(executor_owner, row);
+    for (int64_t i = 0; owner && i < message->n_tasks; i++) {
+        struct account *allocation =
+            allocation_find(owner, message->tasks[i].job, message->tasks[i].no, message->tasks[i].attempt);
+        if (allocation && allocation->state == ALLOCATION_RESERVED)
+            allocation_remove(owner, allocation);
     }
     node->summaries_due_ms = 0;
 }
 
-/* A start whose reservation has lapsed is taken only if there is room anew;
- * otherwise it is told to have ended unstarted, and stays so. */
-void executor_owner_on_start(struct node *node, int64_t from, struct start_order *m)
+/* Without a reservation, for example because it expired, the start is accepted only if there is capacity. A start that
+ * is not accepted is reported as OUTCOME_NOT_STARTED, which is final. */
+void executor_owner_on_start(struct node *node, int64_t from, struct start_order *message)
 {
-    struct executor_owner *executor_owner = executor_owner_find(node, m->executor);
+    struct executor_owner *owner = executor_owner_find(node, message->executor);
     (void)from;
-    if (!executor_owner || executor_owner->epoch != m->executor_epoch || !executor_owner->opened ||
-        !epoch_ok(node, executor_owner, m->shard, m->shard_epoch) || !admission_open(node))
+    if (!owner || owner->epoch != message->executor_epoch || !owner->opened ||
+        !accept_shard_epoch(node, owner, message->shard, message->shard_epoch) || !admission_open(node))
         return;
-    const struct exec_start *s = &m->start;
-    struct account *row = account_find(executor_owner, s->job, s->no, s->attempt);
+    const struct exec_start *start = &message->start;
+    struct account *allocation = allocation_find(owner, start->job, start->no, start->attempt);
     int64_t cores, mem_mb;
-    if (row && row->state != ALLOCATION_RESERVED)
+    if (allocation && allocation->state != ALLOCATION_RESERVED)
         return;
-    if (!row) {
-        account_room(executor_owner, &cores, &mem_mb);
-        row = array_add(executor_owner->rows, executor_owner->n_rows);
-        row->ref = (struct task_ref){
-            .job = s->job, .no = s->no, .attempt = s->attempt, .cores = s->cores, .mem_mb = s->mem_mb};
-        row->since_ms = world_ms(node->w);
-        if (cores < s->cores || mem_mb < s->mem_mb) {
-            account_end(node, executor_owner, row, OUT_UNSTARTED, "no room left");
+    if (!allocation) {
+        allocations_free_capacity(owner, &cores, &mem_mb);
+        allocation = array_add(owner->rows, owner->n_rows);
+        allocation->ref = (struct task_ref){.job = start->job,
+                                            .no = start->no,
+                                            .attempt = start->attempt,
+                                            .cores = start->cores,
+                                            .mem_mb = start->mem_mb};
+        allocation->since_ms = world_ms(node->w);
+        if (cores < start->cores || mem_mb < start->mem_mb) {
+            allocation_end(node, owner, allocation, OUTCOME_NOT_STARTED, "no capacity left");
             return;
         }
     }
-    row->lease_ms = s->lease_ms;
-    row->stall_ms = s->stall_ms;
-    /* its room was reserved; what the executor gave to others since then is gone all the same */
-    account_room(executor_owner, &cores, &mem_mb);
+    allocation->lease_ms = start->lease_ms;
+    allocation->stall_ms = start->stall_ms;
+    /* the executor may have given reserved capacity to other work meanwhile */
+    allocations_free_capacity(owner, &cores, &mem_mb);
     if (cores < 0 || mem_mb < 0) {
-        account_end(node, executor_owner, row, OUT_UNSTARTED, "its room went to other work meanwhile");
+        allocation_end(node, owner, allocation, OUTCOME_NOT_STARTED, "its capacity was taken by other work meanwhile");
         return;
     }
-    if (m->incarnation != executor_owner->incarnation) {
-        account_end(node, executor_owner, row, OUT_UNSTARTED, "the executor came back anew");
+    if (message->incarnation != owner->incarnation) {
+        allocation_end(node, owner, allocation, OUTCOME_NOT_STARTED, "the executor was restarted");
         return;
     }
-    int64_t state = home_room_state(node, executor_owner);
+    int64_t state = executor_owner_summary_state(node, owner);
     if (state == EXECUTOR_LEAVING || state == EXECUTOR_CLOSED) {
-        account_end(node, executor_owner, row, OUT_UNSTARTED, "the executor is leaving");
+        allocation_end(node, owner, allocation, OUTCOME_NOT_STARTED, "the executor is leaving");
         return;
     }
-    node_journal_add(node, s->job, s->no, s->attempt, s->hold ? "hold ordered" : "start ordered", executor_owner->name);
-    row->state = ALLOCATION_STARTING;
-    row->since_ms = world_ms(node->w);
-    row->start = must_alloc(sizeof *row->start);
-    *row->start = *s;
-    m->start = (struct exec_start){0}; /* its strings are ours now */
-    executor_owner->dirty = 1;
+    node_journal_add(node, start->job, start->no, start->attempt, start->hold ? "hold ordered" : "start ordered",
+                     owner->name);
+    allocation->state = ALLOCATION_STARTING;
+    allocation->since_ms = world_ms(node->w);
+    allocation->start = must_alloc(sizeof *allocation->start);
+    *allocation->start = *start;
+    message->start = (struct exec_start){0}; /* the allocation owns its strings now */
+    owner->dirty = 1;
 }
 
-void executor_owner_on_stop(struct node *node, int64_t from, const struct check_request *m)
+void executor_owner_on_stop(struct node *node, int64_t from, const struct check_request *message)
 {
-    struct executor_owner *executor_owner = executor_owner_find(node, m->executor);
+    struct executor_owner *owner = executor_owner_find(node, message->executor);
     (void)from;
-    if (!executor_owner || !executor_owner->opened || executor_owner->epoch != m->executor_epoch ||
-        !epoch_ok(node, executor_owner, m->shard, m->shard_epoch))
+    if (!owner || !owner->opened || owner->epoch != message->executor_epoch ||
+        !accept_shard_epoch(node, owner, message->shard, message->shard_epoch))
         return;
-    for (int64_t i = 0; i < m->n_tasks; i++) {
-        const struct task_ref *ref = &m->tasks[i];
-        struct account *row = account_find(executor_owner, ref->job, ref->no, ref->attempt);
-        if (!row || row->state == ALLOCATION_ENDED)
-            continue; /* a check tells what became of it */
-        if (row->state == ALLOCATION_RESERVED) {
-            account_end(node, executor_owner, row, OUT_UNSTARTED, "stopped before its start");
-        } else if (!row->stop_asked) {
-            row->stop_asked = 1;
-            executor_owner->dirty = 1;
+    for (int64_t i = 0; i < message->n_tasks; i++) {
+        const struct task_ref *ref = &message->tasks[i];
+        struct account *allocation = allocation_find(owner, ref->job, ref->no, ref->attempt);
+        if (!allocation || allocation->state == ALLOCATION_ENDED)
+            continue; /* its state is sent in response to a check */
+        if (allocation->state == ALLOCATION_RESERVED) {
+            allocation_end(node, owner, allocation, OUTCOME_NOT_STARTED, "stopped before its start");
+        } else if (!allocation->stop_requested) {
+            allocation->stop_requested = 1;
+            owner->dirty = 1;
         }
     }
 }
 
-/* The whole gang is held: this part of it may begin. */
-void executor_owner_on_go(struct node *node, const struct check_request *m)
+/* All members of a gang are held: those on this executor may run. */
+void executor_owner_on_go(struct node *node, const struct check_request *message)
 {
-    struct executor_owner *executor_owner = executor_owner_find(node, m->executor);
-    if (!executor_owner || executor_owner->epoch != m->executor_epoch ||
-        !epoch_ok(node, executor_owner, m->shard, m->shard_epoch) || !admission_open(node))
+    struct executor_owner *owner = executor_owner_find(node, message->executor);
+    if (!owner || owner->epoch != message->executor_epoch ||
+        !accept_shard_epoch(node, owner, message->shard, message->shard_epoch) || !admission_open(node))
         return;
-    for (int64_t i = 0; i < m->n_tasks; i++) {
-        struct account *row = account_find(executor_owner, m->tasks[i].job, m->tasks[i].no, m->tasks[i].attempt);
-        if (!row || row->state != ALLOCATION_HELD || row->go_asked || row->stop_asked)
+    for (int64_t i = 0; i < message->n_tasks; i++) {
+        struct account *allocation =
+            allocation_find(owner, message->tasks[i].job, message->tasks[i].no, message->tasks[i].attempt);
+        if (!allocation || allocation->state != ALLOCATION_HELD || allocation->go_requested ||
+            allocation->stop_requested)
             continue;
-        row->go_asked = 1;
-        executor_owner->dirty = 1;
+        allocation->go_requested = 1;
+        owner->dirty = 1;
     }
 }
 
-void executor_owner_on_check(struct node *node, int64_t from, const struct check_request *m)
+void executor_owner_on_check(struct node *node, int64_t from, const struct check_request *message)
 {
-    struct executor_owner *executor_owner = executor_owner_find(node, m->executor);
-    if (!executor_owner || !epoch_ok(node, executor_owner, m->shard, m->shard_epoch) || !admission_open(node))
+    struct executor_owner *owner = executor_owner_find(node, message->executor);
+    if (!owner || !accept_shard_epoch(node, owner, message->shard, message->shard_epoch) || !admission_open(node))
         return;
     struct check_reply reply = {
-        .executor = m->executor, .executor_epoch = executor_owner->epoch, .incarnation = executor_owner->incarnation};
-    for (int64_t i = 0; i < m->n_tasks; i++) {
-        const struct task_ref *ref = &m->tasks[i];
-        struct account *row = account_find(executor_owner, ref->job, ref->no, ref->attempt);
-        struct check_result t = {.job = ref->job, .no = ref->no, .attempt = ref->attempt, .state = CHECK_UNKNOWN};
-        if (row)
-            t.state = account_check_state(row);
-        else if (!executor_owner->opened && executor_owner->gone)
-            t.state = CHECK_GONE;
-        else if (!executor_owner->opened)
-            continue; /* nothing can be said before the executor answered us */
-        *array_add(reply.tasks, reply.n_tasks) = t;
+        .executor = message->executor, .executor_epoch = owner->epoch, .incarnation = owner->incarnation};
+    for (int64_t i = 0; i < message->n_tasks; i++) {
+        const struct task_ref *ref = &message->tasks[i];
+        struct account *allocation = allocation_find(owner, ref->job, ref->no, ref->attempt);
+        struct check_result result = {.job = ref->job, .no = ref->no, .attempt = ref->attempt, .state = CHECK_UNKNOWN};
+        if (allocation)
+            result.state = allocation_check_state(allocation);
+        else if (!owner->opened && owner->leases_expired)
+            result.state = CHECK_LOST;
+        else if (!owner->opened)
+            continue; /* unknown until the executor has answered this owner */
+        *array_add(reply.tasks, reply.n_tasks) = result;
     }
     if (reply.n_tasks)
         node_send(node, from, FRAME_CHECKED, &check_reply_schema, &reply);
     free(reply.tasks);
 }
 
-void executor_owner_on_ended_ack(struct node *node, const struct ended *m)
+void executor_owner_on_ended_ack(struct node *node, const struct ended *message)
 {
-    struct executor_owner *executor_owner = executor_owner_find(node, m->executor);
-    struct account *row = executor_owner ? account_find(executor_owner, m->job, m->no, m->attempt) : NULL;
-    if (!row || row->state != ALLOCATION_ENDED)
+    struct executor_owner *owner = executor_owner_find(node, message->executor);
+    struct account *allocation = owner ? allocation_find(owner, message->job, message->no, message->attempt) : NULL;
+    if (!allocation || allocation->state != ALLOCATION_ENDED)
         return;
-    *array_add(executor_owner->acks, executor_owner->n_acks) =
-        (struct exec_task_order){.job = m->job, .no = m->no, .attempt = m->attempt};
-    account_remove(executor_owner, row);
-    executor_owner->dirty = 1;
+    *array_add(owner->acks, owner->n_acks) =
+        (struct exec_task_order){.job = message->job, .no = message->no, .attempt = message->attempt};
+    allocation_remove(owner, allocation);
+    owner->dirty = 1;
     (void)node;
 }
