--- a/src/rules/rules.h
+++ b/src/rules/rules.h
@@ -83,7 +83,7 @@
 /* Whether the outlet set this rule but another value is in force. */
 int rule_clamped(const struct rules *rules, const struct outlet *outlet, int rule);
 /* Makes the rules of a job that is accepted now; owned by the caller. outlet: index into rules->outlets. */
-struct job_rules *rules_stamp(const struct rules *rules, int64_t outlet);
+struct job_rules *job_rules_new(const struct rules *rules, int64_t outlet);
 /* When the opening hours last began, at or before wall_ms, and when they begin next; 0: no hours are set. Times are
  * time of day. */
 int64_t rules_opened_ms(const struct rule_values *values, int64_t wall_ms);
--- a/tests/sim/season_planted_test.cc
+++ b/tests/sim/season_oracle_test.cc
@@ -1,5 +1,5 @@
 // Tests of the season's oracle: it must detect violations that are inserted into a valid history.
-#include "season_office.h"
+#include "season_driver.h"
 
 using namespace season;
 
--- a/tests/sim/season_test.cc
+++ b/tests/sim/season_test.cc
@@ -1,6 +1,6 @@
 // A simulated season with forty outlets, whose rules change while leaders change, nodes restart and executors crash,
 // checked by an oracle.
-#include "season_office.h"
+#include "season_driver.h"
 
 using namespace season;
 
