--- a/sim/oracle.h
+++ b/sim/oracle.h
@@ -1,37 +1,50 @@
-/* Inside the oracle: its own plain account of what executors really did and of
- * what was promised. Shared by the files oracle*.c only. */
+/* Internals of the oracle: its own record of what the executors did and of what
+ * callers and operators were promised. For oracle*.c, close.c and service.c. */
 #ifndef SAGEHITCH_SIM_ORACLE_H
 #define SAGEHITCH_SIM_ORACLE_H
 #include "sim/sim.h"
 
-enum { LEAVE_MS = 2000, CANCEL_START_MS = 3000, CANCEL_STOP_MS = 1200, EARLY_MS = 100, SETTINGS_MS = 2000 };
-enum { GANG_MS = 2000, KNOWN_MS = 3000, SERVICE_MS = 12000, ROOM_TOLD_MS = 1500, LAPSE_MS = 1500, OTHERS_KEPT = 8 };
+/* How long after an event the state that a rule demands may take. */
+enum { LEAVE_START_MS = 2000, CANCEL_START_MS = 3000, CANCEL_STOP_MS = 1200, EARLY_MS = 100, SETTINGS_MS = 2000 };
+enum {
+    GANG_MS = 2000,
+    JOB_KNOWN_MS = 3000,
+    SERVICE_RESTORE_MS = 12000,
+    ROOM_REPORT_MS = 1500,
+    LEASE_EXPIRY_MARGIN_MS = 1500,
+    OTHER_CORES_CHANGES = 8
+};
 
+/* A task as the executors ran it. failed: number of failed attempts. */
 struct seen_task {
     int64_t job, no, running, done, failed, starts, cores, mem_mb, start_ms;
-    struct machine *where;
+    struct machine *executor; /* of the last start */
 };
-struct promised {
+/* A settings version that a keeper accepted from an operator. */
+struct accepted_settings {
     int64_t version, at_ms;
-    uint64_t told[SIM_MACHINES / 64]; /* machines said to lag behind it: each once */
+    uint64_t reported[SIM_MACHINES / 64]; /* bit set of the machines whose older version was reported as a violation */
 };
-struct cancelled {
-    int64_t job, at_ms, settled;
+/* checks_made: 1 after the check at CANCEL_STOP_MS; 2 after the check at the end of the leases, which excuses only
+ * executors that are frozen. */
+struct cancelled_job {
+    int64_t job, at_ms, checks_made;
 };
-struct seen_gang {
-    int64_t job, step, first_ms, settled;
+/* A gang of which a task started; first_ms: its first start. checks_made: as in cancelled_job, from GANG_MS. */
+struct started_gang {
+    int64_t job, step, first_ms, checks_made;
 };
-/* A job some node answered 201 or 200 for: never forgotten from then on. */
-struct accepted {
-    int64_t job, at_ms, rounds;
+/* A job that a node answered with 201 or 200: it must stay known. query_rounds: how often the nodes were queried. */
+struct accepted_job {
+    int64_t job, at_ms, query_rounds;
 };
-/* One question about it, put to a node. */
-struct asked {
-    int64_t job, accepted_ms, again;
+/* A request for the state of an accepted job, sent to one node. */
+struct job_query {
+    int64_t job, accepted_ms, is_repeat;
     struct machine *node;
 };
-/* Room taken by work that is not ours, up to a moment. */
-struct other_room {
+/* Cores of an executor that work outside the cluster took until at_ms. */
+struct other_cores_change {
     int64_t cores, at_ms;
 };
 
@@ -39,45 +52,45 @@
     struct sim *sim;
     struct seen_task *tasks;
     int64_t n_tasks;
-    Pvoid_t index; /* JudyL: job and number -> place + 1 */
-    struct promised *promised;
-    int64_t n_promised;
-    struct cancelled *cancelled;
-    int64_t n_cancelled;
-    struct seen_gang *gangs;
+    Pvoid_t task_index; /* JudyL: job and task number -> index in tasks + 1 */
+    struct accepted_settings *accepted_settings;
+    int64_t n_accepted_settings;
+    struct cancelled_job *cancelled_jobs;
+    int64_t n_cancelled_jobs;
+    struct started_gang *gangs;
     int64_t n_gangs;
-    struct accepted *accepted;
-    int64_t n_accepted;
-    struct asked *asked;
-    int64_t n_asked;
-    Pvoid_t accepted_index; /* JudyL: job -> place + 1 */
-    int64_t versions[SIM_MACHINES], generations[SIM_MACHINES], leaving_ms[SIM_MACHINES];
-    struct other_room others[SIM_MACHINES][OTHERS_KEPT];
-    /* when the home of an executor, the owner of a shard was last unable to act */
-    int64_t frozen_ms[SIM_MACHINES], home_bad_ms[SIM_MACHINES], owner_bad_ms[SHARD_COUNT];
-    Pvoid_t contents;             /* JudyL: settings version -> hash of what it says */
-    Pvoid_t entries[GROUP_COUNT]; /* JudyL: index -> hash of what was applied there */
-    int64_t applied[SIM_MACHINES][GROUP_COUNT];
-    /* calm: when anything between our own processes last changed for the worse or better */
-    uint64_t faults;
-    int64_t disturbed_ms;
-    int64_t judged, excused[EXCUSE_COUNT];
-    int64_t breaches, starts, step_due_ms;
+    struct accepted_job *accepted_jobs;
+    int64_t n_accepted_jobs;
+    struct job_query *job_queries;
+    int64_t n_job_queries;
+    Pvoid_t accepted_index; /* JudyL: job -> index in accepted_jobs + 1 */
+    int64_t settings_versions[SIM_MACHINES], settings_generations[SIM_MACHINES], leaving_ms[SIM_MACHINES];
+    struct other_cores_change other_cores_changes[SIM_MACHINES][OTHER_CORES_CHANGES];
+    /* last time at which an executor was frozen, its owner could not act, the owner of a shard could not act */
+    int64_t executor_frozen_ms[SIM_MACHINES], owner_unavailable_ms[SIM_MACHINES], shard_unavailable_ms[SHARD_COUNT];
+    Pvoid_t settings_hashes;                          /* JudyL: version -> hash of the settings' content */
+    Pvoid_t entry_hashes[GROUP_COUNT];                /* JudyL: log index -> hash of the entry applied there */
+    int64_t checked_index[SIM_MACHINES][GROUP_COUNT]; /* last log index compared by entry_hashes */
+    /* faults of keepers and nodes: their hash, and when one last began or ended or no majority was connected */
+    uint64_t fault_hash;
+    int64_t last_fault_ms;
+    int64_t n_checks, excuse_counts[EXCUSE_COUNT];
+    int64_t n_violations, starts, next_step_ms;
     struct bytes report;
 };
 
-void oracle_breach(struct oracle *o, const char *format, ...) __attribute__((format(printf, 2, 3)));
-struct seen_task *oracle_task(struct oracle *o, int64_t job, int64_t no);
-int oracle_settings(struct oracle *o, const struct job *job, struct settings *settings);
-int oracle_excuse(struct oracle *o, enum oracle_excuse which); /* counts it; always 1 */
+void oracle_violation(struct oracle *oracle, const char *format, ...) __attribute__((format(printf, 2, 3)));
+struct seen_task *oracle_task(struct oracle *oracle, int64_t job, int64_t no);
+int oracle_settings(struct oracle *oracle, const struct job *job, struct settings *settings);
+int oracle_excuse(struct oracle *oracle, enum oracle_excuse which); /* counts the excuse; returns 1 */
 
 /* oracle_promises.c */
-void oracle_watch_settings(struct oracle *o, struct machine *m, int64_t now_ms);
-void oracle_watch_log(struct oracle *o, struct machine *m, int64_t group);
-void oracle_watch_gangs(struct oracle *o, int64_t now_ms);
-void oracle_watch_cancels(struct oracle *o, int64_t now_ms);
+void oracle_watch_settings(struct oracle *oracle, struct machine *machine, int64_t now_ms);
+void oracle_watch_log(struct oracle *oracle, struct machine *machine, int64_t group);
+void oracle_watch_gangs(struct oracle *oracle, int64_t now_ms);
+void oracle_watch_cancels(struct oracle *oracle, int64_t now_ms);
 
 /* oracle_known.c */
-void oracle_watch_known(struct oracle *o, int64_t now_ms);
-void oracle_watch_calm(struct oracle *o, int64_t now_ms);
+void oracle_query_jobs(struct oracle *oracle, int64_t now_ms);
+void oracle_watch_faults(struct oracle *oracle, int64_t now_ms);
 #endif
--- a/sim/sim.c
+++ b/sim/sim.c
@@ -24,127 +24,127 @@
 {
     static const char *const names[] = {"keeper", "node", "executor", "caller"};
     static struct world_calls calls;
-    struct machine *m = must_alloc(sizeof *m);
+    struct machine *machine = must_alloc(sizeof *machine);
     sim_calls_net(&calls);
     sim_calls_disk(&calls);
-    m->sim = sim;
-    m->kind = kind;
-    m->index = sim->n;
-    m->cores = cores;
-    m->base.calls = &calls;
-    m->base.self = ((uint64_t)10 << 40 | (uint64_t)kind << 32 | (uint64_t)no << 16) | 7000;
-    m->base.http_addr = m->base.self + 1000;
-    m->disk.sync_us = 500;
-    snprintf(m->name, sizeof m->name, "%.8s%d", names[kind], no);
-    snprintf(m->zone, sizeof m->zone, "z%d", (no - 1) % 3 + 1);
-    snprintf(m->rack, sizeof m->rack, "r%d", ((no - 1) / 3 + 1) % 100);
-    sim->machines[sim->n++] = m;
-    return m;
+    machine->sim = sim;
+    machine->kind = kind;
+    machine->index = sim->n;
+    machine->cores = cores;
+    machine->base.calls = &calls;
+    machine->base.self = ((uint64_t)10 << 40 | (uint64_t)kind << 32 | (uint64_t)no << 16) | 7000;
+    machine->base.http_addr = machine->base.self + 1000;
+    machine->disk.sync_us = 500;
+    snprintf(machine->name, sizeof machine->name, "%.8s%d", names[kind], no);
+    snprintf(machine->zone, sizeof machine->zone, "z%d", (no - 1) % 3 + 1);
+    snprintf(machine->rack, sizeof machine->rack, "r%d", ((no - 1) / 3 + 1) % 100);
+    sim->machines[sim->n++] = machine;
+    return machine;
 }
 
-static void boot_executor(struct machine *m)
+static void boot_executor(struct machine *machine)
 {
-    struct sim *sim = m->sim;
+    struct sim *sim = machine->sim;
     const char *served[3];
     int64_t n = 0;
     for (int i = 0; i < 3; i++)
-        if (!m->serves || (m->serves >> i & 1))
+        if (!machine->serves || (machine->serves >> i & 1))
             served[n++] = services[deployment_no(sim)][i];
-    struct exec_setup setup = {.name = m->name,
+    struct exec_setup setup = {.name = machine->name,
                                .cluster = sim->cluster,
                                .kind = "std",
-                               .rack = m->rack,
+                               .rack = machine->rack,
                                .services = served,
                                .n_services = n,
-                               .cores = m->cores,
-                               .mem_mb = m->cores * 4096,
-                               .seeds = sim->doors,
+                               .cores = machine->cores,
+                               .mem_mb = machine->cores * 4096,
+                               .seeds = sim->node_seeds,
                                .n_seeds = 3,
-                               .incarnation = m->generation};
-    executor_start(&m->core.executor, &m->base, &setup);
-    /* it trusts every order, so the oracle sees what the nodes do, not what it would refuse */
-    m->core.executor.accepts_all = 1;
-    m->core.executor.journal = oracle_executor;
-    m->core.executor.journal_arg = m;
+                               .incarnation = machine->generation};
+    executor_start(&machine->core.executor, &machine->base, &setup);
+    /* it refuses no order, so that the oracle also sees faulty orders of the nodes */
+    machine->core.executor.accepts_all = 1;
+    machine->core.executor.journal = oracle_executor_event;
+    machine->core.executor.journal_arg = machine;
 }
 
-void sim_boot(struct machine *m)
+void sim_boot(struct machine *machine)
 {
-    struct sim *sim = m->sim;
-    m->generation++;
-    m->born_us = sim->now_us;
-    m->up = 1;
-    m->frozen = 0;
-    m->busy_until_us = m->stall_us = m->flush_due = 0;
-    memset(&m->core, 0, sizeof m->core);
+    struct sim *sim = machine->sim;
+    machine->generation++;
+    machine->born_us = sim->now_us;
+    machine->up = 1;
+    machine->frozen = 0;
+    machine->busy_until_us = machine->stall_us = machine->flush_scheduled = 0;
+    memset(&machine->core, 0, sizeof machine->core);
     const struct peer_setup setup = {.cluster = sim->cluster,
-                                     .zone = m->zone,
+                                     .zone = machine->zone,
                                      .seeds = sim->seeds,
                                      .n_seeds = 3,
-                                     .boot = m->base.calls->wall_ms(&m->base)};
-    if (m->kind == M_KEEPER)
-        m->refuse_start = keeper_start(&m->core.keeper, &m->base, &setup) != 0;
-    else if (m->kind == M_NODE)
-        node_start(&m->core.node, &m->base, &setup);
-    else if (m->kind == M_EXECUTOR)
-        boot_executor(m);
-    if (m->refuse_start) {
-        keeper_end(&m->core.keeper);
-        m->up = 0;
+                                     .boot = machine->base.calls->wall_ms(&machine->base)};
+    if (machine->kind == M_KEEPER)
+        machine->refuse_start = keeper_start(&machine->core.keeper, &machine->base, &setup) != 0;
+    else if (machine->kind == M_NODE)
+        node_start(&machine->core.node, &machine->base, &setup);
+    else if (machine->kind == M_EXECUTOR)
+        boot_executor(machine);
+    if (machine->refuse_start) {
+        keeper_end(&machine->core.keeper);
+        machine->up = 0;
         return;
     }
     struct sim_event *on_timer = must_alloc(sizeof *on_timer);
     on_timer->kind = EVT_ON_TIMER;
-    on_timer->to = m;
-    on_timer->generation = m->generation;
+    on_timer->to = machine;
+    on_timer->generation = machine->generation;
     sim_push(sim, on_timer, sim->now_us + sim_pick(sim, SIM_ON_TIMER_US));
 }
 
-static void core_end(struct machine *m)
+static void end_core(struct machine *machine)
 {
-    if (m->kind == M_KEEPER)
-        keeper_end(&m->core.keeper);
-    else if (m->kind == M_NODE)
-        node_end(&m->core.node);
-    else if (m->kind == M_EXECUTOR)
-        executor_end(&m->core.executor);
+    if (machine->kind == M_KEEPER)
+        keeper_end(&machine->core.keeper);
+    else if (machine->kind == M_NODE)
+        node_end(&machine->core.node);
+    else if (machine->kind == M_EXECUTOR)
+        executor_end(&machine->core.executor);
     else
-        caller_end(&m->core.caller);
+        caller_end(&machine->core.caller);
 }
 
-void sim_kill(struct machine *m, int power)
+void sim_kill(struct machine *machine, int power)
 {
-    if (!m->up)
+    if (!machine->up)
         return;
-    m->up = 0;
-    m->generation++;
-    core_end(m);
-    if (m->kind == M_EXECUTOR)
-        oracle_executor_died(m->sim->oracle, m);
+    machine->up = 0;
+    machine->generation++;
+    end_core(machine);
+    if (machine->kind == M_EXECUTOR)
+        oracle_executor_died(machine->sim->oracle, machine);
     if (power)
-        sim_disk_power_loss(m);
+        sim_disk_power_loss(machine);
 }
 
-void sim_restart(struct machine *m)
+void sim_restart(struct machine *machine)
 {
-    if (m->up)
-        sim_kill(m, 0);
-    m->refuse_start = 0;
-    sim_boot(m);
+    if (machine->up)
+        sim_kill(machine, 0);
+    machine->refuse_start = 0;
+    sim_boot(machine);
 }
 
-void sim_wipe(struct machine *m) { sim_disk_clear(&m->disk); }
+void sim_wipe(struct machine *machine) { sim_disk_clear(&machine->disk); }
 
-static void thaw(struct sim *sim, void *arg, int64_t n)
+static void unfreeze(struct sim *sim, void *arg, int64_t n)
 {
     (void)sim, (void)n;
     ((struct machine *)arg)->frozen = 0;
 }
 
-void sim_freeze(struct machine *m, int64_t for_ms)
+void sim_freeze(struct machine *machine, int64_t for_ms)
 {
-    m->frozen = 1;
-    sim_at(m->sim, for_ms, thaw, m);
+    machine->frozen = 1;
+    sim_at(machine->sim, for_ms, unfreeze, machine);
 }
 
 void sim_at(struct sim *sim, int64_t in_ms, sim_action *action, void *arg)
@@ -163,11 +163,11 @@
         sim->cut[b->index][a->index] = 1;
 }
 
-void sim_cut_off(struct sim *sim, struct machine *m)
+void sim_cut_off(struct sim *sim, struct machine *machine)
 {
     for (int64_t i = 0; i < sim->n; i++)
-        if (sim->machines[i] != m)
-            sim_cut(sim, m, sim->machines[i], 0);
+        if (sim->machines[i] != machine)
+            sim_cut(sim, machine, sim->machines[i], 0);
 }
 
 void sim_heal(struct sim *sim) { memset(sim->cut, 0, sizeof sim->cut); }
@@ -185,14 +185,14 @@
     sim->executors = setup->executors;
     sim->trace = getenv("SAGEHITCH_TRACE") ? (int)text_to_int64(getenv("SAGEHITCH_TRACE")) : 0;
     for (int i = 0; i < setup->keepers; i++) {
-        struct machine *m = sim_add(sim, M_KEEPER, i + 1, 0);
+        struct machine *machine = sim_add(sim, M_KEEPER, i + 1, 0);
         if (i < 3)
-            sim->seeds[i] = (int64_t)m->base.self;
+            sim->seeds[i] = (int64_t)machine->base.self;
     }
     for (int i = 0; i < setup->nodes; i++) {
-        struct machine *m = sim_add(sim, M_NODE, i + 1, 0);
+        struct machine *machine = sim_add(sim, M_NODE, i + 1, 0);
         if (i < 3)
-            sim->doors[i] = (int64_t)m->base.http_addr;
+            sim->node_seeds[i] = (int64_t)machine->base.http_addr;
     }
     for (int i = 0; i < setup->executors; i++)
         sim_add(sim, M_EXECUTOR, i + 1, setup->cores);
@@ -205,7 +205,7 @@
     int64_t until_us = sim->now_us + ms * 1000;
     struct sim_event *event;
     while ((event = (struct sim_event *)event_queue_pop(&sim->queue, until_us))) {
-        sim->now_us = event->due.at_us;
+        sim->now_us = event->timed.at_us;
         sim_deliver(sim, event);
         oracle_step(sim->oracle);
     }
@@ -220,7 +220,7 @@
     free(sim->calls);
     for (int64_t i = 0; i < sim->n; i++) {
         if (sim->machines[i]->up)
-            core_end(sim->machines[i]);
+            end_core(sim->machines[i]);
         sim_disk_clear(&sim->machines[i]->disk);
         free(sim->machines[i]);
     }
--- a/tests/sim/disks.h
+++ b/tests/sim/disks.h
@@ -1,4 +1,4 @@
-// A small fleet with spare keepers, and what its logs must hold.
+// A small fleet with spare keepers, and checks of its voters and jobs.
 #pragma once
 #include "fleet.h"
 
@@ -23,8 +23,8 @@
         machine *leader = sim_leader(&s, group);
         return leader && m->up && log_is_voter(&leader->core.keeper.logs[group], m->core.keeper.id);
     }
-    // Whether it votes by a change that is committed: until then the vote is not passed on, and a second loss beside
-    // the one being repaired is more than three voters bear, since the first disk may come back
+    // Whether it votes by a committed membership change. Until the change is committed the vote has not moved, and
+    // three voters don't tolerate a second loss beside the one under repair, since the first disk may come back
     // (DiskThatWasTakenForGoneIsBack).
     bool voted(machine *m, int64_t group)
     {
--- a/tests/sim/executors.h
+++ b/tests/sim/executors.h
@@ -1,4 +1,4 @@
-// Executors of a fleet, and settings and work for them.
+// A fleet with helpers to pick executors, change settings and send jobs.
 #pragma once
 #include "fleet.h"
 
--- a/tests/sim/fleet.h
+++ b/tests/sim/fleet.h
@@ -1,5 +1,5 @@
-// A fleet under the simulator, for scenarios: every one runs over a list of
-// seeds, SAGEHITCH_SEEDS=N or FIRST-LAST for a longer sweep.
+// A simulated fleet for scenarios. Each scenario runs with a list of seeds;
+// SAGEHITCH_SEEDS=N or FIRST-LAST selects more.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -18,7 +18,7 @@
 #include "sim/sim.h"
 }
 
-// How much was judged and how often a rule was excused, over a whole process.
+// Number of checks and of excuses by kind, summed over all scenarios of the process.
 struct Excuses {
     int64_t judged = 0, counts[EXCUSE_COUNT] = {};
     static Excuses &all()
@@ -30,11 +30,11 @@
     {
         int64_t used = 0;
         for (int i = 0; i < EXCUSE_COUNT; i++) {
-            counts[i] += oracle_excused(o, (enum oracle_excuse)i);
-            used += oracle_excused(o, (enum oracle_excuse)i);
+            counts[i] += oracle_excuse_count(o, (enum oracle_excuse)i);
+            used += oracle_excuse_count(o, (enum oracle_excuse)i);
         }
-        judged += oracle_judged(o);
-        EXPECT_LE(used * 4, oracle_judged(o) + 40) << "this run lives on excuses";
+        judged += oracle_n_checks(o);
+        EXPECT_LE(used * 4, oracle_n_checks(o) + 40) << "this run lives on excuses";
     }
     ~Excuses()
     {
@@ -45,7 +45,7 @@
     }
 };
 
-// How long until service was whole again, by what had struck; printed at the end.
+// Times until service was restored, by kind of fault; printed at the end of the process.
 struct Returns {
     std::map<std::string, std::vector<int64_t>> took;
     static Returns &all()
@@ -64,7 +64,7 @@
 };
 
 // Invariant: the oracle's report is empty at the end of every scenario that
-// did not plant a breach.
+// plants no violation.
 struct Fleet {
     sim s = {};
     explicit Fleet(uint64_t seed, int nodes = 15, int executors = 11, int cores = 16,
@@ -73,17 +73,17 @@
         struct sim_setup setup = {keepers, nodes, executors, cores, deployment};
         sim_start(&s, seed, &setup);
     }
-    // The end of the day, whatever the scenario did; then the excuses it used.
+    // Checks the final state after every scenario and counts its excuses.
     ~Fleet()
     {
         if (!planted) {
-            sim_close(&s);
+            sim_check_final_state(&s);
             EXPECT_EQ(breaches(), "") << "at the end of the day";
         }
         Excuses::all().add(s.oracle);
         sim_end(&s);
     }
-    bool planted = false; // broken on purpose: no judging at the end
+    bool planted = false; // violates rules on purpose: the final state is not checked
     Fleet(const Fleet &) = delete;
 
     void run(int64_t ms) { sim_run(&s, ms); }
@@ -101,7 +101,7 @@
         free(text);
         return answer;
     }
-    // Asks any node until it is taken or limit_ms have passed.
+    // Sends the request to random nodes until one answers other than 429 or 503, or limit_ms have passed.
     Answer persist(const char *method, const std::string &path, const std::string &body, int64_t limit_ms = 20000)
     {
         int64_t until = sim_ms(&s) + limit_ms;
@@ -130,7 +130,7 @@
         json_decref(j);
         return out;
     }
-    // Until a job sent to any node is accepted; the virtual time it took.
+    // Runs until a new job is accepted; returns the virtual time it took.
     int64_t until_served(const char *tag)
     {
         static int no;
@@ -139,15 +139,15 @@
         persist("POST", "/v1/jobs", lookup(key), 60000);
         return sim_ms(&s) - from;
     }
-    // Service whole again: see sim_service_back. Past 12 s the oracle says so.
+    // Runs until service is restored: see sim_wait_for_service. More than 12 s is a violation.
     int64_t service_back(const char *what, int64_t limit_ms = 20000)
     {
-        int64_t took = sim_service_back(&s, what, limit_ms);
+        int64_t took = sim_wait_for_service(&s, what, limit_ms);
         Returns::all().took[what].push_back(took);
         return took;
     }
     std::string service() { return std::string(s.cluster) == "dackhuset" ? "lookup" : "orders"; }
-    // "tasks" of a step, all alike; a job of one step, named a; more: further fields of the job.
+    // tasks: the "tasks" of a step with n equal tasks. one_step: a job with one step, named a; more: further fields.
     static std::string tasks(int n, const std::string &payload, int cores = 1)
     {
         std::string list;
@@ -166,7 +166,7 @@
     {
         return one_step(key, service(), "counter", tasks(1, payload), more);
     }
-    // Sends a job to any node; what it answers is the oracle's affair.
+    // Sends a job to a random node and ignores the answer; the oracle records it.
     void post(const std::string &body)
     {
         if (machine *m = any())
@@ -175,7 +175,7 @@
     }
     std::string job_state(const std::string &id) { return text(persist("GET", "/v1/jobs/" + id, ""), "state"); }
     bool ended(const std::string &state) { return state == "done" || state == "failed" || state == "cancelled"; }
-    // Runs until the whole load has ended, or limit_ms; how many have not.
+    // Runs until all jobs of the load have ended or limit_ms have passed; returns how many have not ended.
     int64_t settle(caller *load, int64_t limit_ms = 60000)
     {
         int64_t until = sim_ms(&s) + limit_ms;
--- a/tests/sim/oracle_test.cc
+++ b/tests/sim/oracle_test.cc
@@ -1,4 +1,4 @@
-// Each rule the oracle watches, broken on purpose: it must say so.
+// Violates each rule of the oracle on purpose: the oracle must report it.
 #include "fleet.h"
 
 namespace
@@ -10,7 +10,7 @@
         planted = true;
         run(6000);
     }
-    // A job that waits an hour by itself, so everything seen of it is planted.
+    // A job that starts in an hour, so that all its events until then are planted.
     int64_t job(const std::string &steps, const std::string &more = "")
     {
         std::string at = std::to_string(sim_wall_ms(&s) + 3600000);
@@ -33,15 +33,15 @@
     {
         exec_record r = {};
         r.event = event, r.job = job, r.no = no, r.attempt = attempt, r.cores = cores, r.outcome = outcome;
-        oracle_executor(at("executor" + std::to_string(executor)), &r);
+        oracle_executor_event(at("executor" + std::to_string(executor)), &r);
     }
-    bool says(const std::string &what) { return breaches().find(what) != std::string::npos; }
+    bool reports(const std::string &what) { return breaches().find(what) != std::string::npos; }
     int no = 0;
 };
 
 const char kPair[] = R"({"name":"a","tasks":[{"kind":"std"},{"kind":"std"}]})";
 const char kChain[] = R"({"name":"a","tasks":[{"kind":"std"}]},{"name":"b","after":["a"],"tasks":[{"kind":"std"}]})";
-const char kNow[] = "\"priority\":1,";
+const char kStartNow[] = "\"priority\":1,";
 
 TEST(Oracle, SaysWhenATaskRunsTwice)
 {
@@ -49,18 +49,18 @@
     int64_t job = f.job(kPair);
     f.start(1, job, 0);
     f.start(2, job, 0);
-    EXPECT_TRUE(f.says("while running on executor1"));
+    EXPECT_TRUE(f.reports("while running on executor1"));
     f.end(2, job, 0, "done");
     f.start(3, job, 0);
-    EXPECT_TRUE(f.says("again after it was done"));
+    EXPECT_TRUE(f.reports("again after it was done"));
 }
 
 TEST(Oracle, SaysWhenAStepOrATimeIsNotWaitedFor)
 {
     Planted f;
     f.start(1, f.job(kChain), 1);
-    EXPECT_TRUE(f.says("before a was done"));
-    EXPECT_TRUE(f.says("before its time"));
+    EXPECT_TRUE(f.reports("before a was done"));
+    EXPECT_TRUE(f.reports("before its time"));
 }
 
 TEST(Oracle, SaysWhenAnExecutorIsOverfilledOrWronglyChosen)
@@ -69,20 +69,20 @@
     int64_t job =
         f.job(R"({"name":"a","perExecutor":1,"perRack":1,"rack":"r1","tasks":[{"kind":"std"},{"kind":"std"}]})");
     f.start(4, job, 0, 1, 17);
-    EXPECT_TRUE(f.says("beyond its room"));
-    EXPECT_TRUE(f.says("off its rack"));
-    EXPECT_FALSE(f.says("wrong service or kind"));
-    EXPECT_FALSE(f.says("crowds"));
+    EXPECT_TRUE(f.reports("beyond its room"));
+    EXPECT_TRUE(f.reports("off its rack"));
+    EXPECT_FALSE(f.reports("wrong service or kind"));
+    EXPECT_FALSE(f.reports("crowds"));
     f.start(4, job, 1);
-    EXPECT_TRUE(f.says("crowds"));
+    EXPECT_TRUE(f.reports("crowds"));
     free(f.at("executor1")->core.executor.state.kind);
     f.at("executor1")->core.executor.state.kind = must_dup("odd");
     f.start(1, job, 1);
-    EXPECT_TRUE(f.says("wrong service or kind"));
+    EXPECT_TRUE(f.reports("wrong service or kind"));
     int64_t one = f.job(R"({"name":"a","rack":"one","tasks":[{"kind":"std"},{"kind":"std"}]})");
     f.start(1, one, 0);
     f.start(4, one, 1);
-    EXPECT_TRUE(f.says("on two racks"));
+    EXPECT_TRUE(f.reports("on two racks"));
 }
 
 TEST(Oracle, SaysWhenALeavingOrCancelledOneIsUsed)
@@ -93,15 +93,15 @@
     oracle_cancelled(f.s.oracle, job);
     f.run(3100);
     f.start(1, job, 0);
-    EXPECT_TRUE(f.says("after it said it leaves"));
-    EXPECT_TRUE(f.says("after its cancel"));
+    EXPECT_TRUE(f.reports("after it said it leaves"));
+    EXPECT_TRUE(f.reports("after its cancel"));
     f.run(1000);
-    EXPECT_FALSE(f.says("still runs after"));
+    EXPECT_FALSE(f.reports("still runs after"));
     int64_t other = f.job(kPair);
     f.start(2, other, 0);
     oracle_cancelled(f.s.oracle, other);
     f.run(2000);
-    EXPECT_TRUE(f.says("still runs"));
+    EXPECT_TRUE(f.reports("still runs"));
 }
 
 TEST(Oracle, SaysWhenFailuresAreNotCounted)
@@ -109,11 +109,11 @@
     Planted f;
     int64_t job = f.job(kPair);
     for (int i = 1; i <= 4; i++) {
-        EXPECT_FALSE(f.says("tried again"));
+        EXPECT_FALSE(f.reports("tried again"));
         f.start(1, job, 0, i);
         f.end(1, job, 0, "failed");
     }
-    EXPECT_TRUE(f.says("tried again after 3 failures"));
+    EXPECT_TRUE(f.reports("tried again after 3 failures"));
 }
 
 TEST(Oracle, SaysWhenAGangIsTorn)
@@ -122,7 +122,7 @@
     int64_t job = f.job(R"({"name":"a","gang":true,"tasks":[{"kind":"std"},{"kind":"std"}]})");
     f.start(1, job, 0);
     f.run(2500);
-    EXPECT_TRUE(f.says("gang of job"));
+    EXPECT_TRUE(f.reports("gang of job"));
 }
 
 TEST(Oracle, SaysWhenSettingsAreLateOrSlipBack)
@@ -133,27 +133,27 @@
     EXPECT_EQ(f.breaches(), "");
     f.at("node1")->core.node.config_tree.version = 0;
     f.run(100);
-    EXPECT_TRUE(f.says("slipped back"));
+    EXPECT_TRUE(f.reports("slipped back"));
     oracle_settings_accepted(f.s.oracle, 7);
     f.run(2500);
-    EXPECT_TRUE(f.says("still acts under settings"));
+    EXPECT_TRUE(f.reports("still acts under settings"));
 }
 
-// Forgotten by the keepers, unknown to one node, room beyond what was reported.
+// A job that the keepers lack, and one that a single node lacks.
 TEST(Oracle, SaysWhenAJobIsForgottenOrUnknown)
 {
     Planted f;
     int64_t job = f.job(kPair);
     f.run(3500);
     EXPECT_EQ(f.breaches(), "");
-    int64_t ghost = job + 100; // promised, yet no log has it
+    int64_t ghost = job + 100; // recorded as accepted, but in no log
     oracle_accepted(f.s.oracle, ghost);
     f.run(3500);
-    EXPECT_TRUE(f.says("was forgotten"));
+    EXPECT_TRUE(f.reports("was forgotten"));
     machine *owner = sim_owner(&f.s, job_shard(job));
     rows_end(&owner->core.node.shards[job_shard(job)].rows);
     f.run(7000);
-    EXPECT_TRUE(f.says("does not know job"));
+    EXPECT_TRUE(f.reports("does not know job"));
 }
 
 TEST(Oracle, SaysWhenReportedRoomIsExceeded)
@@ -163,11 +163,11 @@
     machine *e = f.at("executor1");
     sim_other(e, 14);
     f.start(1, job, 0, 1, 4);
-    EXPECT_EQ(f.breaches().find("it reported"), std::string::npos); // it may not have told yet
+    EXPECT_EQ(f.breaches().find("it reported"), std::string::npos); // the executor may not have reported it yet
     f.end(1, job, 0, "failed");
     f.run(2000);
     f.start(1, job, 0, 2, 4);
-    EXPECT_TRUE(f.says("beyond the free room it reported"));
+    EXPECT_TRUE(f.reports("beyond the free room it reported"));
 }
 
 TEST(Oracle, SaysWhenServiceStaysAway)
@@ -176,12 +176,12 @@
     for (int i = 1; i <= 3; i++)
         sim_kill(f.at("keeper" + std::to_string(i)), 0);
     EXPECT_GT(f.service_back("planted", 13000), 12000);
-    EXPECT_TRUE(f.says("service not back after"));
+    EXPECT_TRUE(f.reports("service not back after"));
 }
 
-// Just after everything started again: nobody takes work any more, and one home
-// keeps room for a task that its executor does not know.
-void spoil(sim *s, void *, int64_t)
+// After the restart: makes all executors leave, so that they take no work, and adds to each executor
+// owner an allocation that its executor does not have.
+void plant_final_violations(sim *s, void *, int64_t)
 {
     for (int64_t i = 0; i < s->n; i++) {
         machine *m = s->machines[i];
@@ -202,26 +202,26 @@
     oracle_settings_accepted(f.s.oracle, 3);
     oracle_accepted(f.s.oracle, (5LL << SHARD_BITS) | 77);
     f.persist("POST", "/v1/jobs", f.lookup("stuck", "\"startAtMs\":" + std::to_string(sim_wall_ms(&f.s) + 500) + ","));
-    sim_at(&f.s, 250, spoil, nullptr);  // before anything runs again
-    sim_at(&f.s, 6000, spoil, nullptr); // and once the homes are open
-    sim_close(&f.s);
-    EXPECT_TRUE(f.says("has settings 0 at the end of the day"));
-    EXPECT_TRUE(f.says("is forgotten at the end of the day"));
-    EXPECT_TRUE(f.says("is left standing at the end of the day"));
-    EXPECT_TRUE(f.says("accounts differ at the end of the day"));
+    sim_at(&f.s, 250, plant_final_violations, nullptr);  // before any job runs again
+    sim_at(&f.s, 6000, plant_final_violations, nullptr); // again, once the executor owners are open
+    sim_check_final_state(&f.s);
+    EXPECT_TRUE(f.reports("has settings 0 at the end of the day"));
+    EXPECT_TRUE(f.reports("is forgotten at the end of the day"));
+    EXPECT_TRUE(f.reports("is left standing at the end of the day"));
+    EXPECT_TRUE(f.reports("accounts differ at the end of the day"));
 }
 
 TEST(Oracle, SaysWhenKeepersDisagreeOrAJobIsShownDone)
 {
     Planted f;
-    int64_t job = f.job(kPair, kNow);
+    int64_t job = f.job(kPair, kStartNow);
     oracle_shown(f.s.oracle, job, "done");
-    EXPECT_TRUE(f.says("shown as done with"));
+    EXPECT_TRUE(f.reports("shown as done with"));
     log *l = &f.at("keeper2")->core.keeper.logs[0];
     l->entries[l->applied - l->first_index].term++;
-    oracle_forget(f.s.oracle, f.at("keeper2"));
+    oracle_reset_log_checks(f.s.oracle, f.at("keeper2"));
     f.run(100);
-    EXPECT_TRUE(f.says("applied another entry"));
+    EXPECT_TRUE(f.reports("applied another entry"));
 }
 
 } // namespace
--- a/tests/sim/pairs_test.cc
+++ b/tests/sim/pairs_test.cc
@@ -1,7 +1,7 @@
-// Two things at once: every failure with every other, in both deployments, and
-// each as a last fault in the final second of the day. SAGEHITCH_PAIRS=all runs
-// every pair, "DEPLOYMENT: ONE + OTHER" that one under the seeds as they are;
-// otherwise the seed chooses a part of them.
+// Two faults at once: every fault with every other, in both deployments, and each
+// fault in the last second of a run. SAGEHITCH_PAIRS=all runs every pair,
+// "DEPLOYMENT: ONE + OTHER" only that pair, with the given seeds unchanged;
+// otherwise the seed selects a part of the pairs.
 #include "strikes.h"
 
 namespace
@@ -9,22 +9,22 @@
 
 const char *const kDeployments[] = {"dackhuset", "dau-suoi-am"};
 
-void run_pair(uint64_t seed, const char *deployment, const Strike &a, const Strike &b)
+void run_pair(uint64_t seed, const char *deployment, const Fault &a, const Fault &b)
 {
     SCOPED_TRACE(std::string(deployment) + ": " + a.name + " + " + b.name + " seed " + std::to_string(seed));
-    Struck f(seed, deployment);
+    FaultFleet f(seed, deployment);
     caller *load = sim_load(&f.s, 510, 14);
     f.run(1500 + sim_pick(&f.s, 1500));
-    f.more(8);
+    f.send_mixed_jobs(8);
     f.run(sim_pick(&f.s, 800));
-    f.aim();
-    EXPECT_TRUE(a.hit(f));
+    f.choose_victim();
+    EXPECT_TRUE(a.inject(f));
     f.run(sim_pick(&f.s, 3) ? sim_pick(&f.s, 1200) : 0);
-    EXPECT_TRUE(b.hit(f));
-    f.more(4);
+    EXPECT_TRUE(b.inject(f));
+    f.send_mixed_jobs(4);
     f.service_back("two at once", 25000);
     f.run(sim_pick(&f.s, 5000));
-    f.mend();
+    f.end_faults();
     EXPECT_EQ(f.settle(load, 90000), 0);
     EXPECT_EQ(sim_load_state(&f.s, "done") + sim_load_state(&f.s, "failed") + sim_load_state(&f.s, "cancelled"),
               load->n_jobs);
@@ -36,12 +36,12 @@
     const char *wanted = getenv("SAGEHITCH_PAIRS");
     bool one = wanted && strstr(wanted, " + ");
     size_t n = 0, run = 0, part = wanted ? 1 : 60;
-    for (size_t a = 0; a < kStrikes.size(); a++)
-        for (size_t b = a; b < kStrikes.size(); b++)
+    for (size_t a = 0; a < kFaults.size(); a++)
+        for (size_t b = a; b < kFaults.size(); b++)
             for (const char *deployment : kDeployments)
                 for (uint64_t seed : seeds(1)) {
                     bool turned = !one && (seed + n) % 2;
-                    const Strike &first = kStrikes[turned ? b : a], &second = kStrikes[turned ? a : b];
+                    const Fault &first = kFaults[turned ? b : a], &second = kFaults[turned ? a : b];
                     std::string name = std::string(deployment) + ": " + first.name + " + " + second.name;
                     std::string other = std::string(deployment) + ": " + second.name + " + " + first.name;
                     n++;
@@ -58,19 +58,19 @@
 TEST(Pairs, ALastFaultInTheFinalSecond)
 {
     for (uint64_t seed : seeds(1))
-        for (size_t i = 0; i < kStrikes.size(); i++) {
+        for (size_t i = 0; i < kFaults.size(); i++) {
             const char *deployment = kDeployments[(seed + i) % 2];
-            SCOPED_TRACE(std::string(deployment) + ": last " + kStrikes[i].name + " seed " + std::to_string(seed));
-            Struck f(seed * 100 + i, deployment);
+            SCOPED_TRACE(std::string(deployment) + ": last " + kFaults[i].name + " seed " + std::to_string(seed));
+            FaultFleet f(seed * 100 + i, deployment);
             sim_load(&f.s, 510, 6);
             f.run(4000);
-            f.more(8);
+            f.send_mixed_jobs(8);
             f.run(1000 + sim_pick(&f.s, 900));
-            f.aim();
-            EXPECT_TRUE(kStrikes[i].hit(f));
+            f.choose_victim();
+            EXPECT_TRUE(kFaults[i].inject(f));
             f.run(100);
             EXPECT_EQ(f.breaches(), "");
-        } // and then the day ends: see ~Fleet
+        } // ~Fleet checks the final state
 }
 
 } // namespace
--- a/tests/sim/points_test.cc
+++ b/tests/sim/points_test.cc
@@ -1,5 +1,5 @@
-// Kills and freezes aimed at each point of reserve, commit, start, report and
-// acknowledge: of who speaks, just after it spoke, and of who should hear it.
+// Kills and freezes the sender or the receiver of each message of the reserve, commit,
+// start, report and acknowledge steps, just after the message was sent.
 #include "fleet.h"
 
 namespace
@@ -33,7 +33,7 @@
     return Fleet::one_step(key, "stock", "q", "\"gang\":true," + Fleet::tasks(3, "ms=1500", 2));
 }
 
-void strike(int64_t freeze_ms)
+void run_points(int64_t freeze_ms)
 {
     for (const Point &point : kPoints)
         for (int receiver = 0; receiver < 2; receiver++)
@@ -52,7 +52,8 @@
                 f.s.trap.armed = 1;
                 for (int i = 0; i < 6; i++) // gangs and longer work, so that every kind of frame is sent
                     f.post(gang("g" + std::to_string(i)));
-                for (int64_t i = 0; point.kind == FRAME_CONTROL_UPDATES_NOTICE && i < 4; i++) // only a change is news
+                // only a change sends a notice
+                for (int64_t i = 0; point.kind == FRAME_CONTROL_UPDATES_NOTICE && i < 4; i++)
                     f.request(f.any(), "PUT", "/v1/settings/branch?expect=" + std::to_string(i) + "&path=root/x",
                               "{\"weight\":" + std::to_string(5 + i) + "}");
                 f.run(6000);
@@ -68,8 +69,8 @@
             }
 }
 
-TEST(Points, Killed) { strike(0); }
-TEST(Points, FrozenBriefly) { strike(1000); }
-TEST(Points, FrozenUntilItsDutiesMoved) { strike(6000); }
+TEST(Points, Killed) { run_points(0); }
+TEST(Points, FrozenBriefly) { run_points(1000); }
+TEST(Points, FrozenUntilItsDutiesMoved) { run_points(6000); }
 
 } // namespace
--- a/tests/sim/seeds.h
+++ b/tests/sim/seeds.h
@@ -1,4 +1,4 @@
-// The seeds a scenario runs over: SAGEHITCH_SEEDS=N or FIRST-LAST, else 1 to fixed.
+// The seeds of a scenario: 1 to N or FIRST to LAST from SAGEHITCH_SEEDS=N or FIRST-LAST, else 1 to fixed.
 #pragma once
 #include <cstdint>
 #include <cstdlib>
--- a/tests/sim/strikes.h
+++ b/tests/sim/strikes.h
@@ -1,14 +1,14 @@
-// Every failure the brief names, as something that strikes a running fleet. Each
-// says whether it really struck: a run whose fault missed proves nothing.
+// Faults to inject into a running fleet. Each returns whether it took effect: a run
+// without the fault proves nothing.
 #pragma once
 #include "fleet.h"
 
-// Invariants: all that hits a keeper hits the same one, since losing one is what
-// must be survived; keeper 4 is the spare machine.
-struct Struck : Fleet {
-    machine *victim = nullptr, *gone = nullptr;
-    int tried = 0, won = 0, stale = 0;
-    Struck(uint64_t seed, const char *deployment)
+// Invariants: all faults of keepers hit the same keeper, since the fleet tolerates the
+// loss of one; keeper 4 is the spare machine.
+struct FaultFleet : Fleet {
+    machine *victim = nullptr, *replaced = nullptr;
+    int n_sent = 0, n_changed = 0, n_stale = 0;
+    FaultFleet(uint64_t seed, const char *deployment)
         : Fleet(seed, 15, 11, std::string(deployment) == "dackhuset" ? 16 : 64, deployment, 4)
     {
         sim_kill(keeper(4), 0);
@@ -16,8 +16,8 @@
         run(6000);
     }
     machine *keeper(int64_t i) { return at("keeper" + std::to_string(i)); }
-    // Whom it hits is chosen when it strikes: an owner, a home with work, a busy executor.
-    void aim()
+    // Chooses the keeper that faults hit. Nodes and executors are chosen when a fault is injected.
+    void choose_victim()
     {
         machine *leads = sim_leader(&s, sim_pick(&s, 2));
         victim = leads && sim_pick(&s, 3) ? leads : keeper(1 + sim_pick(&s, 3));
@@ -31,7 +31,7 @@
         }
         return nullptr;
     }
-    machine *busy()
+    machine *busy_executor()
     {
         for (int64_t tries = 0; tries < 4000; tries++) {
             machine *e = at("executor" + std::to_string(1 + sim_pick(&s, 11)));
@@ -42,12 +42,12 @@
         }
         return nullptr;
     }
-    // Work of every kind besides the mix: gangs, racks, due times, long tasks, steps.
-    void more(int64_t n)
+    // Jobs of kinds that the load lacks: gangs, with a rack, a start time, long tasks or steps.
+    void send_mixed_jobs(int64_t n)
     {
         std::string other = std::string(s.cluster) == "dackhuset" ? "stock" : "routes";
         for (int64_t i = 0; i < n; i++) {
-            std::string key = "w" + std::to_string(tried++);
+            std::string key = "w" + std::to_string(n_sent++);
             if (i % 4 == 0)
                 post(one_step(key, other, "q",
                               "\"gang\":true,\"rack\":\"one\"," + tasks(3, "ms=1500", 3) +
@@ -60,26 +60,26 @@
                 post(lookup(key, "", "ms=4000"));
         }
     }
-    static void raced(sim *, void *arg, int64_t, int status, const char *)
+    static void on_change_answer(sim *, void *arg, int64_t, int status, const char *)
     {
-        Struck *f = (Struck *)arg;
-        f->won += status == 200;
-        f->stale += status == 409;
+        FaultFleet *f = (FaultFleet *)arg;
+        f->n_changed += status == 200;
+        f->n_stale += status == 409;
     }
     int64_t version()
     {
         machine *leader = sim_leader(&s, GROUP_CONTROL);
         return leader ? leader->core.keeper.config_tree.version : 0;
     }
-    void change(const std::string &method, const std::string &path, const std::string &body)
+    void send_change(const std::string &method, const std::string &path, const std::string &body)
     {
         std::string full =
             path + (path.find('?') == std::string::npos ? "?" : "&") + "expect=" + std::to_string(version());
         if (machine *m = any())
-            sim_request(&s, {m, method.c_str(), full.c_str(), body.c_str(), raced, this, 0});
+            sim_request(&s, {m, method.c_str(), full.c_str(), body.c_str(), on_change_answer, this, 0});
     }
-    // What was broken is mended: machines back, links whole, executors well.
-    void mend()
+    // Ends all faults: heals links and disks, restarts machines, resets executors.
+    void end_faults()
     {
         sim_heal(&s);
         for (int64_t i = 0; i < s.n; i++) {
@@ -88,7 +88,7 @@
                 m->disk.sync_us = 500;
                 m->disk.stall_until_us = 0;
             }
-            bool spare = victim == keeper(4) ? m == gone : m == keeper(4); // a replaced one stays away
+            bool spare = victim == keeper(4) ? m == replaced : m == keeper(4); // a keeper that was replaced stays down
             if (!m->up && m->kind != M_CALLER && !spare)
                 sim_restart(m);
             if (m->kind == M_EXECUTOR && m->up) {
@@ -103,9 +103,9 @@
     }
 };
 
-struct Strike {
+struct Fault {
     const char *name;
-    bool (*hit)(Struck &f);
+    bool (*inject)(FaultFleet &f);
 };
 
-extern const std::vector<Strike> kStrikes;
+extern const std::vector<Fault> kFaults;
