--- a/sim/cluster.c
+++ b/sim/cluster.c
@@ -222,7 +222,7 @@
     struct host *host = arg;
     if (!host->up || !host->leaving)
         return;
-    int left = host->controller ? controller_left(host->controller) : agent_left(host->agent);
+    int left = host->controller ? controller_has_left(host->controller) : agent_has_left(host->agent);
     if (!left && n > 0) {
         cluster_schedule(cluster, 50, finish_leaving, host, n - 50);
         return;
--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -137,7 +137,7 @@
     agent->leave_ms = world_ms(agent->world);
 }
 
-int agent_left(const struct agent *agent) { return (int)agent->left; }
+int agent_has_left(const struct agent *agent) { return (int)agent->left; }
 
 void agent_set_seeds(struct agent *agent, const int64_t *seeds, int64_t n_seeds)
 {
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -36,10 +36,10 @@
 void agent_flush(struct agent *agent);
 /* Handles an HTTP request of the executor (a heartbeat). The response is sent through the world, now or later. */
 void agent_request(struct agent *agent, int64_t slot, const struct http_request *request);
-/* Begins the shutdown; agent_left() is 1 once the process may exit. The next process of this agent takes over the runs
- * that are active. */
+/* Begins the shutdown; agent_has_left() is 1 once the process may exit. The next process of this agent takes over the
+ * runs that are active. */
 void agent_leave(struct agent *agent);
-int agent_left(const struct agent *agent);
+int agent_has_left(const struct agent *agent);
 /* Replaces the seed addresses; seeds is borrowed for the call. */
 void agent_set_seeds(struct agent *agent, const int64_t *seeds, int64_t n_seeds);
 #endif
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -390,7 +390,7 @@
         leave_on_timer(controller);
 }
 
-int controller_left(const struct controller *controller)
+int controller_has_left(const struct controller *controller)
 {
     int64_t leaving_for_ms = world_ms(controller->w) - controller->leave_ms;
     return controller->leaving && (leaving_for_ms >= controller->setup.grace_ms - 1000 ||
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -43,9 +43,10 @@
 void controller_flush(struct controller *controller);
 /* Handles an HTTP request, which need not outlive the call. It is answered exactly once, through world.answer(slot). */
 void controller_request(struct controller *controller, int64_t slot, const struct http_request *request);
-/* Starts a planned shutdown: the controller hands over its work, and may be freed once controller_left() returns 1. */
+/* Starts a planned shutdown: the controller hands over its work, and may be freed once controller_has_left() returns 1.
+ */
 void controller_leave(struct controller *controller);
-int controller_left(const struct controller *controller);
+int controller_has_left(const struct controller *controller);
 /* Answers all waiting requests. Call it before the process ends, while responses can still be sent. A change that the
  * leader may have accepted is answered with ERROR_GAVE_UP, not with a refusal. */
 void controller_give_up(struct controller *controller);
--- a/src/proc/roles.c
+++ b/src/proc/roles.c
@@ -38,7 +38,7 @@
 /* --- keeper ------------------------------------------------------------------------- */
 
 static void keeper_on_timer_arg(void *arg) { keeper_on_timer(arg); }
-static void keeper_take_arg(void *arg, const uint8_t *at, int64_t len) { keeper_on_frame(arg, at, len); }
+static void keeper_on_frame_arg(void *arg, const uint8_t *at, int64_t len) { keeper_on_frame(arg, at, len); }
 static void keeper_flush_arg(void *arg) { keeper_flush(arg); }
 static void keeper_leave_arg(void *arg) { keeper_leave(arg); }
 static int keeper_left_arg(void *arg) { return keeper_has_left(arg); }
@@ -48,7 +48,7 @@
     keeper_request(arg, slot, method, path, body, len);
 }
 
-static void keeper_reread(void *arg, const struct local *local)
+static void keeper_reload(void *arg, const struct local *local)
 {
     peers_set_seeds(&((struct keeper *)arg)->peers, local->seed_addrs, local->n_seeds);
 }
@@ -60,12 +60,12 @@
     int rc = start_process(&runtime, local);
     runtime.role = (struct role){.arg = &keeper,
                                  .on_timer = keeper_on_timer_arg,
-                                 .on_frame = keeper_take_arg,
+                                 .on_frame = keeper_on_frame_arg,
                                  .on_plain_request = keeper_request_arg,
                                  .flush = keeper_flush_arg,
                                  .leave = keeper_leave_arg,
                                  .left = keeper_left_arg,
-                                 .reload = keeper_reread};
+                                 .reload = keeper_reload};
     if (!rc) {
         const struct peer_setup setup = peer_setup_of(&runtime, local);
         rc = keeper_start(&keeper, &runtime.base, &setup);
@@ -81,7 +81,7 @@
 /* --- node ----------------------------------------------------------------------------- */
 
 static void node_on_timer_arg(void *arg) { node_on_timer(arg); }
-static void node_take_arg(void *arg, const uint8_t *at, int64_t len) { node_on_frame(arg, at, len); }
+static void node_on_frame_arg(void *arg, const uint8_t *at, int64_t len) { node_on_frame(arg, at, len); }
 static void node_leave_arg(void *arg) { node_leave(arg); }
 static int node_left_arg(void *arg) { return node_has_left(arg); }
 static void node_request_arg(void *arg, int64_t slot, const char *method, const char *path, const char *body,
@@ -90,7 +90,7 @@
     node_request(arg, slot, method, path, body, len);
 }
 
-static void node_reread(void *arg, const struct local *local)
+static void node_reload(void *arg, const struct local *local)
 {
     peers_set_seeds(&((struct node *)arg)->peers, local->seed_addrs, local->n_seeds);
 }
@@ -102,11 +102,11 @@
     int rc = start_process(&runtime, local);
     runtime.role = (struct role){.arg = &node,
                                  .on_timer = node_on_timer_arg,
-                                 .on_frame = node_take_arg,
+                                 .on_frame = node_on_frame_arg,
                                  .on_plain_request = node_request_arg,
                                  .leave = node_leave_arg,
                                  .left = node_left_arg,
-                                 .reload = node_reread};
+                                 .reload = node_reload};
     if (!rc) {
         const struct peer_setup setup = peer_setup_of(&runtime, local);
         node_start(&node, &runtime.base, &setup);
--- a/tests/unit/agent_heartbeat_orders_test.cc
+++ b/tests/unit/agent_heartbeat_orders_test.cc
@@ -319,13 +319,13 @@
     rig.run(300);
     agent_leave(rig.agent);
     rig.run(4000);
-    EXPECT_FALSE(agent_left(rig.agent));
+    EXPECT_FALSE(agent_has_left(rig.agent));
     rig.run(1000);
-    EXPECT_TRUE(agent_left(rig.agent));
+    EXPECT_TRUE(agent_has_left(rig.agent));
     EXPECT_TRUE(rig.executor.active.count(Key(1, 1)));
     HeartbeatRig idle;
     idle.settled();
     agent_leave(idle.agent);
     idle.run(100);
-    EXPECT_TRUE(agent_left(idle.agent));
+    EXPECT_TRUE(agent_has_left(idle.agent));
 }
--- a/tests/unit/agent_lease_test.cc
+++ b/tests/unit/agent_lease_test.cc
@@ -276,13 +276,13 @@
     rig.run(1000);
     agent_leave(rig.agent);
     rig.run(4000);
-    EXPECT_FALSE(agent_left(rig.agent));
+    EXPECT_FALSE(agent_has_left(rig.agent));
     rig.run(1400);
-    EXPECT_TRUE(agent_left(rig.agent));
+    EXPECT_TRUE(agent_has_left(rig.agent));
     EXPECT_GE(rig.executor.lease_expiry_ms, rig.executor.now() + LEASE - 1200);
     Rig idle;
     idle.ready();
     agent_leave(idle.agent);
     idle.run(50);
-    EXPECT_TRUE(agent_left(idle.agent));
+    EXPECT_TRUE(agent_has_left(idle.agent));
 }
