--- a/sim/cluster.c
+++ b/sim/cluster.c
@@ -30,7 +30,7 @@
     va_start(args, format);
     vsnprintf(text, sizeof text, format, args);
     va_end(args);
-    struct story_line *line = array_add(cluster->trace, cluster->n_trace);
+    struct trace_line *line = array_add(cluster->trace, cluster->n_trace);
     line->at_us = cluster->now_us;
     line->job = job;
     line->text = must_dup(text);
--- a/sim/cluster.h
+++ b/sim/cluster.h
@@ -48,10 +48,10 @@
 
 /* A machine with one controller, or with one agent and its executor. generation counts its starts. Times are virtual;
  * booted_us: the last start; busy_until_us: the core handles no event before; stall_us: time that the event being
- * handled has spent waiting for the disk; skew_ms: error of its wall clock; flush_due: a flush event is queued; gone:
- * it was replaced and never starts again; last_fault_us: the last fault that affected it. Invariants: events for an
- * older generation are dropped; events that arrive while the host is frozen or busy are handled afterwards, in order of
- * arrival. */
+ * handled has spent waiting for the disk; skew_ms: error of its wall clock; flush_due: a flush event is queued;
+ * removed: it was replaced and never starts again; last_fault_us: the last fault that affected it. Invariants: events
+ * for an older generation are dropped; events that arrive while the host is frozen or busy are handled afterwards, in
+ * order of arrival. */
 struct host {
     struct world base; /* must be the first member */
     struct cluster *cluster;
@@ -97,7 +97,7 @@
 struct tracked_job {
     int64_t id, serial, tasks_per_repetition, repetitions, unplaceable, failing_task, long_running, fail_pct;
     struct job_spec *spec;
-    int64_t *first_row; /* by step: index of its first task within a repetition */
+    int64_t *first_task; /* by step: index of its first task within a repetition */
     const char *host_name, *prefix, *service;
     char *body;
     int64_t sent_us, accepted_us, tries, refusals, in_flight, cancel_us, cancel_tries, cancel_ack_us, seen_state,
@@ -135,7 +135,7 @@
     int64_t call, deadline_us;
 };
 /* A stand-in of an executor. generation counts its incarnations; clock_offset_ms and clock_slow_ppm: how its clock
- * differs from virtual time; gone: it never starts again.
+ * differs from virtual time; removed: it never starts again.
  * Invariants: fence_epoch and seq never decrease within an incarnation; runs includes those that are being stopped;
  * while up is 0 it has no runs, ends or polls. */
 struct standin {
@@ -199,17 +199,17 @@
     void *arg;
 };
 /* A line of the trace of a run. */
-struct story_line {
+struct trace_line {
     int64_t at_us, job; /* job 0: concerns the whole cluster */
     char *text;
 };
 
-/* A simulated cluster and the scenario that runs on it. state: of the random numbers; n: number of hosts, of which
- * disks are controllers that had a disk at the start; loss_pct: of datagrams; slow_link_ms: added to the delay of each
- * link; clocks_jump: a wall clock jumped in this run; calm: the scenario injects no faults; judged: checks that the
- * oracle made; violation_job: job of the first violation that concerns one; n_refused: jobs whose submissions were all
- * refused; lost_core_ms: work that was done and not kept by a checkpoint; trace: 1 prints the trace, 2 also debug
- * events. */
+/* A simulated cluster and the scenario that runs on it. state: of the random numbers; n: number of hosts; disks: of
+ * these, the controllers that had a disk at the start; loss_pct: of datagrams; slow_link_ms: added to the delay of each
+ * link; clocks_jump: a wall clock jumped in this run; fault_free: the scenario injects no faults; n_checks: checks that
+ * the oracle made; violation_job: job of the first violation that concerns one; n_refused: jobs whose submissions were
+ * all refused; lost_core_ms: work that was done and not kept by a checkpoint; trace_level: 1 prints the trace, 2 also
+ * debug events. */
 struct cluster {
     uint64_t state;
     int64_t now_us, n_calls;
@@ -235,7 +235,7 @@
     int64_t n_changes, acked_version, acked_us, read_version, lost_responses_pct;
     struct config_call *config_calls;
     int64_t n_config_calls;
-    struct story_line *trace;
+    struct trace_line *trace;
     int64_t n_trace;
     char **violations;
     int64_t n_violations, violation_job, n_checks;
@@ -243,7 +243,7 @@
         lost_core_ms;
     int trace_level;
     /* Tests of the oracle: responds in place of the cores. Returns the status, 0: no response. */
-    int (*fake)(struct cluster *cluster, const char *method, const char *path, const char *body, char **answer);
+    int (*fake)(struct cluster *cluster, const char *method, const char *path, const char *body, char **response);
 };
 
 #define CLUSTER_WALL_MS 1700000000000LL
@@ -305,7 +305,7 @@
 /* Value of a header line, in a static buffer; NULL: there is no such line. */
 const char *header_find(const char *lines, const char *name);
 
-/* --- cluster_calls.c -------------------------------------------------------------------------- */
+/* --- cluster_http.c --------------------------------------------------------------------------- */
 void cluster_calls_http(struct world_calls *calls);
 void cluster_call_end(struct cluster *cluster, int64_t id, int status, const char *body);
 /* An HTTP request to a host, by a client that is no host or (from not NULL) by the executor beside the host. header:
@@ -334,7 +334,7 @@
 void cluster_disk_stall(struct cluster_disk *disk, int64_t until_us);
 void cluster_calls_disk(struct world_calls *calls);
 
-/* --- cluster_executor.c, cluster_runs.c ------------------------------------------------------- */
+/* --- cluster_executor.c, cluster_executor_runs.c ------------------------------------------------------- */
 struct standin *standin_new(struct host *host, int64_t index);
 void standin_free(struct standin *standin);
 void standin_boot(struct standin *standin);
@@ -358,10 +358,10 @@
 void standin_finish(struct standin *standin, struct standin_run *run, enum standin_end how);
 void standin_advance(struct standin *standin, int64_t passed_us);
 void standin_expire_lease(struct standin *standin);
-/* cluster_beats.c */
+/* cluster_heartbeats.c */
 void standin_heartbeat(struct standin *standin);
 void standin_leave(struct standin *standin);
-/* cluster_executor.c, used by cluster_beats.c */
+/* cluster_executor.c, used by cluster_heartbeats.c */
 json_t *standin_report(const struct standin *standin);
 void standin_extend_lease(struct standin *standin, int64_t lease_until_ms); /* a lease is never shortened */
 void standin_acknowledge_ends(struct standin *standin, int64_t up_to_seq);  /* drops ends up to that seq */
@@ -428,7 +428,7 @@
                                    const char *member);
 void cluster_oracle_check_end(struct cluster *cluster); /* at the end of a run */
 const char *standin_end_name(int64_t how);
-void cluster_oracle_check_progress(struct cluster *cluster); /* cluster_still.c; to be called repeatedly */
+void cluster_oracle_check_progress(struct cluster *cluster); /* cluster_progress.c; to be called repeatedly */
 
 /* --- cluster_codec.c ---------------------------------------------------------------------------------- */
 struct executor_codec;
--- a/sim/cluster_callers.c
+++ b/sim/cluster_callers.c
@@ -27,7 +27,7 @@
     if (repetition < 0 || repetition >= job->repetitions || step >= job->spec->n_steps ||
         index >= job->spec->steps[step].task_count)
         return NULL;
-    return &job->tracked_tasks[repetition * job->tasks_per_repetition + job->first_row[step] + index];
+    return &job->tracked_tasks[repetition * job->tasks_per_repetition + job->first_task[step] + index];
 }
 
 struct tracked_gang *tracked_gang(struct tracked_job *job, int64_t repetition, int64_t step, int64_t attempt)
@@ -52,7 +52,7 @@
         free(job->gangs[i].checkpoint);
     free(job->gangs);
     free(job->tracked_tasks);
-    free(job->first_row);
+    free(job->first_task);
     free(job->body);
     schema_free(&submission_without_outlet_schema, job->spec);
     free(job->spec);
@@ -144,7 +144,7 @@
         add_single_step(cluster, job, shape);
     job->repetitions = spec->repeats > 0 ? spec->repeats : 1;
     for (int64_t i = 0; i < spec->n_steps;) {
-        *array_add(job->first_row, i) = job->tasks_per_repetition;
+        *array_add(job->first_task, i) = job->tasks_per_repetition;
         job->tasks_per_repetition += spec->steps[i - 1].task_count;
     }
     job->tracked_tasks =
--- a/tests/sim/cluster_oracle_api_test.cc
+++ b/tests/sim/cluster_oracle_api_test.cc
@@ -46,10 +46,10 @@
 
 static std::string fake_body;
 static int fake_status;
-static int fake_config_api(struct cluster *, const char *method, const char *path, const char *body, char **answer)
+static int fake_config_api(struct cluster *, const char *method, const char *path, const char *body, char **response)
 {
     if (!strcmp(path, "/config") && !strcmp(method, "GET")) {
-        *answer = must_dup(fake_body.c_str());
+        *response = must_dup(fake_body.c_str());
         return 200;
     }
     if (!strcmp(path, "/config")) {
@@ -254,9 +254,9 @@
 /* --- responses to another request ------------------------------------------------------- */
 
 static const char *any_request_body;
-static int fake_any_request(struct cluster *, const char *, const char *, const char *, char **answer)
+static int fake_any_request(struct cluster *, const char *, const char *, const char *, char **response)
 {
-    *answer = must_dup(any_request_body);
+    *response = must_dup(any_request_body);
     return 200;
 }
 
