--- a/tests/sim/season.h
+++ b/tests/sim/season.h
@@ -1,6 +1,6 @@
 // Simulation of the rules of head office and outlets in virtual time: three nodes with a record and a dispatcher each
-// over one replicated log, and executors with their agents. The load is in season_office.h, the checks in
-// season_judge.h.
+// over one replicated log, and executors with their agents. The load is in season_driver.h, the checks in
+// season_oracle.h.
 #ifndef SAGEHITCH_TESTS_SEASON_H
 #define SAGEHITCH_TESTS_SEASON_H
 #include <deque>
