--- a/src/log/log.h
+++ b/src/log/log.h
@@ -273,7 +273,7 @@
  * once it is asked; this leader has no lease any more. ERROR_NOT_LEADER; ERROR_NO_OWNER: there is no such voter. */
 int log_hand_over(struct log *log);
 
-/* log_copy.c: replication */
+/* log_replication.c: replication */
 
 /* Becomes leader of the current term after a won election, and appends an ENTRY_NOOP. */
 void log_become_leader(struct log *log);
