--- a/src/shard/assign.c
+++ b/src/shard/assign.c
@@ -190,33 +190,33 @@
 static void unassign(struct node *node, const struct job *job, struct staging *staging)
 {
     for (int64_t i = 0; i < staging->n_places; i++) {
-        struct reservation *placement = &staging->places[i];
+        struct reservation *reservation = &staging->places[i];
         struct executor_summary *summary =
-            placement->executor ? executor_summary_find(node, placement->executor) : NULL;
-        const struct task_spec *task = spec_task(&job->spec, placement->no, NULL);
+            reservation->executor ? executor_summary_find(node, reservation->executor) : NULL;
+        const struct task_spec *task = spec_task(&job->spec, reservation->no, NULL);
         if (summary) {
             summary->free_cores += task->cores;
             summary->free_mb += task->mem_mb;
         }
-        free(placement->executor);
-        placement->executor = NULL;
+        free(reservation->executor);
+        reservation->executor = NULL;
     }
 }
 
 static int assign_on_rack(struct node *node, const struct job *job, struct staging *staging, const char *rack)
 {
     for (int64_t i = 0; i < staging->n_places; i++) {
-        struct reservation *placement = &staging->places[i];
-        struct executor_summary *summary = best_executor(node, job, placement->no, staging, rack);
-        const struct task_spec *task = spec_task(&job->spec, placement->no, NULL);
+        struct reservation *reservation = &staging->places[i];
+        struct executor_summary *summary = best_executor(node, job, reservation->no, staging, rack);
+        const struct task_spec *task = spec_task(&job->spec, reservation->no, NULL);
         if (!summary) {
             unassign(node, job, staging);
             return ERROR_REJECTED;
         }
-        placement->executor = must_dup(summary->executor);
-        placement->executor_epoch = summary->epoch;
-        placement->incarnation = summary->incarnation;
-        placement->executor_owner = summary->executor_owner;
+        reservation->executor = must_dup(summary->executor);
+        reservation->executor_epoch = summary->epoch;
+        reservation->incarnation = summary->incarnation;
+        reservation->executor_owner = summary->executor_owner;
         summary->free_cores -= task->cores; /* until its owner sends a new summary */
         summary->free_mb -= task->mem_mb;
     }
--- a/src/shard/place.c
+++ b/src/shard/place.c
@@ -47,14 +47,14 @@
         if (!strcmp(staging->places[k].executor, first->executor))
             return 0; /* contained in the request of that entry */
     for (int64_t k = i; k < staging->n_places; k++) {
-        const struct reservation *placement = &staging->places[k];
-        if (strcmp(placement->executor, first->executor))
+        const struct reservation *reservation = &staging->places[k];
+        if (strcmp(reservation->executor, first->executor))
             continue;
-        const struct task_spec *task = spec_task(&job->spec, placement->no, NULL);
+        const struct task_spec *task = spec_task(&job->spec, reservation->no, NULL);
         *array_add(message->tasks, message->n_tasks) =
             (struct task_ref){.job = job->id,
-                              .no = placement->no,
-                              .attempt = job->rows[placement->no].attempt + 1,
+                              .no = reservation->no,
+                              .attempt = job->rows[reservation->no].attempt + 1,
                               .cores = task->cores,
                               .mem_mb = task->mem_mb};
     }
@@ -107,14 +107,14 @@
     staging->committing = 1;
     struct op *op = worker_buffer(node, shard, OP_PLACED, job->id, 0, number);
     for (int64_t i = 0; i < staging->n_places; i++) {
-        const struct reservation *placement = &staging->places[i];
+        const struct reservation *reservation = &staging->places[i];
         *array_add(op->placements, op->n_placements) =
-            (struct placement){.no = placement->no,
-                               .attempt = job->rows[placement->no].attempt + 1,
-                               .incarnation = placement->incarnation,
-                               .executor_epoch = placement->executor_epoch,
+            (struct placement){.no = reservation->no,
+                               .attempt = job->rows[reservation->no].attempt + 1,
+                               .incarnation = reservation->incarnation,
+                               .executor_epoch = reservation->executor_epoch,
                                .lease_ms = lease_ms,
-                               .executor = must_dup(placement->executor)};
+                               .executor = must_dup(reservation->executor)};
     }
 }
 
@@ -125,10 +125,10 @@
         return;
     int64_t waiting = 0;
     for (int64_t i = 0; i < staging->n_places; i++) {
-        struct reservation *placement = &staging->places[i];
-        if (!strcmp(placement->executor, message->executor))
-            placement->replied = 1;
-        waiting += !placement->replied;
+        struct reservation *reservation = &staging->places[i];
+        if (!strcmp(reservation->executor, message->executor))
+            reservation->replied = 1;
+        waiting += !reservation->replied;
     }
     struct executor_summary *summary = executor_summary_find(node, message->executor);
     if (message->error) {
