--- a/sim/close.c
+++ b/sim/close.c
@@ -87,7 +87,7 @@
             oracle_violation(oracle, "job %lld, accepted at %lld ms, is forgotten at the end of the day",
                              (long long)oracle->accepted_jobs[i].job, (long long)oracle->accepted_jobs[i].at_ms);
         else if (job->state == JOB_DONE)
-            oracle_shown(oracle, job->id, "done");
+            oracle_job_state_seen(oracle, job->id, "done");
     }
 }
 
@@ -119,7 +119,7 @@
         struct machine *executor = sim->machines[i];
         if (executor->kind != M_EXECUTOR || !executor->up)
             continue;
-        struct machine *machine = sim_home(sim, executor->name);
+        struct machine *machine = sim_executor_owner(sim, executor->name);
         struct executor_owner *executor_owner =
             machine && machine->up ? executor_owner_find(&machine->core.node, executor->name) : NULL;
         int64_t n_rows_live = 0, cores = 0;
--- a/sim/oracle.c
+++ b/sim/oracle.c
@@ -309,8 +309,8 @@
         else if (machine->kind == M_CALLER)
             for (int64_t k = 0; k < machine->core.caller.n_jobs; k++) {
                 struct caller_job *job = &machine->core.caller.jobs[k];
-                if (job->schema >= 0 && job->ended_ms && *job->id)
-                    oracle_shown(oracle, job_id_parse(job->id), job->state), job->schema = -1;
+                if (job->mix_kind >= 0 && job->ended_ms && *job->id)
+                    oracle_job_state_seen(oracle, job_id_parse(job->id), job->state), job->mix_kind = -1;
             }
     }
     oracle_watch_gangs(oracle, now_ms);
--- a/sim/oracle_known.c
+++ b/sim/oracle_known.c
@@ -82,7 +82,7 @@
 {
     struct sim *sim = oracle->sim;
     for (int64_t s = 0; s < SHARD_COUNT; s++) {
-        struct machine *machine = sim_owner(sim, s);
+        struct machine *machine = sim_shard_owner(sim, s);
         if (!can_act(sim, machine) || machine->core.node.shards[s].state != SHARD_OPEN ||
             !admission_open(&machine->core.node))
             oracle->shard_unavailable_ms[s] = now_ms;
@@ -93,7 +93,7 @@
             continue;
         if (executor->frozen)
             oracle->executor_frozen_ms[i] = now_ms;
-        struct machine *machine = sim_home(sim, executor->name);
+        struct machine *machine = sim_executor_owner(sim, executor->name);
         struct executor_owner *executor_owner =
             can_act(sim, machine) ? executor_owner_find(&machine->core.node, executor->name) : NULL;
         if (!executor_owner || !executor_owner->opened || !admission_open(&machine->core.node))
@@ -135,7 +135,7 @@
 {
     struct oracle *oracle = sim->oracle;
     struct job_query query = oracle->job_queries[tag];
-    struct machine *node = query.node, *owner = sim_owner(sim, job_shard(query.job));
+    struct machine *node = query.node, *owner = sim_shard_owner(sim, job_shard(query.job));
     int64_t now_ms = sim_ms(sim), from_ms = query.accepted_ms + JOB_KNOWN_MS + 2000;
     (void)arg;
     if (from_ms < oracle->last_fault_ms + SERVICE_RESTORE_MS)
@@ -145,7 +145,7 @@
         json_t *json = json_loads(body, 0, NULL);
         const char *state = json_string_value(json_object_get(json, "state"));
         if (state)
-            oracle_shown(oracle, query.job, state);
+            oracle_job_state_seen(oracle, query.job, state);
         json_decref(json);
     } else if (status == 404 && !missing_at_leader(oracle, query.job)) {
         oracle_violation(oracle, "%s does not know job %lld, accepted %lld ms ago", node->name, (long long)query.job,
@@ -194,7 +194,7 @@
 {
     static const int64_t rounds[] = {JOB_KNOWN_MS, 10000, 30000};
     struct sim *sim = oracle->sim;
-    for (int64_t i = 0; i < oracle->n_accepted_jobs && !sim->unasked; i++) {
+    for (int64_t i = 0; i < oracle->n_accepted_jobs && !sim->no_oracle_requests; i++) {
         struct accepted_job *accepted = &oracle->accepted_jobs[i];
         if (accepted->query_rounds >= COUNT_OF(rounds) || now_ms - accepted->at_ms < rounds[accepted->query_rounds])
             continue;
--- a/sim/oracle_promises.c
+++ b/sim/oracle_promises.c
@@ -29,7 +29,7 @@
         (struct cancelled_job){.job = job, .at_ms = sim_ms(oracle->sim)};
 }
 
-void oracle_shown(struct oracle *oracle, int64_t id, const char *state)
+void oracle_job_state_seen(struct oracle *oracle, int64_t id, const char *state)
 {
     const struct job *job = sim_job(oracle->sim, id);
     oracle->n_checks++;
@@ -106,7 +106,7 @@
  * the leases have expired, only an executor that is frozen is excused. */
 static int find_excuse(struct oracle *oracle, const struct seen_task *task, int64_t since_ms, int leases_expired)
 {
-    struct machine *owner = sim_home(oracle->sim, task->executor->name);
+    struct machine *owner = sim_executor_owner(oracle->sim, task->executor->name);
     int64_t executor = task->executor->index;
     oracle->n_checks++;
     if (task->executor->frozen ||
--- a/sim/service.c
+++ b/sim/service.c
@@ -99,7 +99,7 @@
         struct machine *executor = sim->machines[i];
         if (!reachable(sim, executor))
             continue;
-        struct machine *machine = sim_home(sim, executor->name);
+        struct machine *machine = sim_executor_owner(sim, executor->name);
         struct executor_owner *executor_owner = machine && machine->up && !machine->frozen
                                                     ? executor_owner_find(&machine->core.node, executor->name)
                                                     : NULL;
--- a/sim/sim.h
+++ b/sim/sim.h
@@ -85,7 +85,7 @@
 /* Freezes or kills the sender or the receiver when a frame of a kind, or orders
  * to an executor (TRAP_ORDERS), are sent for the nth time. */
 struct sim_trap {
-    int64_t kind, nth, receiver, freeze_ms, power, armed, sprung;
+    int64_t kind, nth, receiver, freeze_ms, power, armed, triggered;
     struct machine *victim;
 };
 
@@ -108,7 +108,7 @@
     int64_t keepers, nodes, executors;
     struct oracle *oracle;
     int64_t frames, bytes, events, event_counts[10000];
-    int trace, unasked; /* unasked: the oracle sends no requests of its own */
+    int trace, no_oracle_requests; /* unasked: the oracle sends no requests of its own */
 };
 
 #define WALL_BASE_MS 1700000000000LL
@@ -139,7 +139,8 @@
 void sim_cut_off(struct sim *sim, struct machine *machine);
 void sim_heal(struct sim *sim);
 int sim_is_cut(const struct sim *sim, const struct machine *machine); /* to or from any machine */
-void sim_other(struct machine *machine, int64_t cores); /* cores of an executor that work outside the cluster takes */
+void sim_set_other_cores(struct machine *machine,
+                         int64_t cores); /* cores of an executor that work outside the cluster takes */
 /* An HTTP request sent by the test. answer is called with arg and tag; status 0: timed out. */
 struct sim_http_request {
     struct machine *to;
@@ -155,8 +156,8 @@
 struct machine *sim_leader(struct sim *sim, int64_t group); /* NULL: none */
 /* The leader; without one, the keeper with the highest applied index. */
 struct machine *sim_most_advanced_keeper(struct sim *sim, int64_t group);
-struct machine *sim_owner(struct sim *sim, int64_t shard);
-struct machine *sim_home(struct sim *sim, const char *executor);
+struct machine *sim_shard_owner(struct sim *sim, int64_t shard);
+struct machine *sim_executor_owner(struct sim *sim, const char *executor);
 const struct job *sim_job(struct sim *sim, int64_t id);
 struct machine *sim_node(struct sim *sim); /* a random node that is up and not frozen */
 struct caller *sim_load(struct sim *sim, int64_t per_minute, int64_t seconds);
@@ -195,7 +196,7 @@
 void oracle_settings_accepted(struct oracle *oracle, int64_t version);
 void oracle_settings_changed(struct oracle *oracle, int64_t expected, int64_t version);
 void oracle_cancelled(struct oracle *oracle, int64_t job);
-void oracle_shown(struct oracle *oracle, int64_t job, const char *state);
+void oracle_job_state_seen(struct oracle *oracle, int64_t job, const char *state);
 void oracle_executor_died(struct oracle *oracle, struct machine *machine);
 /* The machine's logs are compared again from the start. */
 void oracle_reset_log_checks(struct oracle *oracle, struct machine *machine);
--- a/sim/sim_fleet.c
+++ b/sim/sim_fleet.c
@@ -64,14 +64,14 @@
     return NULL;
 }
 
-struct machine *sim_owner(struct sim *sim, int64_t shard)
+struct machine *sim_shard_owner(struct sim *sim, int64_t shard)
 {
     char name[32];
     snprintf(name, sizeof name, "shard/%lld", (long long)shard);
     return ownership_machine(sim, name);
 }
 
-struct machine *sim_home(struct sim *sim, const char *executor)
+struct machine *sim_executor_owner(struct sim *sim, const char *executor)
 {
     char name[64];
     snprintf(name, sizeof name, "home/%s", executor);
@@ -99,7 +99,7 @@
     return best;
 }
 
-void sim_other(struct machine *machine, int64_t cores)
+void sim_set_other_cores(struct machine *machine, int64_t cores)
 {
     oracle_other_cores_changed(machine->sim->oracle, machine, machine->core.executor.other_cores);
     machine->core.executor.other_cores = cores;
--- a/sim/sim_net.c
+++ b/sim/sim_net.c
@@ -68,7 +68,7 @@
 void sim_trap_trigger(struct sim *sim, struct machine *victim)
 {
     sim->trap.armed = 0;
-    sim->trap.sprung = 1;
+    sim->trap.triggered = 1;
     sim->trap.victim = victim;
     if (sim->trap.kind == TRAP_DONE) /* its report must not get out before it is killed */
         memset(sim->cut[victim->index], 1, sizeof sim->cut[0]);
--- a/src/caller/caller.c
+++ b/src/caller/caller.c
@@ -103,7 +103,7 @@
         job->no = caller->n_jobs;
         job->created_ms = now_ms;
         snprintf(job->key, sizeof job->key, "%s-%lld", caller->name, (long long)caller->n_jobs);
-        job->body = mix_job(caller->world, caller->deployment, job->key, &job->schema);
+        job->body = mix_job(caller->world, caller->deployment, job->key, &job->mix_kind);
         caller->live++;
         send_request(caller, caller->n_jobs++);
     }
--- a/src/caller/caller.h
+++ b/src/caller/caller.h
@@ -8,7 +8,7 @@
  * seen the job's end. */
 struct caller_job {
     char key[64], id[48], *body;
-    int64_t no, created_ms, accepted_ms, ended_ms, next_request_ms, request_pending, schema;
+    int64_t no, created_ms, accepted_ms, ended_ms, next_request_ms, request_pending, mix_kind;
     char state[16];
 };
 
--- a/tests/sim/api_test.cc
+++ b/tests/sim/api_test.cc
@@ -189,7 +189,7 @@
     EXPECT_GE(e->core.executor.state.epoch, 1);
     EXPECT_EQ(f.request(e, "POST", "/v1/orders", orders).status, 409);
     EXPECT_EQ(f.request(e, "POST", "/v1/orders", "{\"cluster\":\"other\",\"epoch\":9}").status, 400);
-    machine *executor_owner = sim_home(&f.s, "executor1");
+    machine *executor_owner = sim_executor_owner(&f.s, "executor1");
     executor_owner_start(&executor_owner->core.node, "executor1", 0);
     struct executor_owner *h = executor_owner_find(&executor_owner->core.node, "executor1");
     ASSERT_NE(h, nullptr);
--- a/tests/sim/crash_test.cc
+++ b/tests/sim/crash_test.cc
@@ -24,7 +24,8 @@
 TEST(Crash, ShardOwnerKilled)
 {
     for (uint64_t seed : seeds())
-        under_load(seed, "owner-killed", [](Fleet &f) { sim_kill(sim_owner(&f.s, sim_pick(&f.s, SHARD_COUNT)), 0); });
+        under_load(seed, "owner-killed",
+                   [](Fleet &f) { sim_kill(sim_shard_owner(&f.s, sim_pick(&f.s, SHARD_COUNT)), 0); });
 }
 
 TEST(Crash, ThreeNodesKilledAndOneComesBack)
@@ -44,7 +45,7 @@
 {
     for (uint64_t seed : seeds())
         under_load(seed, "home-killed", [](Fleet &f) {
-            sim_kill(sim_home(&f.s, ("executor" + std::to_string(1 + sim_pick(&f.s, 11))).c_str()), 0);
+            sim_kill(sim_executor_owner(&f.s, ("executor" + std::to_string(1 + sim_pick(&f.s, 11))).c_str()), 0);
         });
 }
 
@@ -53,8 +54,8 @@
     for (uint64_t seed : seeds(6))
         under_load(seed, "node-frozen", [](Fleet &f) {
             machine *m = sim_pick(&f.s, 2)
-                             ? sim_owner(&f.s, sim_pick(&f.s, SHARD_COUNT))
-                             : sim_home(&f.s, ("executor" + std::to_string(1 + sim_pick(&f.s, 11))).c_str());
+                             ? sim_shard_owner(&f.s, sim_pick(&f.s, SHARD_COUNT))
+                             : sim_executor_owner(&f.s, ("executor" + std::to_string(1 + sim_pick(&f.s, 11))).c_str());
             sim_freeze(m, 3000 + sim_pick(&f.s, 9000));
         });
 }
--- a/tests/sim/day_test.cc
+++ b/tests/sim/day_test.cc
@@ -139,7 +139,8 @@
             break;
         case 12:
             if (may_hit_keeper)
-                sim_cut(&s, e, sim_home(&s, e->name) ? sim_home(&s, e->name) : node, (int)sim_pick(&s, 2));
+                sim_cut(&s, e, sim_executor_owner(&s, e->name) ? sim_executor_owner(&s, e->name) : node,
+                        (int)sim_pick(&s, 2));
             break;
         case 13:
             if (may_hit_keeper) {
@@ -193,7 +194,7 @@
             std::string state = f.job_state(id);
             EXPECT_TRUE(f.ended(state)) << id << " " << state << " "
                                         << f.persist("GET", "/v1/jobs/" + id, "").body.substr(0, 600);
-            oracle_shown(f.s.oracle, job_id_parse(id.c_str()), state.c_str());
+            oracle_job_state_seen(f.s.oracle, job_id_parse(id.c_str()), state.c_str());
         }
         EXPECT_EQ(f.breaches(), "");
     }
--- a/tests/sim/executor_room_test.cc
+++ b/tests/sim/executor_room_test.cc
@@ -31,7 +31,7 @@
         f.run(800);
         EXPECT_GT(still(), 0); // struck
         if (seed % 2)
-            sim_kill(sim_home(&f.s, e->name), 0);
+            sim_kill(sim_executor_owner(&f.s, e->name), 0);
         f.run(9000);
         int64_t shut = f.s.event_counts[EV_TASK_STILL];
         EXPECT_GT(shut, 0);
@@ -134,12 +134,12 @@
         for (int i = 0; i < 120; i++) {
             f.run(100);
             machine *e = f.some();
-            sim_other(e, sim_pick(&f.s, 2) ? sim_pick(&f.s, 17) : 0);
+            sim_set_other_cores(e, sim_pick(&f.s, 2) ? sim_pick(&f.s, 17) : 0);
             if (i % 10 == 0)
                 f.send("long" + std::to_string(i), "ms=2500", "\"priority\":" + std::to_string(i) + ",");
         }
         for (int i = 1; i <= 11; i++)
-            sim_other(f.executor(i), 0);
+            sim_set_other_cores(f.executor(i), 0);
         EXPECT_EQ(f.settle(load), 0);
         EXPECT_EQ(sim_load_state(&f.s, "done"), load->n_jobs);
         EXPECT_EQ(f.breaches(), "");
@@ -166,10 +166,10 @@
                      k++)
                     late += f.s.machines[i]->core.node.executor_owners[k]->n_rows;
             for (int i = 1; i <= 11; i++)
-                sim_other(f.executor(i), 16);
+                sim_set_other_cores(f.executor(i), 16);
             f.run(4500);
             for (int i = 1; i <= 11; i++)
-                sim_other(f.executor(i), 0);
+                sim_set_other_cores(f.executor(i), 0);
             f.run(4000);
         }
         EXPECT_EQ(f.breaches(), "");
--- a/tests/sim/executor_test.cc
+++ b/tests/sim/executor_test.cc
@@ -39,9 +39,9 @@
             f.s.trap.kind = TRAP_DONE;
             f.s.trap.nth = 1 + sim_pick(&f.s, 4);
             f.s.trap.armed = 1;
-            f.s.trap.sprung = 0;
+            f.s.trap.triggered = 0;
             f.run(900);
-            EXPECT_TRUE(f.s.trap.sprung);
+            EXPECT_TRUE(f.s.trap.triggered);
             sim_restart(f.s.trap.victim);
         }
         EXPECT_EQ(f.settle(load), 0);
@@ -172,7 +172,7 @@
             machine *e = f.executor(2 * i + 1);
             executor_leave(&e->core.executor, 6000);
             if (seed % 2)
-                sim_freeze(sim_home(&f.s, e->name), 3000);
+                sim_freeze(sim_executor_owner(&f.s, e->name), 3000);
         }
         EXPECT_EQ(f.settle(load), 0);
         EXPECT_EQ(f.breaches(), "");
@@ -223,7 +223,7 @@
     Executors f(1);
     f.run(20000); // duties have settled
     machine *m = f.executor(1);
-    auto home = [&] { return sim_home(&f.s, m->name); };
+    auto home = [&] { return sim_executor_owner(&f.s, m->name); };
     auto account = [&] { return executor_owner_find(&home()->core.node, m->name); };
     std::string old = f.request(m, "GET", "/v1/state").body;
     f.run(1500);
--- a/tests/sim/handover_test.cc
+++ b/tests/sim/handover_test.cc
@@ -85,10 +85,10 @@
         f.s.trap.freeze_ms = 6500;
         f.s.trap.armed = 1;
         f.run(4500);
-        ASSERT_TRUE(f.s.trap.sprung);
+        ASSERT_TRUE(f.s.trap.triggered);
         for (const std::string &id : ids) {
             const job *j = sim_job(&f.s, job_id_parse(id.c_str()));
-            struck += sim_owner(&f.s, job_shard(j->id)) != f.s.trap.victim && j->rows[0].state == ROW_PLACED;
+            struck += sim_shard_owner(&f.s, job_shard(j->id)) != f.s.trap.victim && j->rows[0].state == ROW_PLACED;
             f.persist("DELETE", "/v1/jobs/" + id, "");
         }
         f.run(8000);
@@ -131,7 +131,7 @@
         bytes_free(&m.op);
 
         const job *j = sim_job(&f.s, job_id_parse(gone.c_str()));
-        machine *home = sim_home(&f.s, j->rows[0].executor);
+        machine *home = sim_executor_owner(&f.s, j->rows[0].executor);
         struct start_order order = {};
         order.shard = job_shard(j->id);
         order.shard_epoch = leader->core.keeper.shards[order.shard].epoch - 1;
@@ -147,7 +147,7 @@
         bytes_free(&frame);
         f.run(1000);
         EXPECT_EQ(f.job_state(runs), "active");
-        oracle_shown(f.s.oracle, id, f.job_state(runs).c_str());
+        oracle_job_state_seen(f.s.oracle, id, f.job_state(runs).c_str());
         EXPECT_EQ(f.breaches(), "");
     }
 }
--- a/tests/sim/net_test.cc
+++ b/tests/sim/net_test.cc
@@ -95,8 +95,8 @@
         caller *load = sim_load(&f.s, 400, 20);
         f.run(3000);
         int kind = (int)seed % 3;
-        machine *m =
-            sim_pick(&f.s, 3) ? sim_owner(&f.s, sim_pick(&f.s, SHARD_COUNT)) : sim_leader(&f.s, sim_pick(&f.s, 2));
+        machine *m = sim_pick(&f.s, 3) ? sim_shard_owner(&f.s, sim_pick(&f.s, SHARD_COUNT))
+                                       : sim_leader(&f.s, sim_pick(&f.s, 2));
         for (int64_t i = 0; i < f.s.n; i++) {
             if (f.s.machines[i] == m)
                 continue;
@@ -119,7 +119,8 @@
         Net f(seed);
         caller *load = sim_load(&f.s, 400, 20);
         f.run(3000);
-        machine *keeper = sim_leader(&f.s, sim_pick(&f.s, 2)), *node = sim_owner(&f.s, sim_pick(&f.s, SHARD_COUNT));
+        machine *keeper = sim_leader(&f.s, sim_pick(&f.s, 2)),
+                *node = sim_shard_owner(&f.s, sim_pick(&f.s, SHARD_COUNT));
         machine *executor = f.at("executor" + std::to_string(1 + sim_pick(&f.s, 11)));
         machine *cuts[] = {keeper, node, executor};
         for (machine *m : cuts)
@@ -192,7 +193,7 @@
         machine *e = f.at("executor" + std::to_string(1 + sim_pick(&f.s, 11)));
         auto waits = [&] {
             int64_t n = 0;
-            executor_owner *h = executor_owner_find(&sim_home(&f.s, e->name)->core.node, e->name);
+            executor_owner *h = executor_owner_find(&sim_executor_owner(&f.s, e->name)->core.node, e->name);
             for (int64_t i = 0; h && i < h->n_rows; i++)
                 n += h->rows[i].state == ALLOCATION_STARTING;
             return n;
@@ -224,7 +225,7 @@
         SCOPED_TRACE("seed " + std::to_string(seed));
         Net f(seed);
         f.run(10000);
-        machine *owner = sim_owner(&f.s, 7);
+        machine *owner = sim_shard_owner(&f.s, 7);
         std::string key;
         for (int i = 0; key.empty() || key_shard(key.c_str()) != 7; i++)
             key = "cut" + std::to_string(i);
--- a/tests/sim/oracle_test.cc
+++ b/tests/sim/oracle_test.cc
@@ -150,7 +150,7 @@
     oracle_accepted(f.s.oracle, ghost);
     f.run(3500);
     EXPECT_TRUE(f.reports("was forgotten"));
-    machine *owner = sim_owner(&f.s, job_shard(job));
+    machine *owner = sim_shard_owner(&f.s, job_shard(job));
     rows_end(&owner->core.node.shards[job_shard(job)].rows);
     f.run(7000);
     EXPECT_TRUE(f.reports("does not know job"));
@@ -161,7 +161,7 @@
     Planted f;
     int64_t job = f.job(kPair);
     machine *e = f.at("executor1");
-    sim_other(e, 14);
+    sim_set_other_cores(e, 14);
     f.start(1, job, 0, 1, 4);
     EXPECT_EQ(f.breaches().find("it reported"), std::string::npos); // the executor may not have reported it yet
     f.end(1, job, 0, "failed");
@@ -215,7 +215,7 @@
 {
     Planted f;
     int64_t job = f.job(kPair, kStartNow);
-    oracle_shown(f.s.oracle, job, "done");
+    oracle_job_state_seen(f.s.oracle, job, "done");
     EXPECT_TRUE(f.reports("shown as done with"));
     log *l = &f.at("keeper2")->core.keeper.logs[0];
     l->entries[l->applied - l->first_index].term++;
--- a/tests/sim/points_test.cc
+++ b/tests/sim/points_test.cc
@@ -57,7 +57,7 @@
                     f.request(f.any(), "PUT", "/v1/settings/branch?expect=" + std::to_string(i) + "&path=root/x",
                               "{\"weight\":" + std::to_string(5 + i) + "}");
                 f.run(6000);
-                EXPECT_TRUE(f.s.trap.sprung);
+                EXPECT_TRUE(f.s.trap.triggered);
                 machine *victim = f.s.trap.victim;
                 EXPECT_LE(f.service_back("point"), 12000);
                 f.run(2000);
--- a/tests/sim/repair_test.cc
+++ b/tests/sim/repair_test.cc
@@ -36,12 +36,12 @@
     for (;; f.run(10)) {
         bool whole = true;
         for (int64_t shard = 0; shard < SHARD_COUNT && whole; shard++) {
-            machine *m = sim_owner(&f.s, shard);
+            machine *m = sim_shard_owner(&f.s, shard);
             whole = m && m->up && !m->frozen && m->core.node.shards[shard].state == SHARD_OPEN;
         }
         for (int i = 1; i <= 11 && whole; i++) {
             std::string name = "executor" + std::to_string(i);
-            machine *m = sim_home(&f.s, name.c_str());
+            machine *m = sim_executor_owner(&f.s, name.c_str());
             struct executor_owner *h =
                 m && m->up && !m->frozen ? executor_owner_find(&m->core.node, name.c_str()) : nullptr;
             whole = h && h->opened;
@@ -57,9 +57,9 @@
         const char *name;
         void (*hit)(Fleet &f);
     } cases[] = {
-        {"shard owner killed", [](Fleet &f) { sim_kill(sim_owner(&f.s, sim_pick(&f.s, SHARD_COUNT)), 0); }},
-        {"home killed", [](Fleet &f) { sim_kill(sim_home(&f.s, "executor5"), 0); }},
-        {"home frozen", [](Fleet &f) { sim_freeze(sim_home(&f.s, "executor5"), 60000); }},
+        {"shard owner killed", [](Fleet &f) { sim_kill(sim_shard_owner(&f.s, sim_pick(&f.s, SHARD_COUNT)), 0); }},
+        {"home killed", [](Fleet &f) { sim_kill(sim_executor_owner(&f.s, "executor5"), 0); }},
+        {"home frozen", [](Fleet &f) { sim_freeze(sim_executor_owner(&f.s, "executor5"), 60000); }},
     };
     for (const Case &c : cases) {
         std::vector<int64_t> all;
@@ -115,8 +115,8 @@
 TEST(Repair, EveryShardIsServedAgainInTime)
 {
     const Loss losses[] = {
-        {"node killed", [](Fleet &f) { sim_kill(sim_owner(&f.s, sim_pick(&f.s, SHARD_COUNT)), 0); }},
-        {"node frozen", [](Fleet &f) { sim_freeze(sim_owner(&f.s, sim_pick(&f.s, SHARD_COUNT)), 30000); }},
+        {"node killed", [](Fleet &f) { sim_kill(sim_shard_owner(&f.s, sim_pick(&f.s, SHARD_COUNT)), 0); }},
+        {"node frozen", [](Fleet &f) { sim_freeze(sim_shard_owner(&f.s, sim_pick(&f.s, SHARD_COUNT)), 30000); }},
         {"five nodes killed",
          [](Fleet &f) {
              for (int i = 0; i < 5; i++)
@@ -127,7 +127,7 @@
         {"keeper and node cut off",
          [](Fleet &f) {
              sim_cut_off(&f.s, sim_leader(&f.s, GROUP_JOBS));
-             sim_cut_off(&f.s, sim_owner(&f.s, sim_pick(&f.s, SHARD_COUNT)));
+             sim_cut_off(&f.s, sim_shard_owner(&f.s, sim_pick(&f.s, SHARD_COUNT)));
          }},
         {"zone killed",
          [](Fleet &f) {
--- a/tests/sim/scale_test.cc
+++ b/tests/sim/scale_test.cc
@@ -36,8 +36,8 @@
     std::vector<Cost> idle, loaded;
     for (const Size &size : kSizes) {
         Fleet f(1, size.nodes, size.executors);
-        f.planted = true; // sizes are measured, the day is not closed
-        f.s.unasked = 1;  // only what the fleet itself does is counted
+        f.planted = true;           // sizes are measured, the day is not closed
+        f.s.no_oracle_requests = 1; // only what the fleet itself does is counted
         f.run(70000);
         idle.push_back(cost(f, 5000));
         caller *load = sim_load(&f.s, 510 * size.executors / 11, 6);
--- a/tests/sim/strikes.cc
+++ b/tests/sim/strikes.cc
@@ -48,7 +48,7 @@
 machine *owner_of_busy_executor(FaultFleet &f)
 {
     for (int i = 0; i < 20; i++) {
-        machine *e = f.busy_executor(), *m = e ? sim_home(&f.s, e->name) : nullptr;
+        machine *e = f.busy_executor(), *m = e ? sim_executor_owner(&f.s, e->name) : nullptr;
         if (m && m->up && !m->frozen)
             return m;
         f.run(100);
@@ -68,7 +68,7 @@
 {
     machine *e = f.busy_executor();
     if (e)
-        sim_other(e, e->core.executor.state.cores - e->core.executor.state.cores / 4);
+        sim_set_other_cores(e, e->core.executor.state.cores - e->core.executor.state.cores / 4);
     return e != nullptr;
 }
 
--- a/tests/sim/strikes.h
+++ b/tests/sim/strikes.h
@@ -25,7 +25,7 @@
     machine *owner()
     {
         for (int i = 0; i < 40; i++) {
-            machine *m = sim_owner(&s, sim_pick(&s, SHARD_COUNT));
+            machine *m = sim_shard_owner(&s, sim_pick(&s, SHARD_COUNT));
             if (m && m->up && !m->frozen)
                 return m;
         }
@@ -95,7 +95,7 @@
                 m->core.executor.fail_pct = m->core.executor.stall_pct = 0;
                 m->core.executor.slow_pct = 100;
                 if (m->core.executor.other_cores)
-                    sim_other(m, 0);
+                    sim_set_other_cores(m, 0);
                 if (m->core.executor.leave_at_ms)
                     sim_restart(m);
             }
