--- a/tests/sim/cluster_run.h
+++ b/tests/sim/cluster_run.h
@@ -10,6 +10,8 @@
 namespace
 {
 
+// A cluster of three voters, diskless controllers and agents, with the first configuration in force. When it is
+// destroyed it expects that the oracle made checks and found no violation.
 class Cluster
 {
   public:
@@ -58,6 +60,7 @@
     uint64_t seed_ = 0;
 };
 
+// Runs body on a new cluster for each seed; afterwards all faults end and all jobs must finish.
 template <class Body> void for_each_seed(Body body, int fixed = 3)
 {
     for (uint64_t seed : seeds(fixed)) {
