--- a/src/base/events.h
+++ b/src/base/events.h
@@ -26,7 +26,7 @@
     X(2011, EV_SNAPSHOT_REFUSED, LEVEL_WARN, "chunk of a snapshot refused")                        \
     X(2012, EV_SNAPSHOT_DAMAGED, LEVEL_WARN, "snapshot is damaged, not used")                      \
     X(2013, EV_MEMBER_ROLLED_BACK, LEVEL_WARN, "member lost acknowledged entries")                 \
-    X(2014, EV_LEAVE_WAITS, LEVEL_WARN, "voter asked to stop waits for a missing voter")           \
+    X(2014, EV_LEAVE_WAITS, LEVEL_WARN, "voter asked to stop waits, another is missing")           \
     X(2015, EV_MAJORITY_LOST, LEVEL_WARN, "no replies from a majority, leader steps down")         \
     X(2016, EV_REPAIR_WAITS, LEVEL_WARN, "replacement of a voter waits")                           \
     X(3001, EV_CHARTER, LEVEL_INFO, "settings version in effect")                                  \
