--- a/src/executor_owner/allocations.c
+++ b/src/executor_owner/allocations.c
@@ -8,7 +8,7 @@
 
 enum { STALL_STEP_MAX_MS = 2000 };
 
-void allocation_free(struct account *allocation)
+void allocation_free(struct executor_allocation *allocation)
 {
     if (allocation->start) {
         free(allocation->start->service);
@@ -20,13 +20,13 @@
     free(allocation->why);
 }
 
-void allocation_remove(struct executor_owner *owner, struct account *allocation)
+void allocation_remove(struct executor_owner *owner, struct executor_allocation *allocation)
 {
     allocation_free(allocation);
     *allocation = owner->rows[--owner->n_rows];
 }
 
-struct account *allocation_find(struct executor_owner *owner, int64_t job, int64_t no, int64_t attempt)
+struct executor_allocation *allocation_find(struct executor_owner *owner, int64_t job, int64_t no, int64_t attempt)
 {
     for (int64_t i = 0; i < owner->n_rows; i++) {
         const struct task_ref *ref = &owner->rows[i].ref;
@@ -44,7 +44,7 @@
     int64_t whole_cores = state->cores, whole_mb = state->mem_mb, free_cores = state->free_cores,
             free_mb = state->free_mb;
     for (int64_t i = 0; i < owner->n_rows; i++) {
-        const struct account *allocation = &owner->rows[i];
+        const struct executor_allocation *allocation = &owner->rows[i];
         if (allocation->state == ALLOCATION_ENDED)
             continue;
         whole_cores -= allocation->ref.cores;
@@ -58,7 +58,7 @@
     *mem_mb = whole_mb < free_mb ? whole_mb : free_mb;
 }
 
-int64_t allocation_check_state(const struct account *allocation)
+int64_t allocation_check_state(const struct executor_allocation *allocation)
 {
     static const int64_t states[] = {
         [ALLOCATION_RESERVED] = CHECK_RESERVED, /* the start order was lost */
@@ -68,7 +68,7 @@
 }
 
 /* Sends the task's state to the shard's owner without a check, since its gang waits for it. */
-static void send_state(struct node *node, struct executor_owner *owner, const struct account *allocation)
+static void send_state(struct node *node, struct executor_owner *owner, const struct executor_allocation *allocation)
 {
     struct check_result task = {.job = allocation->ref.job,
                                 .no = allocation->ref.no,
@@ -91,8 +91,8 @@
     return OUTCOME_LOST;
 }
 
-void allocation_end(struct node *node, struct executor_owner *owner, struct account *allocation, int64_t outcome,
-                    const char *why)
+void allocation_end(struct node *node, struct executor_owner *owner, struct executor_allocation *allocation,
+                    int64_t outcome, const char *why)
 {
     if (allocation->state == ALLOCATION_ENDED)
         return;
@@ -119,9 +119,10 @@
             allocation_end(node, owner, &owner->rows[i], OUTCOME_LOST, why);
 }
 
-static struct account *find_or_add(struct node *node, struct executor_owner *owner, const struct exec_task *task)
+static struct executor_allocation *find_or_add(struct node *node, struct executor_owner *owner,
+                                               const struct exec_task *task)
 {
-    struct account *allocation = allocation_find(owner, task->job, task->no, task->attempt);
+    struct executor_allocation *allocation = allocation_find(owner, task->job, task->no, task->attempt);
     if (allocation)
         return allocation;
     for (int64_t i = 0; i < owner->n_acks; i++)
@@ -138,7 +139,7 @@
 
 /* Stops a task that reports no progress for stall_ms. Each state received adds at most STALL_STEP_MAX_MS, so that a
  * time in which the executor slept or no state was received does not count. */
-static void check_progress(struct node *node, struct executor_owner *owner, struct account *allocation,
+static void check_progress(struct node *node, struct executor_owner *owner, struct executor_allocation *allocation,
                            int64_t progress)
 {
     int64_t now_ms = world_ms(node->w), since_ms = now_ms - allocation->progress_checked_ms;
@@ -166,7 +167,7 @@
 {
     const struct exec_state *state = &owner->state;
     for (int64_t i = 0; i < state->n_running; i++) {
-        struct account *allocation = find_or_add(node, owner, &state->running[i]);
+        struct executor_allocation *allocation = find_or_add(node, owner, &state->running[i]);
         if (!allocation || allocation->state == ALLOCATION_ENDED)
             continue;
         allocation->reported_serial = owner->serial;
@@ -184,14 +185,14 @@
             send_state(node, owner, allocation);
     }
     for (int64_t i = 0; i < state->n_ended; i++) {
-        struct account *allocation = find_or_add(node, owner, &state->ended[i]);
+        struct executor_allocation *allocation = find_or_add(node, owner, &state->ended[i]);
         if (!allocation)
             continue;
         allocation->reported_serial = owner->serial;
         allocation_end(node, owner, allocation, outcome_parse(state->ended[i].state), state->ended[i].why);
     }
     for (int64_t i = 0; i < owner->n_rows; i++) {
-        struct account *allocation = &owner->rows[i];
+        struct executor_allocation *allocation = &owner->rows[i];
         if (allocation->state >= ALLOCATION_HELD && allocation->state < ALLOCATION_ENDED &&
             allocation->reported_serial != owner->serial)
             allocation_end(node, owner, allocation, OUTCOME_LOST, "the executor no longer knows it");
--- a/src/executor_owner/executor_orders.c
+++ b/src/executor_owner/executor_orders.c
@@ -175,7 +175,7 @@
                                  .acks = owner->acks,
                                  .n_acks = owner->n_acks};
     for (int64_t i = 0; i < owner->n_rows && owner->opened; i++) {
-        struct account *allocation = &owner->rows[i];
+        struct executor_allocation *allocation = &owner->rows[i];
         struct exec_task_order order = {.job = allocation->ref.job,
                                         .no = allocation->ref.no,
                                         .attempt = allocation->ref.attempt,
--- a/src/executor_owner/executor_owner.c
+++ b/src/executor_owner/executor_owner.c
@@ -193,7 +193,7 @@
             const struct task_ref *ref = &message->tasks[i];
             if (allocation_find(owner, ref->job, ref->no, ref->attempt))
                 continue;
-            struct account *allocation = array_add(owner->rows, owner->n_rows);
+            struct executor_allocation *allocation = array_add(owner->rows, owner->n_rows);
             allocation->ref = *ref;
             allocation->state = ALLOCATION_RESERVED;
             allocation->since_ms = world_ms(node->w);
@@ -207,7 +207,7 @@
     struct executor_owner *owner = executor_owner_find(node, message->executor);
     (void)from;
     for (int64_t i = 0; owner && i < message->n_tasks; i++) {
-        struct account *allocation =
+        struct executor_allocation *allocation =
             allocation_find(owner, message->tasks[i].job, message->tasks[i].no, message->tasks[i].attempt);
         if (allocation && allocation->state == ALLOCATION_RESERVED)
             allocation_remove(owner, allocation);
@@ -225,7 +225,7 @@
         !accept_shard_epoch(node, owner, message->shard, message->shard_epoch) || !admission_open(node))
         return;
     const struct exec_start *start = &message->start;
-    struct account *allocation = allocation_find(owner, start->job, start->no, start->attempt);
+    struct executor_allocation *allocation = allocation_find(owner, start->job, start->no, start->attempt);
     int64_t cores, mem_mb;
     if (allocation && allocation->state != ALLOCATION_RESERVED)
         return;
@@ -279,7 +279,7 @@
         return;
     for (int64_t i = 0; i < message->n_tasks; i++) {
         const struct task_ref *ref = &message->tasks[i];
-        struct account *allocation = allocation_find(owner, ref->job, ref->no, ref->attempt);
+        struct executor_allocation *allocation = allocation_find(owner, ref->job, ref->no, ref->attempt);
         if (!allocation || allocation->state == ALLOCATION_ENDED)
             continue; /* its state is sent in response to a check */
         if (allocation->state == ALLOCATION_RESERVED) {
@@ -299,7 +299,7 @@
         !accept_shard_epoch(node, owner, message->shard, message->shard_epoch) || !admission_open(node))
         return;
     for (int64_t i = 0; i < message->n_tasks; i++) {
-        struct account *allocation =
+        struct executor_allocation *allocation =
             allocation_find(owner, message->tasks[i].job, message->tasks[i].no, message->tasks[i].attempt);
         if (!allocation || allocation->state != ALLOCATION_HELD || allocation->go_requested ||
             allocation->stop_requested)
@@ -318,7 +318,7 @@
         .executor = message->executor, .executor_epoch = owner->epoch, .incarnation = owner->incarnation};
     for (int64_t i = 0; i < message->n_tasks; i++) {
         const struct task_ref *ref = &message->tasks[i];
-        struct account *allocation = allocation_find(owner, ref->job, ref->no, ref->attempt);
+        struct executor_allocation *allocation = allocation_find(owner, ref->job, ref->no, ref->attempt);
         struct check_result result = {.job = ref->job, .no = ref->no, .attempt = ref->attempt, .state = CHECK_UNKNOWN};
         if (allocation)
             result.state = allocation_check_state(allocation);
@@ -336,7 +336,8 @@
 void executor_owner_on_ended_ack(struct node *node, const struct ended *message)
 {
     struct executor_owner *owner = executor_owner_find(node, message->executor);
-    struct account *allocation = owner ? allocation_find(owner, message->job, message->no, message->attempt) : NULL;
+    struct executor_allocation *allocation =
+        owner ? allocation_find(owner, message->job, message->no, message->attempt) : NULL;
     if (!allocation || allocation->state != ALLOCATION_ENDED)
         return;
     *array_add(owner->acks, owner->n_acks) =
--- a/src/executor_owner/executor_owner.h
+++ b/src/executor_owner/executor_owner.h
@@ -164,7 +164,7 @@
 
 /* Capacity of an executor that is allocated to a task. Invariant: the capacity counts as used from the reservation
  * until the executor reports the end of the task or cannot run it any more, also while the task is being stopped. */
-struct account {
+struct executor_allocation {
     struct task_ref ref;
     /* state: enum allocation_state; since_ms: when it was reserved or its start ordered; reported_serial: serial of the
      * newest state of the executor that lists the task; outcome: enum outcome, of ALLOCATION_ENDED; ended_sent_ms: when
@@ -190,7 +190,7 @@
     /* the most urgent reservation recently denied for lack of capacity: its capacity is kept until denied_until_ms */
     int64_t denied_urgency, denied_cores, denied_mb, denied_until_ms;
     int64_t call_in_flight, next_call_ms, dirty, silent, leases_expired, failed_calls;
-    struct account *rows; /* the executor's allocations */
+    struct executor_allocation *rows; /* the executor's allocations */
     int64_t n_rows;
     struct exec_task_order *acks;
     int64_t n_acks;
@@ -220,16 +220,16 @@
 void executor_owner_on_stop(struct node *node, int64_t from, const struct check_request *message);
 void executor_owner_on_go(struct node *node, const struct check_request *message);
 /* State of an allocation as an enum check_state. */
-int64_t allocation_check_state(const struct account *allocation);
+int64_t allocation_check_state(const struct executor_allocation *allocation);
 void executor_owner_on_check(struct node *node, int64_t from, const struct check_request *message);
 void executor_owner_on_ended_ack(struct node *node, const struct ended *message);
 
 /* allocations.c */
 /* NULL: none. Pointers to allocations are valid until one is added or removed. */
-struct account *allocation_find(struct executor_owner *owner, int64_t job, int64_t no, int64_t attempt);
+struct executor_allocation *allocation_find(struct executor_owner *owner, int64_t job, int64_t no, int64_t attempt);
 /* Frees what the allocation owns; allocation_remove() also takes it from the list. */
-void allocation_free(struct account *allocation);
-void allocation_remove(struct executor_owner *owner, struct account *allocation);
+void allocation_free(struct executor_allocation *allocation);
+void allocation_remove(struct executor_owner *owner, struct executor_allocation *allocation);
 /* Capacity that can still be reserved; negative after the executor gave some to other work. */
 void allocations_free_capacity(const struct executor_owner *owner, int64_t *cores, int64_t *mem_mb);
 /* Updates the allocations from the executor's state. */
@@ -237,8 +237,8 @@
 /* Ends all allocations whose start was ordered as OUTCOME_LOST. */
 void allocations_end_all(struct node *node, struct executor_owner *owner, const char *why);
 /* Ends an allocation; does nothing if it has ended. */
-void allocation_end(struct node *node, struct executor_owner *owner, struct account *allocation, int64_t outcome,
-                    const char *why);
+void allocation_end(struct node *node, struct executor_owner *owner, struct executor_allocation *allocation,
+                    int64_t outcome, const char *why);
 /* The outcome of this outer name, OUTCOME_LOST for any other text. */
 int outcome_parse(const char *text);
 
--- a/src/executor_owner/executor_owner_timers.c
+++ b/src/executor_owner/executor_owner_timers.c
@@ -17,7 +17,7 @@
 static void send_ended(struct node *node, struct executor_owner *owner, int64_t now_ms)
 {
     for (int64_t i = 0; i < owner->n_rows; i++) {
-        struct account *allocation = &owner->rows[i];
+        struct executor_allocation *allocation = &owner->rows[i];
         if (allocation->state != ALLOCATION_ENDED || now_ms - allocation->ended_sent_ms < ENDED_RESEND_MS)
             continue;
         allocation->ended_sent_ms = now_ms;
@@ -44,7 +44,7 @@
         world_note(node->w, EV_EXECUTOR_SILENT, "executor=%s", owner->name);
     owner->silent = silent;
     for (int64_t i = 0; i < owner->n_rows; i++) {
-        struct account *allocation = &owner->rows[i];
+        struct executor_allocation *allocation = &owner->rows[i];
         if (allocation->lease_ms > longest_lease_ms)
             longest_lease_ms = allocation->lease_ms;
         if (allocation->state > ALLOCATION_RESERVED && allocation->state < ALLOCATION_ENDED &&
--- a/tests/sim/oracle_test.cc
+++ b/tests/sim/oracle_test.cc
@@ -189,8 +189,8 @@
             executor_leave(&m->core.executor, 600000); // takes no new work
         for (int64_t k = 0; m->kind == M_NODE && m->up && k < m->core.node.n_executor_owners; k++) {
             executor_owner *h = m->core.node.executor_owners[k];
-            h->rows = (account *)realloc(h->rows, sizeof(account) * (size_t)(h->n_rows + 64));
-            h->rows[h->n_rows++] = account{};
+            h->rows = (executor_allocation *)realloc(h->rows, sizeof(executor_allocation) * (size_t)(h->n_rows + 64));
+            h->rows[h->n_rows++] = executor_allocation{};
             h->rows[h->n_rows - 1].since_ms = INT64_MAX / 2;
         }
     }
