--- a/tests/proc/http_server_test.cc
+++ b/tests/proc/http_server_test.cc
@@ -26,7 +26,7 @@
     return "for " + id + " " + std::string(more, (char)('a' + std::stoul(id) % 26));
 }
 
-// The server. Of a request it knows only what the HTTP server passed to it.
+// A role behind the HTTP server. It knows of a request only what the server passed to it.
 struct Server : Rig {
     std::mt19937 random;
     uint16_t port;
@@ -40,13 +40,13 @@
         port = port_of(fd);
         close(fd);
         runtime.role.arg = this;
-        runtime.role.on_request = on_web;
+        runtime.role.on_request = pass_request;
         int64_t addrs[LISTENERS_MAX] = {(int64_t)loopback(port)};
         EXPECT_EQ(http_server_start_listeners(&runtime, addrs), 0);
     }
     bool one_in(unsigned n) { return random() % n == 0; }
 
-    static void on_web(void *arg, int64_t slot, const struct http_request *request)
+    static void pass_request(void *arg, int64_t slot, const struct http_request *request)
     {
         Server *server = (Server *)arg;
         std::string id = request->path + 1, body(request->body, (size_t)request->len);
